--- a/src/main/java/org/gooseberryhill/decision/dispatch/AnyFreeSlotPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/AnyFreeSlotPlacement.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The baseline: items fill each free slot, the emptiest endpoint first. Stateless. */
+/** Baseline placement of items that uses every free slot and prefers the endpoint with most of them. Stateless. */
 public final class AnyFreeSlotPlacement implements ItemPlacement {
     @Override
     public Optional<FleetEndpoint> choose(List<FleetEndpoint> endpoints, boolean urgent, long nowNanos) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ConnectionView.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ConnectionView.java
@@ -2,12 +2,12 @@
 
 import org.gooseberryhill.link.Address;
 
-/** Where a host has an idle connection that the next request may take. */
+/** Tells to which addresses a host keeps an idle connection that the next request may use. */
 @FunctionalInterface
 public interface ConnectionView {
-    /** No connection is kept anywhere. */
+    /** A view without idle connections. */
     ConnectionView NONE = address -> false;
 
-    /** Whether an idle connection to an address is kept. */
+    /** Returns whether an idle connection to an address is kept. */
     boolean isKept(Address address);
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
@@ -17,32 +17,32 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * Decides about the routed requests of one host. Not thread-safe.
+ * Decides where and how often the routed requests of one host are sent, and when they are refused. Not thread-safe.
  *
- * <p>Invariants: each request taken in is finished exactly once; a request that is given up gets its refusal from the
- * very call that gives it up, never later; a request that may not be repeated is sent again only while it has certainly
- * not run; no more endpoints may have run a request than its route allows.
+ * <p>Invariants: each accepted request is finished exactly once; the call that gives a request up also returns its
+ * refusal, never a later call; a request that may not be repeated is sent again only while it has certainly not run;
+ * the number of endpoints that may have run a request does not exceed the limit of its route.
  */
 public final class DispatchCore {
-    /** When no endpoint is known: registrations come back within about two seconds. */
+    /** Retry-after when no endpoint is usable: registrations return within about two seconds. */
     private static final long NO_ENDPOINT_RETRY_AFTER_MILLIS = 1000;
 
-    /** Sends of one request, refusals included; each costs a round trip, and a full service refuses them all. */
+    /** Limits the sends of one request, refused ones included: each costs a round trip; a full service refuses all. */
     private static final int MAX_SENDS = 6;
 
     /**
-     * The same for a request whose caller has a part of the answer: items give way within some tens of milliseconds, and
-     * the rest of an answer is worth more of them than a new request, which can come back.
+     * The limit for a request whose caller has received a part of the answer: items yield within some tens of
+     * milliseconds, and completing an answer is worth more sends than a new request, whose caller can retry.
      */
     private static final int MAX_SENDS_BEGUN = 20;
 
-    /** Before a full service is asked again for the rest of an answer: about what an item takes to give way. */
+    /** Delay before a full service is tried again for the rest of an answer: about the time an item takes to yield. */
     private static final long FULL_AGAIN_MILLIS = 50;
 
-    /** With less time than this left no endpoint can answer: a round trip and the shortest run. */
+    /** Shortest time in which an endpoint can answer: a round trip and the shortest run. */
     private static final long MIN_LEFT_MILLIS = 20;
 
-    /** A full service: about when the next slot of one endpoint is free. */
+    /** Retry-after of a full service: about the time until the next slot of an endpoint is free. */
     private static final long BUSY_RETRY_AFTER_MILLIS = 200;
 
     private final AvailabilityZone zone;
@@ -52,7 +52,7 @@
     private final Map<String, ServicePace> paces = new HashMap<>();
     private final PromptReads reads = new PromptReads();
 
-    /** A core over the endpoints that its host knows. */
+    /** Creates a core for the endpoints that its host knows. */
     public DispatchCore(AvailabilityZone zone, DispatchPolicies policies, Fleet fleet, CrashSuspects suspects) {
         this.zone = zone;
         this.policies = policies;
@@ -60,12 +60,15 @@
         this.suspects = suspects;
     }
 
-    /** A request that arrived; it must end with {@link #finished}. */
+    /**
+     * Creates a request that has arrived. It must end with a {@link DispatchDecision.Refuse}, {@link #attemptSucceeded}
+     * or {@link #abandoned}.
+     */
     public RoutedRequest arrived(RoutedIntake intake) {
         return new RoutedRequest(intake);
     }
 
-    /** What to do with a request that arrived. */
+    /** Decides the first action for a request that has arrived. */
     public DispatchDecision first(RoutedRequest request, long nowNanos) {
         Optional<Refusal> quarantined = refuseQuarantined(request, nowNanos);
         if (quarantined.isPresent()) {
@@ -91,7 +94,7 @@
         return send(request, best.get(), nowNanos);
     }
 
-    /** An attempt ended without the whole answer: another endpoint, or the final answer. */
+    /** Decides what follows an attempt that ended without the whole answer: another endpoint, a wait or a refusal. */
     public DispatchDecision attemptFailed(RoutedRequest request, AttemptEnd end, long nowNanos) {
         attemptEnded(request, end, nowNanos);
         Optional<Refusal> refusal = giveUp(request, request.progress(), end, nowNanos);
@@ -102,8 +105,8 @@
     }
 
     /**
-     * Whether a request whose endpoint is silent may go on at another one: {@link #attemptFailed} with {@link
-     * AttemptEnd#SILENT} would send it at this moment. False while no endpoint has it.
+     * Returns whether a request whose endpoint is silent can continue at another endpoint: {@link #attemptFailed} with
+     * {@link AttemptEnd#SILENT} would send it at this moment. False while no endpoint has the request.
      */
     public boolean mayGoElsewhere(RoutedRequest request, long nowNanos) {
         if (request.endpoint().isEmpty()) {
@@ -114,7 +117,7 @@
                 && chooseOther(request, nowNanos).isPresent();
     }
 
-    /** The time of a {@link DispatchDecision.Wait} is over. */
+    /** Decides the next action after the delay of a {@link DispatchDecision.Wait} has passed. */
     public DispatchDecision again(RoutedRequest request, long nowNanos) {
         if (request.leftMillis(nowNanos) < MIN_LEFT_MILLIS) {
             return new DispatchDecision.Refuse(
@@ -133,7 +136,7 @@
                 : new DispatchDecision.Refuse(noOtherEndpoint(request));
     }
 
-    /** An attempt brought the whole answer. */
+    /** Records that an attempt returned the whole answer. */
     public void attemptSucceeded(RoutedRequest request, long nowNanos) {
         pace(request).ran(request.runNanos(nowNanos));
         attemptEnded(request, AttemptEnd.ANSWERED, nowNanos);
@@ -142,7 +145,7 @@
         }
     }
 
-    /** The caller went away, or the request's time is over. */
+    /** Ends a request whose caller disconnected or whose deadline passed. */
     public void abandoned(RoutedRequest request, long nowNanos) {
         attemptEnded(request, AttemptEnd.ABANDONED, nowNanos);
     }
@@ -155,7 +158,7 @@
         });
     }
 
-    /** Why there is no further attempt after one that ended; empty if there may be one. */
+    /** Returns the refusal if no further attempt may follow one that ended; empty if one may. */
     private Optional<Refusal> giveUp(RoutedRequest request, RequestProgress progress, AttemptEnd end, long nowNanos) {
         Route route = request.intake().route();
         if (progress.outcome() == Outcome.MAY_HAVE_RUN && !route.isRepeatable()) {
@@ -214,17 +217,17 @@
         return choose(request, request.tried(), nowNanos);
     }
 
-    /** An endpoint that neither has the request now nor had it before. */
+    /** Chooses an endpoint that neither has the request now nor was tried before. */
     private Optional<FleetEndpoint> chooseOther(RoutedRequest request, long nowNanos) {
-        Set<EndpointKey> had = new HashSet<>(request.tried());
-        request.endpoint().ifPresent(had::add);
-        return choose(request, had, nowNanos);
+        Set<EndpointKey> excluded = new HashSet<>(request.tried());
+        request.endpoint().ifPresent(excluded::add);
+        return choose(request, excluded, nowNanos);
     }
 
-    private Optional<FleetEndpoint> choose(RoutedRequest request, Set<EndpointKey> leftOut, long nowNanos) {
+    private Optional<FleetEndpoint> choose(RoutedRequest request, Set<EndpointKey> excluded, long nowNanos) {
         List<FleetEndpoint> endpoints = fleet.of(request.intake().service());
         PlacementCase placement = new PlacementCase(
-                zone, request.intake().prompt(), reads, leftOut, pace(request).meanRunMillis(), nowNanos);
+                zone, request.intake().prompt(), reads, excluded, pace(request).meanRunMillis(), nowNanos);
         return policies.placement().choose(endpoints, placement);
     }
 
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchDecision.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchDecision.java
@@ -4,29 +4,29 @@
 import org.gooseberryhill.contract.Refusal;
 import org.gooseberryhill.directory.EndpointEntry;
 
-/** What to do next about a routed request. Immutable. */
+/** The next action for a routed request. Immutable. */
 public sealed interface DispatchDecision {
     /**
-     * Send it to an endpoint now.
+     * Sends the request to an endpoint now.
      *
      * @param endpoint the endpoint
-     * @param facts what it was chosen by
+     * @param facts the figures by which it was chosen
      */
     record Send(EndpointEntry endpoint, PlacementFacts facts) implements DispatchDecision {}
 
     /**
-     * Ask again after a while: no endpoint can take it now, and its caller has a part of the answer, or it has left an
-     * endpoint that was only silent.
+     * Asks for another decision after a delay: no endpoint can take the request now, but its caller has received a part
+     * of the answer, or the request was moved away from an endpoint that was merely silent.
      *
-     * @param millis how long to wait
+     * @param millis the delay
      */
     record Wait(long millis) implements DispatchDecision {}
 
     /**
-     * Give the caller its final answer now.
+     * Gives the caller its final answer now.
      *
      * @param refusal the answer
-     * @param overload present if the request was turned away because of load: what decided that
+     * @param overload the figures behind the refusal; present if it was refused because of load
      */
     record Refuse(Refusal refusal, Optional<OverloadFacts> overload) implements DispatchDecision {
         Refuse(Refusal refusal) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchPolicies.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchPolicies.java
@@ -3,16 +3,16 @@
 import java.util.Random;
 
 /**
- * The decisions about routed requests that may be compared, as one set.
+ * A set of the interchangeable policies for routed requests.
  *
- * @param placement chooses the endpoint
- * @param overload turns away
- * @param returns tells those that were turned away when to come back
- * @param items chooses where items of request batches start
+ * @param placement chooses the endpoint of an online request
+ * @param overload decides which requests are refused because of load
+ * @param returns decides when the callers of refused requests should retry
+ * @param items chooses the endpoints where items of request batches start
  */
 public record DispatchPolicies(
         PlacementPolicy placement, OverloadPolicy overload, ReturnPolicy returns, ItemPlacement items) {
-    /** The product's decisions. */
+    /** Returns the policies that the product uses. */
     public static DispatchPolicies product(Random random) {
         return new DispatchPolicies(
                 new LeastWaitPlacement(random),
@@ -21,7 +21,7 @@
                 new ReservedSlotPlacement(random));
     }
 
-    /** The baseline's: each endpoint in turn, nothing turned away. */
+    /** Returns the baseline policies for comparison: round-robin placement, no refusals because of load. */
     public static DispatchPolicies baseline() {
         return new DispatchPolicies(
                 new RoundRobinPlacement(), new NoOverloadPolicy(), new ForecastReturn(), new AnyFreeSlotPlacement());
--- a/src/main/java/org/gooseberryhill/decision/dispatch/EndpointHealth.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/EndpointHealth.java
@@ -3,24 +3,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether an endpoint is left out for now, by what its latest attempts showed. Not thread-safe.
+ * Tracks the health of an endpoint from its latest attempts and ejects it from placement after failures. Not
+ * thread-safe.
  *
- * <p>Failure: an endpoint crashed or can't be reached, and its registration stays for seconds; each request placed there
- * loses its time. It is left out after the first unreachable attempt, or several failed ones in a row, for a time that
- * doubles; one success brings it back. One that could not be reached gets no request before a connection to it was made:
- * otherwise each host would let a caller find out, each time that the pause is over.
+ * <p>Failure mode: an endpoint has crashed or is unreachable while its registration remains for some seconds; each
+ * request placed there loses time. The endpoint is ejected after the first unreachable attempt or after several
+ * consecutive failures, for a time that doubles with each ejection; one success readmits it. An unreachable endpoint
+ * gets no request until a probe has connected to it: otherwise each host would use a caller's request to test the
+ * endpoint each time that its ejection ends.
  */
 final class EndpointHealth {
-    /** Failures in a row that leave an endpoint out: one or two may be the requests' own fault. */
+    /** Consecutive failures that eject an endpoint: one or two may be caused by the requests themselves. */
     private static final int FAILURES_BEFORE_EJECTION = 3;
 
-    /** The first pause: long enough for a restart to show, short enough to lose little by a false alarm. */
+    /** First ejection time: long enough to detect a restart, short enough to lose little by a false positive. */
     private static final long FIRST_EJECTION_MILLIS = 500;
 
-    /** Doublings of the pause: 4 s at the most, since a restarted endpoint registers within seconds. */
+    /** Doublings of the ejection time: 4 s at most, since a restarted endpoint registers within seconds. */
     private static final int MAX_EJECTION_DOUBLINGS = 3;
 
-    /** After a refusal by an endpoint that was thought to have room: its own count is newer by then. */
+    /** No placement for this long after an endpoint that seemed to have room refused: newer counts arrive by then. */
     private static final long BUSY_MILLIS = 40;
 
     private int failuresInRow;
@@ -30,7 +32,7 @@
     private boolean probing;
     private long busyUntilNanos = Long.MIN_VALUE;
 
-    /** Whether requests may be placed there. */
+    /** Returns whether requests may be placed at the endpoint. */
     boolean isUsable(long nowNanos) {
         return !isEjected(nowNanos) && isPast(busyUntilNanos, nowNanos);
     }
@@ -39,14 +41,14 @@
         return unreachable || !isPast(ejectedUntilNanos, nowNanos);
     }
 
-    /** Whether a connection is to be tried now; true once for each try. */
+    /** Returns whether a connection probe is due and marks it as started; true once per probe. */
     boolean takeProbe(long nowNanos) {
         boolean due = unreachable && !probing && isPast(ejectedUntilNanos, nowNanos);
         probing |= due;
         return due;
     }
 
-    /** A connection was tried. */
+    /** Records the result of a connection probe. */
     void probed(boolean reached, long nowNanos) {
         probing = false;
         if (reached) {
@@ -56,7 +58,7 @@
         }
     }
 
-    /** How much longer it is left out, in milliseconds. */
+    /** Returns the remaining ejection time in milliseconds, or 0 if it is over. */
     long ejectedMillis(long nowNanos) {
         return !isPast(ejectedUntilNanos, nowNanos) ? TimeUnit.NANOSECONDS.toMillis(ejectedUntilNanos - nowNanos) : 0;
     }
@@ -79,14 +81,14 @@
         }
     }
 
-    /** It can't be reached. */
+    /** Ejects the endpoint until a connection probe succeeds. */
     void unreachable(long nowNanos) {
         failuresInRow++;
         unreachable = true;
         eject(nowNanos);
     }
 
-    /** Another endpoint answers at its address: a connection would show nothing. */
+    /** Ejects the endpoint for a time: another endpoint answers at its address, so a probe would prove nothing. */
     void misdirected(long nowNanos) {
         failuresInRow++;
         eject(nowNanos);
--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -15,11 +15,11 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * All endpoints that a host knows, by identity and by service. Not thread-safe.
+ * Holds all endpoints that a host knows, by identity and by service. Not thread-safe.
  *
- * <p>Invariants: an endpoint that left the directory, or registered as leaving, gets nothing new from the moment that the
- * host knows; failures never leave out more than half of a service's endpoints, since a cut at this host looks like a
- * failure of all of them; what a lost host reported counts no more.
+ * <p>Invariants: an endpoint that left the directory or registered as leaving gets no new requests from the moment that
+ * the host knows it; failures never eject more than half of the endpoints of a service, since a network partition of
+ * this host looks like a failure of all of them; the reports of a lost host no longer count.
  */
 public final class Fleet {
     private final ConnectionView connections;
@@ -29,17 +29,17 @@
     private final List<HealthChange> healthChanges = new ArrayList<>();
     private Map<String, List<FleetEndpoint>> byService = Map.of();
 
-    /** No endpoints yet, and no connections to any. */
+    /** Creates a fleet without endpoints, on a host without idle connections. */
     public Fleet() {
         this(ConnectionView.NONE);
     }
 
-    /** No endpoints yet, on a host that keeps connections. */
+    /** Creates a fleet without endpoints, on a host that keeps the idle connections of the given view. */
     public Fleet(ConnectionView connections) {
         this.connections = connections;
     }
 
-    /** Takes in the directory; what is known of endpoints that stay is kept. */
+    /** Replaces the directory; the state of endpoints that remain registered is kept. */
     public void directory(Collection<EndpointEntry> entries) {
         Map<EndpointKey, EndpointEntry> listed = new TreeMap<>();
         entries.forEach(entry -> listed.put(entry.key(), entry));
@@ -54,19 +54,19 @@
         byService = services;
     }
 
-    /** A host's report of all that it has in flight. */
+    /** Applies the report of another host on all requests that it has in flight. */
     public void reported(HostId host, Map<EndpointKey, InFlight> inFlight, long nowNanos) {
         Report before = reports.put(host, new Report(Map.copyOf(inFlight), nowNanos));
         inFlight.keySet().forEach(this::sumUp);
         sumUpMissing(before, inFlight);
     }
 
-    /** A host is lost: nothing of it is in flight any more. */
+    /** Removes the report of a lost host: none of its requests count as in flight any longer. */
     public void lost(HostId host) {
         sumUpMissing(reports.remove(host), Map.of());
     }
 
-    /** What is known of a service now. */
+    /** Returns a snapshot of what is known about a service now. */
     public ServiceState state(String service, long nowNanos) {
         List<FleetEndpoint> usable = usable(service, nowNanos);
         long oldestNanos = reports.values().stream()
@@ -82,7 +82,7 @@
                 TimeUnit.NANOSECONDS.toMillis(oldestNanos));
     }
 
-    /** The endpoints of a service that may get new requests now. */
+    /** Returns the endpoints of a service that may get new requests now. */
     public List<FleetEndpoint> usable(String service, long nowNanos) {
         List<FleetEndpoint> usable = new ArrayList<>();
         for (FleetEndpoint endpoint : of(service)) {
@@ -93,29 +93,29 @@
         return usable;
     }
 
-    /** How many hosts share the endpoints: those that report, and this one. */
+    /** Returns the number of hosts that share the endpoints: those that report, and this one. */
     public int hosts() {
         return reports.size() + 1;
     }
 
-    /** The endpoints of a service, in a fixed order. */
+    /** Returns the endpoints of a service in a fixed order. */
     public List<FleetEndpoint> of(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
-    /** All endpoints. */
+    /** Returns all endpoints. */
     public Collection<FleetEndpoint> all() {
         return byKey.values();
     }
 
-    /** An endpoint that is still in the directory. */
+    /** Returns an endpoint if it is still in the directory. */
     public Optional<FleetEndpoint> find(EndpointKey key) {
         return Optional.ofNullable(byKey.get(key));
     }
 
     /**
-     * What this host has in flight, for its report to others. It is kept beside the directory: a registration that
-     * lapses and comes back must not lose count of what still runs.
+     * Returns the requests that this host has in flight, for its report to other hosts. The counts are kept
+     * independently of the directory, so that a registration that lapses and returns does not lose running requests.
      */
     public Map<EndpointKey, InFlight> own() {
         return Map.copyOf(own);
@@ -129,23 +129,24 @@
         addOwn(key, -1, 0);
     }
 
-    /** An item of a request batch starts at an endpoint. */
+    /** Counts an item of a request batch that starts at an endpoint. */
     public void batchStarted(EndpointKey key) {
         addOwn(key, 0, 1);
     }
 
-    /** An item of a request batch ended at an endpoint, in whatever way. */
+    /** Removes an item of a request batch that ended at an endpoint, with whatever result. */
     public void batchEnded(EndpointKey key) {
         addOwn(key, 0, -1);
     }
 
     /**
-     * How many of its items a host gives back at an endpoint that has more in flight than slots. All hosts with items
-     * there work it out alike: those with most items give first, so that not each of them yields to the same request.
+     * Returns how many of its items a host has to stop at an endpoint that has more requests in flight than slots. All
+     * hosts with items there compute it from the same counts: hosts with most items yield first, so that not every host
+     * yields to the same request.
      */
     public int yieldShare(FleetEndpoint endpoint, HostId self) {
-        int over = Math.min(-endpoint.freeSlots(), endpoint.batch());
-        if (over <= 0) {
+        int excess = Math.min(-endpoint.freeSlots(), endpoint.batch());
+        if (excess <= 0) {
             return 0;
         }
         Map<HostId, Integer> items = new TreeMap<>();
@@ -157,19 +158,19 @@
                 items.entrySet().stream().sorted(mostFirst).toList();
         for (Map.Entry<HostId, Integer> entry : order) {
             if (entry.getKey().equals(self)) {
-                return Math.min(over, entry.getValue());
+                return Math.min(excess, entry.getValue());
             }
-            over -= Math.min(over, entry.getValue());
+            excess -= Math.min(excess, entry.getValue());
         }
         return 0;
     }
 
-    /** Takes in what the end of an attempt shows of its endpoint. */
+    /** Updates the health of an endpoint by the end of an attempt there. */
     public void observed(EndpointKey key, AttemptEnd end, long nowNanos) {
         find(key).ifPresent(endpoint -> observe(endpoint, end, nowNanos));
     }
 
-    /** The endpoints to which a connection is to be tried now; each must end with {@link #probed}. */
+    /** Returns the endpoints that are due for a connection probe; {@link #probed} must follow for each of them. */
     public List<FleetEndpoint> takeProbes(long nowNanos) {
         List<FleetEndpoint> due = new ArrayList<>();
         for (FleetEndpoint endpoint : byKey.values()) {
@@ -180,7 +181,7 @@
         return due;
     }
 
-    /** A connection to an endpoint was tried. */
+    /** Records the result of a connection probe of an endpoint. */
     public void probed(EndpointKey key, boolean reached, long nowNanos) {
         find(key).ifPresent(endpoint -> {
             endpoint.health().probed(reached, nowNanos);
@@ -190,7 +191,7 @@
         });
     }
 
-    /** What attempts have changed about which endpoints are left out, since the last call. */
+    /** Returns and clears the ejections and readmissions of endpoints since the last call. */
     public List<HealthChange> takeHealthChanges() {
         if (healthChanges.isEmpty()) {
             return List.of();
@@ -202,10 +203,10 @@
 
     private void observe(FleetEndpoint endpoint, AttemptEnd end, long nowNanos) {
         EndpointHealth health = endpoint.health();
-        boolean leftOut = health.isEjected(nowNanos);
+        boolean wasEjected = health.isEjected(nowNanos);
         take(health, endpoint, end, nowNanos);
-        if (health.isEjected(nowNanos) != leftOut) {
-            healthChanges.add(new HealthChange(endpoint.key(), !leftOut, end, health.ejectedMillis(nowNanos)));
+        if (health.isEjected(nowNanos) != wasEjected) {
+            healthChanges.add(new HealthChange(endpoint.key(), !wasEjected, end, health.ejectedMillis(nowNanos)));
         }
     }
 
@@ -217,9 +218,9 @@
             case OTHER_ENDPOINT -> ifOthersLeft(endpoint, nowNanos, health::misdirected);
             case CUT, SILENT, ERROR_ANSWER, MALFORMED -> ifOthersLeft(endpoint, nowNanos, health::failed);
             case ABANDONED, DROPPED -> {
-                // The host's own doing: it shows nothing of the endpoint.
+                // Ended by this host: says nothing about the endpoint.
             }
-            default -> throw new IllegalStateException("unknown end " + end);
+            default -> throw new IllegalStateException("unknown attempt end " + end);
         }
     }
 
@@ -249,7 +250,7 @@
         return endpoint;
     }
 
-    /** What an earlier report had at endpoints that the one in force does not name any more. */
+    /** Recounts the endpoints that an earlier report of a host named and its current one does not. */
     private void sumUpMissing(Report before, Map<EndpointKey, InFlight> after) {
         if (before == null) {
             return;
@@ -279,7 +280,7 @@
         endpoint.others(new InFlight(online, batch));
     }
 
-    /** What a host had in flight, and when it said so. */
+    /** The requests that a host had in flight, and when its report arrived. */
     private record Report(Map<EndpointKey, InFlight> inFlight, long atNanos) {
         InFlight at(EndpointKey endpoint) {
             return inFlight.getOrDefault(endpoint, InFlight.NONE);
--- a/src/main/java/org/gooseberryhill/decision/dispatch/FleetEndpoint.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/FleetEndpoint.java
@@ -5,8 +5,8 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * What one host knows of a registered endpoint: its own requests exactly, those of others as last reported. Not
- * thread-safe.
+ * A registered endpoint as one host knows it: this host's own requests exactly, those of other hosts as last reported.
+ * Not thread-safe.
  */
 public final class FleetEndpoint {
     private final EndpointHealth health = new EndpointHealth();
@@ -20,47 +20,47 @@
         this.connections = connections;
     }
 
-    /** Its registration. */
+    /** Returns the registration of the endpoint. */
     public EndpointEntry entry() {
         return entry;
     }
 
-    /** Its identity. */
+    /** Returns the identity of the endpoint. */
     public EndpointKey key() {
         return entry.key();
     }
 
-    /** Requests with a waiting caller, of all hosts. */
+    /** Returns the number of online requests in flight, of all hosts. */
     public int online() {
         return own.online() + others.online();
     }
 
-    /** Items of request batches, of all hosts. */
+    /** Returns the number of items of request batches in flight, of all hosts. */
     public int batch() {
         return own.batch() + others.batch();
     }
 
-    /** This host's own requests. */
+    /** Returns the requests that this host has in flight. */
     public InFlight own() {
         return own;
     }
 
-    /** Slots that nothing uses; negative while requests wait at the endpoint. */
+    /** Returns the number of free slots; negative while requests wait at the endpoint. */
     public int freeSlots() {
         return entry.slots() - online() - batch();
     }
 
-    /** Whether it is in a zone. */
+    /** Returns whether the endpoint is in an availability zone. */
     public boolean isIn(AvailabilityZone zone) {
         return entry.zone().equals(zone);
     }
 
-    /** Whether this host keeps an idle connection to it. */
+    /** Returns whether this host keeps an idle connection to the endpoint. */
     public boolean isConnected() {
         return connections.isKept(entry.address());
     }
 
-    /** Whether new requests may be placed there. */
+    /** Returns whether new requests may be placed at the endpoint. */
     public boolean isUsable(long nowNanos) {
         return !entry.leaving() && health.isUsable(nowNanos);
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ForecastOverloadPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ForecastOverloadPolicy.java
@@ -3,17 +3,17 @@
 /**
  * Lets requests wait for a share of their target latency. Stateless.
  *
- * <p>Failure: under overload every request waits until it is late, and those that could have been on time are late as
- * well. A refusal costs its caller nothing but the time until it comes back, which it is told.
+ * <p>Failure mode: under overload every request waits until it is late, even those that could have been on time. A
+ * refusal costs the caller only the time until its retry, which the refusal states.
  */
 public final class ForecastOverloadPolicy implements OverloadPolicy {
     private final double waitShareOfTarget;
 
     /**
-     * A policy with a bound for waiting.
+     * Creates a policy with an upper bound for the wait.
      *
      * @param waitShareOfTarget the share of the target latency that may be spent waiting; above 1 requests are served
-     *     late rather than turned away
+     *     late rather than refused
      */
     public ForecastOverloadPolicy(double waitShareOfTarget) {
         this.waitShareOfTarget = waitShareOfTarget;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ForecastReturn.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ForecastReturn.java
@@ -1,6 +1,6 @@
 package org.gooseberryhill.decision.dispatch;
 
-/** The baseline: callers come back when what waits now has begun. Stateless. */
+/** Baseline policy: callers retry when the requests that wait now have started. Stateless. */
 public final class ForecastReturn implements ReturnPolicy {
     @Override
     public long retryAfterMillis(OverloadCase overload) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/HealthChange.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/HealthChange.java
@@ -3,11 +3,11 @@
 import org.gooseberryhill.directory.EndpointKey;
 
 /**
- * An attempt showed that an endpoint is to be left out for a while, or back. Immutable.
+ * The ejection or readmission of an endpoint by the result of an attempt or probe. Immutable.
  *
  * @param endpoint the endpoint
- * @param leftOut whether it gets nothing new now
+ * @param leftOut whether the endpoint is ejected and gets no new requests
  * @param cause how the attempt ended
- * @param millis for how long it is left out, unless an attempt succeeds before
+ * @param millis ejection time, which a success ends early; 0 after a readmission
  */
 public record HealthChange(EndpointKey endpoint, boolean leftOut, AttemptEnd cause, long millis) {}
--- a/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
@@ -5,30 +5,30 @@
 import java.util.Random;
 
 /**
- * Takes the endpoint where a request is likely to begin first. Not thread-safe.
+ * Chooses the endpoint where a request is likely to start earliest. Not thread-safe.
  *
- * <p>Items of request batches count little: they yield within a round trip. Of equals one is drawn, so that hosts with
- * the same reports don't all choose the same endpoint.
+ * <p>Items of request batches add little to the cost, since they yield within a round trip. Ties are broken at random,
+ * so that hosts with the same reports do not all choose the same endpoint.
  */
 public final class LeastWaitPlacement implements PlacementPolicy {
-    /** A free slot is worth this much over one that a batch item has to yield first: two trips between zones. */
+    /** Extra cost of a slot that a batch item has to yield first, over a free slot: two trips between zones. */
     private static final double YIELD_MILLIS = 6;
 
-    /** A trip to another zone and back. */
+    /** A round trip to another availability zone. */
     private static final double OTHER_ZONE_MILLIS = 3;
 
-    /** What a full endpoint takes longer for each event than an idle one, over the time to the first. */
+    /** Extra time that a full endpoint takes for each event over an idle one, until the first event. */
     private static final double FULL_LOAD_MILLIS = 10;
 
-    /** Making a connection: a trip and back, and the endpoint's part of it. */
+    /** Connection setup: a round trip and the endpoint's share of the work. */
     private static final double CONNECT_MILLIS = 3;
 
-    /** What an engine takes to read one token of a prompt; those in use read some hundred a millisecond. */
+    /** Prefill time of an engine per prompt token; the engines in use process some hundred tokens per millisecond. */
     private static final double READ_MILLIS_PER_TOKEN = 0.01;
 
     private final Random random;
 
-    /** A placement that draws from a seeded source. */
+    /** Creates a placement that uses a seeded random source. */
     public LeastWaitPlacement(Random random) {
         this.random = random;
     }
@@ -56,13 +56,13 @@
         double loadMillis =
                 FULL_LOAD_MILLIS * endpoint.online() / endpoint.entry().slots();
         double connectMillis = endpoint.isConnected() ? 0 : CONNECT_MILLIS;
-        double readMillis = READ_MILLIS_PER_TOKEN * placement.unreadTokens(endpoint);
+        double prefillMillis = READ_MILLIS_PER_TOKEN * placement.unreadTokens(endpoint);
         double warmUpMillis = Math.max(0, endpoint.entry().warmUpLeftMillis());
         return WaitForecast.waitMillis(endpoint, placement.meanRunMillis())
                 + yieldMillis
                 + zoneMillis
                 + connectMillis
-                + readMillis
+                + prefillMillis
                 + loadMillis
                 + warmUpMillis;
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/MovingMean.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/MovingMean.java
@@ -1,14 +1,14 @@
 package org.gooseberryhill.decision.dispatch;
 
-/** A mean in which newer values weigh more (exponentially weighted). Not thread-safe. */
+/** Computes an exponentially weighted moving mean. Not thread-safe. */
 public final class MovingMean {
     private final double newestWeight;
     private double value;
 
     /**
-     * A mean.
+     * Creates a mean.
      *
-     * @param initial its value before the first one is added
+     * @param initial the mean before the first value is added
      * @param newestWeight the weight of each new value, 0 to 1
      */
     public MovingMean(double initial, double newestWeight) {
@@ -16,12 +16,12 @@
         this.newestWeight = newestWeight;
     }
 
-    /** The mean now. */
+    /** Returns the current mean. */
     public double value() {
         return value;
     }
 
-    /** Adds a value. */
+    /** Adds a value to the mean. */
     public void add(double newest) {
         value += newestWeight * (newest - value);
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/NoOverloadPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/NoOverloadPolicy.java
@@ -1,6 +1,6 @@
 package org.gooseberryhill.decision.dispatch;
 
-/** The baseline: nothing is turned away. Stateless. */
+/** Baseline policy that never refuses a request because of load. Stateless. */
 public final class NoOverloadPolicy implements OverloadPolicy {
     @Override
     public double longestWaitMillis(OverloadCase overload) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/OverloadCase.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/OverloadCase.java
@@ -1,16 +1,16 @@
 package org.gooseberryhill.decision.dispatch;
 
 /**
- * What matters for turning a request away and for its return. Immutable.
+ * Input for the decisions whether to refuse a request because of load and when its caller should retry. Immutable.
  *
- * @param service the service that it waits for
- * @param waitMillis the forecast wait for a slot where it would be placed
- * @param targetLatencyMillis within which its answer is on time
- * @param leftMillis how long until its deadline
- * @param slots how many slots its service has
+ * @param service the service that the request is for
+ * @param waitMillis the forecast wait for a slot at the endpoint where it would be placed
+ * @param targetLatencyMillis latency within which its answer is on time
+ * @param leftMillis time until its deadline
+ * @param slots number of slots of the usable endpoints of its service
  * @param meanRunMillis the mean time that a request of the service holds its slot
- * @param hosts how many hosts share the slots
- * @param nowNanos the time
+ * @param hosts number of hosts that share the slots
+ * @param nowNanos the current time
  */
 public record OverloadCase(
         String service,
--- a/src/main/java/org/gooseberryhill/decision/dispatch/OverloadFacts.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/OverloadFacts.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.dispatch;
 
 /**
- * What a request was turned away by, for the log. Immutable.
+ * Holds the figures by which a request was refused because of load, for the log. Immutable.
  *
- * @param waitMillis how long it would have waited for a slot
- * @param longestWaitMillis how long it might have waited
- * @param meanRunMillis how long a request of the service holds its slot
+ * @param waitMillis forecast wait for a slot
+ * @param longestWaitMillis longest wait that was allowed
+ * @param meanRunMillis mean time that a request of the service holds its slot
  */
 public record OverloadFacts(long waitMillis, long longestWaitMillis, long meanRunMillis) {
     static OverloadFacts of(OverloadCase overload, double longestWaitMillis) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/OverloadPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/OverloadPolicy.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.decision.dispatch;
 
-/** Decides for how long a request may wait; one that would wait for longer is turned away at once. */
+/** Decides how long a request may wait for a slot; a request with a longer forecast wait is refused at once. */
 public interface OverloadPolicy {
-    /** The longest wait for a slot with which a request is still taken in, in milliseconds. */
+    /** Returns the longest forecast wait for a slot with which a request is still accepted, in milliseconds. */
     double longestWaitMillis(OverloadCase overload);
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PastAttempt.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PastAttempt.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.dispatch;
 
 /**
- * An attempt of a request that has ended. Immutable.
+ * A finished attempt of a request. Immutable.
  *
- * @param endpoint the endpoint's id
+ * @param endpoint the id of the endpoint
  * @param end how it ended
- * @param millis how long it took
+ * @param millis its duration
  */
 public record PastAttempt(String endpoint, AttemptEnd end, long millis) {
     @Override
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PlacementCase.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PlacementCase.java
@@ -7,14 +7,14 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * What matters for placing a request. Immutable.
+ * Input for the placement of a request. Immutable.
  *
- * @param zone where the host runs
- * @param prompt present for a request for tokens
- * @param reads what the endpoints have read already
- * @param tried endpoints that had it already
+ * @param zone the availability zone where the host runs
+ * @param prompt the prompt; present for a token generation request
+ * @param reads the prompt prefixes that the endpoints have processed
+ * @param tried the endpoints to leave out, since they have or had the request
  * @param meanRunMillis the mean time that a request of the service holds its slot
- * @param nowNanos the time
+ * @param nowNanos the current time
  */
 public record PlacementCase(
         AvailabilityZone zone,
@@ -23,7 +23,7 @@
         Set<EndpointKey> tried,
         double meanRunMillis,
         long nowNanos) {
-    /** How many tokens of the prompt an endpoint would have to read; none if there is no prompt. */
+    /** Returns how many tokens of the prompt an endpoint would have to process; 0 without a prompt. */
     int unreadTokens(FleetEndpoint endpoint) {
         return prompt.map(known -> reads.unreadTokens(endpoint.key(), known)).orElse(0);
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PlacementFacts.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PlacementFacts.java
@@ -1,12 +1,12 @@
 package org.gooseberryhill.decision.dispatch;
 
 /**
- * What an endpoint was chosen by, for the log. Immutable.
+ * Holds the figures by which an endpoint was chosen, for the log. Immutable.
  *
- * @param usable how many endpoints of the service could be chosen
- * @param online requests with a waiting caller that were thought to be in flight there, of all hosts
- * @param batch items that were thought to be in flight there, of all hosts
- * @param slots its slots
- * @param waitMillis how long the request was expected to wait there for a slot
+ * @param usable number of usable endpoints of the service
+ * @param online number of online requests known to be in flight at the endpoint, of all hosts
+ * @param batch number of items of request batches known to be in flight at the endpoint, of all hosts
+ * @param slots number of slots of the endpoint
+ * @param waitMillis forecast wait for a slot at the endpoint
  */
 public record PlacementFacts(int usable, int online, int batch, int slots, long waitMillis) {}
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PromptReads.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PromptReads.java
@@ -7,16 +7,20 @@
 import org.gooseberryhill.directory.EndpointKey;
 
 /**
- * Which beginnings of prompts the endpoints have read for this host, and so have probably kept. Not thread-safe; bounded.
+ * Tracks which prompt prefixes the endpoints have processed for this host and so probably hold in their prefix caches.
+ * Not thread-safe; bounded.
  *
- * <p>Failure: requests that share a prompt's beginning go to a new endpoint each time, and each reads it again, while
- * others wait for their turn. What other hosts sent is not known here; with many hosts each keeps to its own endpoints for
- * a beginning, which costs some readings and no message.
+ * <p>Failure mode: requests that share a prompt prefix go to a new endpoint each time, and each endpoint processes the
+ * prefix again while other requests wait. Requests sent by other hosts are not tracked; with many hosts, each host uses
+ * its own endpoints for a prefix, which costs some repeated prefills but no messages.
  *
- * <p>Invariant: a part counts as read only after all parts before it, since an engine can use it only then.
+ * <p>Invariant: a part counts as cached only if all parts before it are, since an engine can reuse it only then.
  */
 final class PromptReads {
-    /** Some hundred beginnings for each of some hundred endpoints; the oldest are those that engines drop as well. */
+    /**
+     * Some hundred prefixes for each of some hundred endpoints. The least recently used are evicted, as engines evict
+     * them too.
+     */
     private static final int MAX_READS = 50_000;
 
     private static final int HASH_FACTOR = 31;
@@ -30,34 +34,34 @@
         }
     };
 
-    /** A request with this prompt was sent to an endpoint. */
+    /** Records that a request with this prompt was sent to an endpoint. */
     void sent(EndpointKey endpoint, Prompt prompt) {
-        long beginning = prompt.model().hashCode();
+        long prefixHash = prompt.model().hashCode();
         for (PromptPart part : prompt.parts()) {
-            beginning = with(beginning, part);
-            reads.put(new Read(endpoint, beginning), Boolean.TRUE);
+            prefixHash = with(prefixHash, part);
+            reads.put(new Read(endpoint, prefixHash), Boolean.TRUE);
         }
     }
 
-    /** How many tokens of a prompt an endpoint would have to read. */
+    /** Returns how many tokens of a prompt an endpoint would have to process because no cached prefix covers them. */
     int unreadTokens(EndpointKey endpoint, Prompt prompt) {
-        int unread = prompt.promptTokens();
-        long beginning = prompt.model().hashCode();
+        int uncached = prompt.promptTokens();
+        long prefixHash = prompt.model().hashCode();
         for (PromptPart part : prompt.parts()) {
-            beginning = with(beginning, part);
-            if (!reads.containsKey(new Read(endpoint, beginning))) {
+            prefixHash = with(prefixHash, part);
+            if (!reads.containsKey(new Read(endpoint, prefixHash))) {
                 break;
             }
-            unread -= part.tokens();
+            uncached -= part.tokens();
         }
-        return Math.max(0, unread);
+        return Math.max(0, uncached);
     }
 
-    private static long with(long beginning, PromptPart part) {
-        return HASH_FACTOR * (HASH_FACTOR * beginning + part.id().hashCode()) + part.tokens();
+    private static long with(long prefixHash, PromptPart part) {
+        return HASH_FACTOR * (HASH_FACTOR * prefixHash + part.id().hashCode()) + part.tokens();
     }
 
-    /** A beginning, by its hash, at an endpoint. */
+    /** A prompt prefix, identified by its hash, at an endpoint. */
     private record Read(EndpointKey endpoint, long beginning) {
         @Override
         public boolean equals(Object other) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RequestProgress.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RequestProgress.java
@@ -3,12 +3,12 @@
 import org.gooseberryhill.contract.Outcome;
 
 /**
- * How far a routed request has come. Immutable.
+ * Tracks the progress of a routed request over its attempts. Immutable.
  *
- * @param outcome what is known of its effect
- * @param runs how many endpoints may have run it
- * @param sends how often it was sent
- * @param answerBegun whether its caller has a part of the answer
+ * @param outcome what is known about its effect
+ * @param runs number of endpoints that may have run it
+ * @param sends number of times it was sent
+ * @param answerBegun whether the caller has received a part of the answer
  */
 record RequestProgress(Outcome outcome, int runs, int sends, boolean answerBegun) {
     RequestProgress withSend() {
@@ -19,7 +19,7 @@
         return new RequestProgress(outcome, runs, sends, true);
     }
 
-    /** The same once the present attempt has ended. */
+    /** Returns the progress after the current attempt has ended. */
     RequestProgress after(AttemptEnd end) {
         return end.mayHaveRun() ? new RequestProgress(Outcome.MAY_HAVE_RUN, runs + 1, sends, answerBegun) : this;
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ReservedSlotPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ReservedSlotPlacement.java
@@ -5,26 +5,27 @@
 import java.util.Random;
 
 /**
- * Items leave one slot of each endpoint free for the next online request, unless they are urgent. Not thread-safe.
+ * Keeps one slot of each endpoint free of items for the next online request; urgent items may use it. Not thread-safe.
  *
- * <p>Load pattern: online requests come in waves of seconds, and several hosts start items at the same moment from reports
- * some milliseconds old. Filling every slot made each arrival of a wave push an item out, which then pushed on elsewhere:
- * 1,287 of 3,774 arrivals at 13 endpoints of 8 slots were such starts, each with a new connection. A free slot takes the
- * first arrival and the double start alike. Of nearly equal endpoints one is drawn, so that hosts spread.
+ * <p>Load pattern: online requests come in bursts of seconds, and several hosts start items at the same moment from
+ * reports that are some milliseconds old. With every slot in use, each arrival of a burst displaced an item, which then
+ * started elsewhere: 1,287 of 3,774 arrivals at 13 endpoints of 8 slots were such starts, each with a new connection. A
+ * free slot absorbs the first arrival as well as a simultaneous start by two hosts. The choice among nearly equal
+ * endpoints is random, so that hosts spread their items.
  */
 public final class ReservedSlotPlacement implements ItemPlacement {
-    /** One slot: more would idle an eighth of the fleet and gain little, as items yield within a round trip. */
+    /** One slot: more would leave an eighth of the fleet idle for little gain, as items yield within a round trip. */
     private static final int RESERVED_SLOTS = 1;
 
-    /** How many free slots a draw may outweigh. */
+    /** Upper bound of the random part of the score, in free slots. */
     private static final double SPREAD_SLOTS = 2;
 
-    /** What a connection that is there already weighs in free slots: less than any real difference in load. */
+    /** Score of an existing connection, in free slots: less than any real difference in load. */
     private static final double CONNECTED_SLOTS = 1;
 
     private final Random random;
 
-    /** A placement that draws from a seeded source. */
+    /** Creates a placement that uses a seeded random source. */
     public ReservedSlotPlacement(Random random) {
         this.random = random;
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoundRobinPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoundRobinPlacement.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The baseline: each usable endpoint in turn. Not thread-safe. */
+/** Baseline placement that takes the usable endpoints in turn. Not thread-safe. */
 public final class RoundRobinPlacement implements PlacementPolicy {
     private int next;
 
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoutedIntake.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoutedIntake.java
@@ -7,16 +7,16 @@
 import org.gooseberryhill.route.Route;
 
 /**
- * What is known of a routed request when it arrives. Immutable.
+ * The data of a routed request that is known when it arrives. Immutable.
  *
- * @param id names the request
+ * @param id identifies the request
  * @param route its route
- * @param service the service among the route's targets that it was drawn for
- * @param prompt present for a request for tokens
- * @param lazyFingerprint equal for equal requests; worked out only when some request has crashed endpoints, as it takes
- *     a digest of the whole body
+ * @param service the service that was selected for it among the targets of the route
+ * @param prompt the prompt; present for a token generation request
+ * @param lazyFingerprint equal for equal requests; computed only once some request has crashed endpoints, as it takes a
+ *     digest of the whole body
  * @param arrivedNanos when it arrived
- * @param deadlineNanos when its caller stops waiting, or the route's timeout is over
+ * @param deadlineNanos when the caller stops waiting or the timeout of the route ends
  */
 public record RoutedIntake(
         String id,
@@ -26,7 +26,7 @@
         Lazy<Fingerprint> lazyFingerprint,
         long arrivedNanos,
         long deadlineNanos) {
-    /** Equal for equal requests. */
+    /** Returns the fingerprint, which is equal for equal requests; computed on first use. */
     public Fingerprint fingerprint() {
         return lazyFingerprint.get();
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
@@ -10,9 +10,9 @@
 import org.gooseberryhill.directory.EndpointKey;
 
 /**
- * A routed request in progress. Not thread-safe; changed by {@link DispatchCore} only, but for the answer's progress.
+ * A routed request in progress. Not thread-safe; modified by {@link DispatchCore} only, except by {@link #answerBegun}.
  *
- * <p>Invariant: once an attempt may have run, the request may have run, whatever later attempts say.
+ * <p>Invariant: once an attempt may have run, the request may have run, whatever the results of later attempts.
  */
 public final class RoutedRequest {
     private final RoutedIntake intake;
@@ -28,42 +28,42 @@
         this.intake = intake;
     }
 
-    /** What was known when it arrived. */
+    /** Returns the data that was known when the request arrived. */
     public RoutedIntake intake() {
         return intake;
     }
 
-    /** The endpoint that has it now. */
+    /** Returns the endpoint that has the request now; empty between attempts. */
     public Optional<EndpointKey> endpoint() {
         return endpoint;
     }
 
-    /** What is known of its effect so far. */
+    /** Returns what is known about the effect of the request so far. */
     public Outcome outcome() {
         return progress.outcome();
     }
 
-    /** How many endpoints may have run it. */
+    /** Returns the number of endpoints that may have run the request. */
     public int runs() {
         return progress.runs();
     }
 
-    /** How often it was sent. */
+    /** Returns the number of times that the request was sent. */
     public int sends() {
         return progress.sends();
     }
 
-    /** The attempts that have ended, in their order. */
+    /** Returns the finished attempts in order. */
     public List<PastAttempt> pastAttempts() {
         return List.copyOf(pastAttempts);
     }
 
-    /** The caller has a part of the answer. */
+    /** Records that the caller has received a part of the answer. */
     public void answerBegun() {
         progress = progress.withAnswerBegun();
     }
 
-    /** How far it has come; an attempt in progress is a send, and no run yet. */
+    /** Returns the progress; an attempt in progress counts as a send, but not yet as a run. */
     RequestProgress progress() {
         return progress;
     }
@@ -72,7 +72,7 @@
         return tried;
     }
 
-    /** Whether an endpoint may take it by and by where none can now. */
+    /** Returns whether the request may wait for an endpoint when none can take it now. */
     boolean mayBeTakenLater() {
         return leftSilentEndpoint || (progress.answerBegun() && !turnedAway.isEmpty());
     }
@@ -81,7 +81,7 @@
         return TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos);
     }
 
-    /** How long the present attempt has lasted. */
+    /** Returns the duration of the current attempt so far, in nanoseconds. */
     public long runNanos(long nowNanos) {
         return nowNanos - sentNanos;
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ServicePace.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ServicePace.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The mean time that a service's online requests hold their slots, newer ones weighing more. Not thread-safe. */
+/** Tracks the moving mean of the time that a service's online requests hold their slots. Not thread-safe. */
 final class ServicePace {
-    /** Until some requests have run: between a plain call and a generated answer. */
+    /** Initial value until requests have run: between the run times of a plain call and of a generated answer. */
     private static final double INITIAL_RUN_MILLIS = 200;
 
-    /** About the last thirty requests count: enough to smooth single answers, few enough to follow a slow-down. */
+    /** About the last thirty requests count: enough to smooth out single answers, few enough to follow a slowdown. */
     private static final double NEWEST_WEIGHT = 1.0 / 32;
 
     private final MovingMean runMillis = new MovingMean(INITIAL_RUN_MILLIS, NEWEST_WEIGHT);
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ServiceState.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ServiceState.java
@@ -1,13 +1,13 @@
 package org.gooseberryhill.decision.dispatch;
 
 /**
- * What a host knows of a service's endpoints at one moment, for the log. Immutable.
+ * A snapshot of what a host knows about the endpoints of a service, for the log. Immutable.
  *
- * @param endpoints how many are registered
- * @param usable how many of them may get new requests
- * @param slots the slots of the usable ones
- * @param online requests with a waiting caller at these, of all hosts
- * @param batch items of request batches at these, of all hosts
- * @param reportAgeMillis how old the oldest report is that this rests on; 0 without other hosts
+ * @param endpoints number of registered endpoints
+ * @param usable number of endpoints that may get new requests
+ * @param slots total slots of the usable endpoints
+ * @param online online requests in flight at the usable endpoints, of all hosts
+ * @param batch items of request batches in flight at the usable endpoints, of all hosts
+ * @param reportAgeMillis age of the oldest report that the counts include; 0 without reports of other hosts
  */
 public record ServiceState(int endpoints, int usable, int slots, int online, int batch, long reportAgeMillis) {}
--- a/src/main/java/org/gooseberryhill/decision/dispatch/SpreadReturn.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/SpreadReturn.java
@@ -4,28 +4,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Gives each caller a time of its own to come back, one after the other, no faster than some of the slots become free. Not
- * thread-safe.
+ * Gives each refused caller its own retry time, one after the other, no faster than a share of the slots becomes free.
+ * Not thread-safe.
  *
- * <p>Load pattern: a wave of some seconds brings more than the slots can do, and a trough follows. Callers that are told
- * the wait of the moment come back together while the wave still lasts, and most are turned away again: 102 of 1,000 in a
- * replay of long bursts, against 18 with times of their own. The longer the wave, the more callers have a time before
- * them, and the further it lies: into the trough.
+ * <p>Load pattern: a burst of some seconds exceeds the capacity of the slots and is followed by a period of low load.
+ * Callers that are all told the current wait retry together during the burst, and most are refused again: 102 of 1,000
+ * in a replay of long bursts, against 18 with separate retry times. The longer the burst, the more callers hold earlier
+ * retry times and the later is the next one, which moves it past the end of the burst.
  */
 public final class SpreadReturn implements ReturnPolicy {
-    /** The share of the slots that returning callers get while a wave lasts; new requests take the others. */
+    /** Share of the slots that retries get during a burst; new requests use the rest. */
     private static final double SHARE_OF_SLOTS = 0.1;
 
-    /** Callers of the users' interface wait no longer than a third of the time that they have left. */
+    /** Callers of the users' interface wait at most a third of their remaining time before a retry. */
     private static final double MAX_SHARE_OF_LEFT = 1.0 / 3;
 
-    /** Times that would lie beyond that are drawn from this last share of it, so that they do not all meet. */
+    /** Retry times beyond that limit are drawn at random from its last share, so that they do not coincide. */
     private static final double DRAWN_SHARE = 0.25;
 
     private final Random random;
     private long nextNanos = Long.MIN_VALUE;
 
-    /** A policy that draws from a seeded source. */
+    /** Creates a policy that uses a seeded random source. */
     public SpreadReturn(Random random) {
         this.random = random;
     }
@@ -34,8 +34,8 @@
     public long retryAfterMillis(OverloadCase overload) {
         long soonestNanos =
                 overload.nowNanos() + TimeUnit.MILLISECONDS.toNanos((long) Math.ceil(overload.waitMillis()));
-        boolean othersAreBefore = nextNanos != Long.MIN_VALUE && nextNanos - soonestNanos > 0;
-        long turnNanos = othersAreBefore ? nextNanos : soonestNanos;
+        boolean hasEarlierTurns = nextNanos != Long.MIN_VALUE && nextNanos - soonestNanos > 0;
+        long turnNanos = hasEarlierTurns ? nextNanos : soonestNanos;
         long millis = TimeUnit.NANOSECONDS.toMillis(turnNanos - overload.nowNanos());
         long latestMillis = (long) (overload.leftMillis() * MAX_SHARE_OF_LEFT);
         if (millis > latestMillis) {
@@ -46,8 +46,8 @@
     }
 
     private static long gapNanos(OverloadCase overload) {
-        double slotsForReturns = Math.max(1, overload.slots()) * SHARE_OF_SLOTS / overload.hosts();
-        double gapMillis = overload.meanRunMillis() / slotsForReturns;
+        double slotsForRetries = Math.max(1, overload.slots()) * SHARE_OF_SLOTS / overload.hosts();
+        double gapMillis = overload.meanRunMillis() / slotsForRetries;
         return (long) (gapMillis * TimeUnit.MILLISECONDS.toNanos(1));
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicy.java
@@ -5,23 +5,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets requests wait for a good part of their target latency while queues come and go, and for a short part of it while one
- * stands. Not thread-safe.
+ * Lets requests wait for most of their target latency in a transient queue, and for a small part of it in a standing
+ * queue. Not thread-safe.
  *
- * <p>Load patterns: chance brings some requests more than there are slots for a moment; a queue takes them up, all are on
- * time, and it is gone again. A wave brings more for seconds; a queue only makes all of them late by its length, and those
- * that are turned away at once can be on time in the trough. The two differ by whether a slot has been free lately, as in
- * controlled-delay queue management (RFC 8289). In a replay of bursts of 1.3 times the load 0.972 of the streams are on
- * time, of 1.6 and 2.2 times 0.831; with the long bound alone 0.985 and 0.811, with the short one 0.962 and 0.841.
+ * <p>Load patterns: a random peak exceeds the slots by a few requests for a moment; a queue absorbs them, all are on
+ * time, and the queue drains. A burst exceeds the slots for seconds; a queue only makes all requests late by its
+ * length, while those refused at once can be on time after the burst. The two are told apart by whether a slot has been
+ * free recently, as in controlled delay queue management (RFC 8289). In a replay 0.972 of the streams are on time for
+ * bursts of 1.3 times the load, and 0.831 for bursts of 1.6 and 2.2 times; with the long bound alone 0.985 and 0.811,
+ * with the short bound alone 0.962 and 0.841.
  */
 public final class StandingQueuePolicy implements OverloadPolicy {
-    /** What is left of the target pays for the way, the reading of the prompt, the first event and a wrong forecast. */
+    /** The rest of the target covers the network, the prefill, the first event and errors of the forecast. */
     private static final double PASSING_SHARE_OF_TARGET = 0.7;
 
-    /** Less than one request before it at an endpoint of the sites in use. */
+    /** Less than the wait behind one other request at an endpoint of the sites in use. */
     private static final double STANDING_SHARE_OF_TARGET = 0.3;
 
-    /** A queue that has stood for this share of the target has made somebody wait for most of it. */
+    /** A queue that has lasted for this share of the target has made some request wait for most of the target. */
     private static final double STANDS_AFTER_SHARE_OF_TARGET = 2.0 / 3;
 
     private final Map<String, Long> freeNanosByService = new HashMap<>();
@@ -40,7 +41,7 @@
         if (freeNanos == null) {
             return false;
         }
-        double passingMillis = STANDS_AFTER_SHARE_OF_TARGET * overload.targetLatencyMillis();
-        return overload.nowNanos() - freeNanos > passingMillis * TimeUnit.MILLISECONDS.toNanos(1);
+        double maxTransientMillis = STANDS_AFTER_SHARE_OF_TARGET * overload.targetLatencyMillis();
+        return overload.nowNanos() - freeNanos > maxTransientMillis * TimeUnit.MILLISECONDS.toNanos(1);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/WaitForecast.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/WaitForecast.java
@@ -1,10 +1,10 @@
 package org.gooseberryhill.decision.dispatch;
 
-/** How long a request would wait for a slot of an endpoint. Stateless. */
+/** Forecasts how long a request would wait for a slot of an endpoint. Stateless. */
 final class WaitForecast {
     private WaitForecast() {}
 
-    /** The forecast in milliseconds; batch items don't count, since they yield. */
+    /** Returns the forecast in milliseconds. Batch items are not counted, since they yield to online requests. */
     static double waitMillis(FleetEndpoint endpoint, double meanRunMillis) {
         int slots = endpoint.entry().slots();
         int before = endpoint.online() - slots + 1;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/YieldTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/YieldTiming.java
@@ -6,25 +6,28 @@
 import org.gooseberryhill.directory.EndpointKey;
 
 /**
- * When items give back what an endpoint has too much. Not thread-safe.
+ * Delays the yielding of batch items at an overcommitted endpoint by a grace period. Not thread-safe.
  *
- * <p>Failure: reports of two hosts cross, an endpoint seems too full for some milliseconds, and items break off and start
- * again elsewhere for nothing. A request that waits this long at an endpoint is far from its target, while most such
- * moments have passed.
+ * <p>Failure mode: reports of two hosts cross, an endpoint seems overcommitted for some milliseconds, and items are
+ * stopped and restarted elsewhere needlessly. Most such states end within the grace period, and a request that waits
+ * this long at an endpoint is still far from its target latency.
  */
 public final class YieldTiming {
-    /** Some trips between zones, and a tenth of the shortest target latency to the first event in use. */
+    /** Several trips between zones, and a tenth of the shortest target latency to the first event in use. */
     private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
 
     private final Map<EndpointKey, Long> fullSinceNanos = new HashMap<>();
 
-    /** How many of its items a host gives back now, if this many are too many. */
-    public int due(EndpointKey endpoint, int tooMany, long nowNanos) {
-        if (tooMany <= 0) {
+    /**
+     * Returns how many of its items a host has to stop at an endpoint now: the whole excess once it has lasted for the
+     * grace period, else 0.
+     */
+    public int due(EndpointKey endpoint, int excess, long nowNanos) {
+        if (excess <= 0) {
             fullSinceNanos.remove(endpoint);
             return 0;
         }
         long since = fullSinceNanos.computeIfAbsent(endpoint, key -> nowNanos);
-        return nowNanos - since >= GRACE_NANOS ? tooMany : 0;
+        return nowNanos - since >= GRACE_NANOS ? excess : 0;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** Where routed requests run: what is known of each registered endpoint, placement, admission, another attempt. */
+/** Dispatch of routed requests: endpoint state, placement, admission and further attempts after a failure. */
 package org.gooseberryhill.decision.dispatch;
--- a/src/main/java/org/gooseberryhill/decision/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The decision core: what the system decides, without sockets, files, threads, wall clock or randomness of its own.
+ * The decision core: decision logic without sockets, files, threads, a wall clock or its own source of randomness.
  *
- * <p>Time comes in as {@code nowNanos}, random numbers from a seeded source that is passed in; commands come out.
- * Nothing here is thread-safe unless it says so: a process runs it on its control thread, a test in virtual time.
+ * <p>Callers pass in the time as {@code nowNanos} and a seeded random source; the classes return commands. Nothing here
+ * is thread-safe unless documented otherwise: a process runs it on its control thread, tests run it in virtual time.
  */
 package org.gooseberryhill.decision;
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
@@ -35,7 +35,7 @@
         assertThat(used).hasSize(4);
     }
 
-    /** Making a connection takes a trip and back: of endpoints that are alike otherwise one with a connection is taken. */
+    /** Connection setup takes a round trip: of otherwise equal endpoints the one with an idle connection is chosen. */
     @Test
     void anEndpointWithAKeptConnectionIsTakenBeforeOthersThatAreNoBetter() {
         fixture.connected.add(DispatchFixture.address("e2"));
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Requests of one course share the beginning of their prompts. While endpoints are idle they go where it was read; in a
-     * burst they spread, since waiting for a slot takes longer than reading the beginning again.
+     * Requests share a prompt prefix. While endpoints are idle they go to the one that has processed the prefix; in a
+     * burst they spread, since waiting for a slot takes longer than processing the prefix again.
      */
     @Test
     void requestsThatShareABeginningGoWhereItWasReadUnlessTheyWouldWait() {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * A booking is sent, the endpoint breaks off: it may have run. Its caller gets that told at once, and no other endpoint
-     * gets it, however many attempts the route allows.
+     * The connection is cut after a request that may not be repeated was sent, so it may have run. Its caller is told
+     * so at once, and no other endpoint gets the request, however many attempts the route allows.
      */
     @Test
     void aRequestThatMayNotBeRepeatedIsNotSentAgainOnceItMayHaveRun() {
@@ -80,7 +80,7 @@
         assertThat(request.sends()).isEqualTo(1);
     }
 
-    /** A stream that can't be resumed counts as one that may not be repeated, even before its first event. */
+    /** A stream that cannot be resumed counts as a request that may not be repeated, even before its first event. */
     @Test
     void aStreamThatCannotBeResumedIsNotSentAgainOnceItMayHaveRun() {
         RoutedRequest request = fixture.arrive(ONCE_STREAM);
@@ -102,8 +102,8 @@
     }
 
     /**
-     * A stream breaks off in the middle while the other endpoints are full for a moment. Its caller has a part of the answer
-     * and can't come back for the rest: the system asks again until one of them has a slot.
+     * A stream is cut in the middle while the other endpoints are briefly full. Its caller has a part of the answer and
+     * cannot request the rest: the host tries the other endpoints again until one of them has a slot.
      */
     @Test
     void theRestOfAStreamWaitsForASlotWhereAllAreFull() {
@@ -123,7 +123,7 @@
         assertThat(sent(decision)).isNotEqualTo(broken);
     }
 
-    /** A host was busy with its own start for longer than a request may take: it is told why, and not that slots are missing. */
+    /** The deadline passed while the host was busy with its start: the refusal says so and does not report overload. */
     @Test
     void aRequestWhoseTimeIsOverWhenItIsLookedAtIsNotSent() {
         RoutedRequest request = fixture.arrive(SAFE);
@@ -136,7 +136,7 @@
         assertThat(request.sends()).isZero();
     }
 
-    /** Nobody has a part of the answer yet: the caller is told at once, and comes back. */
+    /** The caller has no part of the answer yet: it is refused at once and can retry. */
     @Test
     void aRequestThatAllEndpointsTurnAwayIsRefusedAtOnce() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
@@ -188,7 +188,7 @@
         assertThat(refusal(fixture.failed(request, AttemptEnd.CUT)).code()).isEqualTo(ErrorCode.DEADLINE_EXCEEDED);
     }
 
-    /** The endpoints are full of online requests for seconds: a newcomer is told at once when to come back. */
+    /** The endpoints are full of online requests for seconds: a new request is refused at once with a retry time. */
     @Test
     void aRequestThatWouldWaitFarBeyondItsTargetIsTurnedAwayAtOnceWithATime() {
         fixture.reported(Map.of(
@@ -204,7 +204,7 @@
         assertThat(refusal.retryAfterMillis().orElseThrow()).isPositive();
     }
 
-    /** Whoever is asked why a request was refused needs what was known at that moment, and how old it was. */
+    /** To explain a refusal, operators need the load that was known at that moment and the age of the reports. */
     @Test
     void aRefusalForLoadTellsWhatDecidedIt() {
         fixture.reported(
@@ -244,7 +244,7 @@
         assertThat(used).containsOnly(DispatchFixture.key("e1"));
     }
 
-    /** An endpoint crashed and restarted under its id: what was known of its failures holds no more. */
+    /** An endpoint that crashed and restarted under the same id does not inherit its recorded failures. */
     @Test
     void anotherStartOfAnEndpointIsAnotherEndpoint() {
         fixture.fleet.directory(List.of(DispatchFixture.entry("e0", 1, false), DispatchFixture.entry("e1", 1, false)));
@@ -257,7 +257,7 @@
         assertThat(restarted.isUsable(fixture.nowNanos)).isTrue();
     }
 
-    /** This host is cut off from all endpoints: half of them stay in use, or nothing would be tried when the cut heals. */
+    /** This host is cut off from all endpoints: half stay in use, or none would be tried once the network recovers. */
     @Test
     void failuresNeverLeaveOutMoreThanHalfOfAService() {
         for (String id : List.of("e0", "e1", "e2", "e3")) {
@@ -270,8 +270,8 @@
     }
 
     /**
-     * A registration lapses while the store is away and comes back while a request still runs: its end must not make the
-     * endpoint seem to have less than nothing in flight.
+     * A registration lapses while the store is unavailable and returns while a request still runs: the end of the
+     * request must not make the in-flight count negative.
      */
     @Test
     void aRegistrationThatComesBackKeepsWhatIsInFlight() {
@@ -311,7 +311,7 @@
         return ((DispatchDecision.Refuse) decision).refusal();
     }
 
-    /** Guards against an answer that ends since its endpoint was silent, though no other one may go on with it. */
+    /** Guards against an answer that is cut because its endpoint is silent, though no other one can continue it. */
     @Test
     void silenceSendsAStreamElsewhereOnlyWhereThereIsSomewhereToGo() {
         Route resumable = DispatchFixture.route(RouteKind.STREAM, true, 2);
@@ -338,7 +338,10 @@
                 .isFalse();
     }
 
-    /** Guards against a stream that leaves its silent endpoint and is refused then, since equal requests crashed others. */
+    /**
+     * Guards against a stream that is moved from its silent endpoint and then refused, since equal requests crashed
+     * other endpoints.
+     */
     @Test
     void aStreamInQuarantineStaysWithItsSilentEndpoint() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
@@ -350,7 +353,7 @@
         assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isFalse();
     }
 
-    /** Guards against an answer that leaves its silent endpoint though no other one can go on in its middle. */
+    /** Guards against an answer that is moved from its silent endpoint though no other one can continue it midway. */
     @Test
     void anAnswerThatCannotBeResumedStaysWithItsSilentEndpointOnceItHasBegun() {
         RoutedRequest request = fixture.arrive(SAFE);
@@ -362,7 +365,7 @@
         assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isFalse();
     }
 
-    /** Guards against a request that is sent twice at one time: as a silent one while it waits to be sent again. */
+    /** Guards against a request that is sent twice at once: failed over as silent while it waits to be sent again. */
     @Test
     void aRequestThatWaitsForAnEndpointHasNoneThatIsSilent() {
         DispatchFixture pair = new DispatchFixture(2);
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchFixture.java
@@ -22,7 +22,7 @@
 import org.gooseberryhill.route.RouteTarget;
 import org.gooseberryhill.zone.AvailabilityZone;
 
-/** One host's dispatch over endpoints of one service, in virtual time. */
+/** Runs the dispatch core of one host over the endpoints of one service in virtual time. */
 final class DispatchFixture {
     static final String SERVICE = "s";
     static final AvailabilityZone ZONE = new AvailabilityZone("a");
@@ -90,7 +90,7 @@
                 nowNanos + TimeUnit.MILLISECONDS.toNanos(5000)));
     }
 
-    /** Another host reports what it has in flight. */
+    /** Applies a report of another host on its requests in flight. */
     void reported(Map<EndpointKey, InFlight> inFlight) {
         fleet.reported(new HostId("other"), inFlight, nowNanos);
     }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
@@ -24,7 +24,10 @@
             AttemptEnd.MALFORMED,
             AttemptEnd.ERROR_ANSWER);
 
-    /** Whatever fails, in whatever order: the promises about repeating and about not-run hold, and counts come back to 0. */
+    /**
+     * For any sequence of failures the rules on repetition hold, the reported outcome is right, and the in-flight
+     * counts return to 0.
+     */
     @Property
     void noSequenceOfFailuresBreaksAPromise(
             @ForAll Random random,
@@ -50,15 +53,15 @@
             runs += end.mayHaveRun() ? 1 : 0;
             decision = fixture.failed(request, end);
         }
-        Outcome told = ((DispatchDecision.Refuse) decision).refusal().outcome();
-        assertThat(told == Outcome.NOT_RUN).isEqualTo(!mayHaveRun);
+        Outcome reported = ((DispatchDecision.Refuse) decision).refusal().outcome();
+        assertThat(reported == Outcome.NOT_RUN).isEqualTo(!mayHaveRun);
         assertThat(runs).isLessThanOrEqualTo(max);
         assertThat(fixture.fleet.own()).isEmpty();
     }
 
     /**
-     * Guards against an answer that ends since its endpoint is silent: a silent request is sent elsewhere exactly where that
-     * was said to be possible, whatever has happened to it, to its endpoints and to equal requests.
+     * Guards against an answer that is cut because its endpoint is silent: after a silent attempt a request is sent to
+     * another endpoint exactly if that was predicted, whatever happened to it, its endpoints and equal requests before.
      */
     @Property
     void aSilentRequestIsSentElsewhereExactlyWhereItMayGoThere(
@@ -72,9 +75,9 @@
         DispatchDecision decision = fixture.first(request);
         while (!(decision instanceof DispatchDecision.Refuse)) {
             disturb(fixture, request, random);
-            boolean mayGo = fixture.core.mayGoElsewhere(request, fixture.nowNanos);
+            boolean predicted = fixture.core.mayGoElsewhere(request, fixture.nowNanos);
             if (decision instanceof DispatchDecision.Wait wait) {
-                assertThat(mayGo).as("no endpoint has it").isFalse();
+                assertThat(predicted).as("no endpoint has it").isFalse();
                 fixture.pass(wait.millis());
                 decision = fixture.core.again(request, fixture.nowNanos);
                 continue;
@@ -84,12 +87,12 @@
             if (end == AttemptEnd.SILENT) {
                 assertThat(decision instanceof DispatchDecision.Send)
                         .as("sent elsewhere")
-                        .isEqualTo(mayGo);
+                        .isEqualTo(predicted);
             }
         }
     }
 
-    /** What may happen while an endpoint has a request: time passes, events come, others crash, leave or refuse. */
+    /** Simulates a random event while a request runs: the answer starts, or other endpoints crash, leave or refuse. */
     private static void disturb(DispatchFixture fixture, RoutedRequest request, Random random) {
         fixture.pass(random.nextInt(MAX_PAUSE_MILLIS));
         String other = "e" + random.nextInt(MAX_ENDPOINTS);
@@ -106,7 +109,7 @@
                         .mapToObj(number -> DispatchFixture.entry("e" + number, 1, random.nextInt(3) == 0))
                         .toList());
             default -> {
-                // Nothing but the time.
+                // Only time passes.
             }
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
@@ -14,18 +14,18 @@
     private final DispatchFixture fixture = new DispatchFixture(4);
 
     /**
-     * An endpoint falls silent: no connection to it can be made. One request finds it out, and loses the time that a
-     * connection may take. After each pause the host tries a connection by itself, so that no other caller waits for it.
+     * An endpoint becomes unreachable. One request detects it and loses the time of a connection attempt. After each
+     * ejection the host probes the endpoint with a connection of its own, so that no other caller has to wait for it.
      */
     @Test
     void anEndpointThatCanNotBeReachedCostsOneRequestItsTime() {
-        int foundOut = 0;
+        int affected = 0;
         int probes = 0;
         for (int step = 0; step < 400; step++) {
             RoutedRequest request = fixture.arrive(SAFE);
             DispatchDecision decision = fixture.first(request);
             if (endpoint(decision).equals("e0")) {
-                foundOut++;
+                affected++;
                 decision = fixture.failed(request, AttemptEnd.UNREACHABLE);
             }
             fixture.core.attemptSucceeded(request, fixture.nowNanos);
@@ -35,7 +35,7 @@
             }
             fixture.pass(25);
         }
-        assertThat(foundOut).isEqualTo(1);
+        assertThat(affected).isEqualTo(1);
         assertThat(probes).isBetween(3, 5);
     }
 
@@ -52,7 +52,7 @@
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isTrue();
     }
 
-    /** Another endpoint has the address: a connection to it would be made, and show nothing. */
+    /** Another endpoint has the address: a probe would connect to it and prove nothing. */
     @Test
     void anEndpointWhoseAddressIsAnothersIsLeftOutForATimeAndNotTried() {
         RoutedRequest request = request("e0");
@@ -64,7 +64,7 @@
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isTrue();
     }
 
-    /** This host is cut off from all endpoints: it goes on trying half of them with requests, as it can't know better. */
+    /** This host is cut off from all endpoints: it keeps sending requests to half, as it cannot tell the cause. */
     @Test
     void noMoreThanHalfOfTheEndpointsAreLeftOut() {
         for (int i = 0; i < 8; i++) {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/FleetYieldTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/FleetYieldTest.java
@@ -16,7 +16,7 @@
 class FleetYieldTest {
     private static final EndpointKey KEY = DispatchFixture.key("e0");
 
-    /** Three hosts have items at an endpoint that gets online requests: together they give back just what is too much. */
+    /** Three hosts have items at an overcommitted endpoint: together they stop exactly as many as exceed its slots. */
     @Property
     void hostsWithTheSameReportsGiveBackTogetherWhatIsTooMuch(@ForAll Random random) {
         List<HostId> hosts = List.of(new HostId("a"), new HostId("b"), new HostId("c"));
@@ -25,13 +25,13 @@
         int online = inFlight.values().stream().mapToInt(InFlight::online).sum();
         int batch = inFlight.values().stream().mapToInt(InFlight::batch).sum();
 
-        int given = hosts.stream().mapToInt(host -> share(host, inFlight)).sum();
+        int yielded = hosts.stream().mapToInt(host -> share(host, inFlight)).sum();
 
-        int tooMany = Math.max(0, online + batch - DispatchFixture.SLOTS);
-        assertThat(given).isEqualTo(Math.min(tooMany, batch));
+        int excess = Math.max(0, online + batch - DispatchFixture.SLOTS);
+        assertThat(yielded).isEqualTo(Math.min(excess, batch));
     }
 
-    /** The reports of two hosts cross: what seems too much for some milliseconds pushes nothing out. */
+    /** Crossing reports of two hosts make an endpoint seem overcommitted for some milliseconds: no item yields. */
     @Test
     void aMomentOfTooMuchPushesNothingOut() {
         YieldTiming timing = new YieldTiming();
@@ -43,7 +43,7 @@
         assertThat(timing.due(KEY, 2, 51_000_000)).isEqualTo(2);
     }
 
-    /** A wave lasts: the pauses double, so that few items start in vain; after it they begin anew. */
+    /** Pauses double during a burst, so that few items start only to yield again, and are reset after it. */
     @Test
     void anEndpointPausesLongerTheLongerAWaveLasts() {
         ItemPause pause = new ItemPause();
--- a/src/test/java/org/gooseberryhill/decision/dispatch/LeftEndpointTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/LeftEndpointTest.java
@@ -8,11 +8,11 @@
 import org.gooseberryhill.route.RouteKind;
 import org.junit.jupiter.api.Test;
 
-/** A request that has left an endpoint which was only silent. */
+/** Tests requests that were moved away from a merely silent endpoint. */
 class LeftEndpointTest {
     private static final Route RESUMABLE = DispatchFixture.route(RouteKind.STREAM, true, 2);
 
-    /** Guards against an answer that ends since no endpoint is free any more when its silent one has been left. */
+    /** Guards against an answer that is cut because no other endpoint is free once its silent endpoint was given up. */
     @Test
     void aStreamThatHasLeftItsSilentEndpointWaitsWhereNoOtherIsFreeAnyMore() {
         for (boolean begun : List.of(true, false)) {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/PromptReadsTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/PromptReadsTest.java
@@ -28,7 +28,7 @@
         assertThat(reads.unreadTokens(OTHER, prompt("system", "course", "r2"))).isEqualTo(450);
     }
 
-    /** A part helps only after the parts that it was read after. */
+    /** A cached part can be reused only after the same preceding parts. */
     @Test
     void aPartAfterAnotherBeginningIsReadAgain() {
         reads.sent(ONE, prompt("system", "course", "r1"));
@@ -36,7 +36,7 @@
         assertThat(reads.unreadTokens(ONE, prompt("elsewhere", "course", "r1"))).isEqualTo(450);
     }
 
-    /** An endpoint that starts again under its name has kept nothing. */
+    /** An endpoint that restarts under the same id has an empty cache. */
     @Test
     void anEndpointThatStartedAgainHasToReadAll() {
         reads.sent(ONE, prompt("system", "course", "r1"));
--- a/src/test/java/org/gooseberryhill/decision/dispatch/SpreadReturnTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/SpreadReturnTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** When callers that were turned away are told to come back. */
+/** Tests the retry times given to callers whose requests were refused. */
 class SpreadReturnTest {
     private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
@@ -23,11 +23,11 @@
         long first = returns.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
         long second = returns.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
 
-        // 8 hosts share a tenth of 100 slots, each of which is free each 800 ms.
+        // 8 hosts share a tenth of 100 slots, each of which becomes free every 800 ms.
         assertThat(second - first).isEqualTo(640);
     }
 
-    /** A wave of hundreds: nobody is told to wait for longer than it will, and those told the latest time do not all meet. */
+    /** In a burst no caller is told a longer wait than it accepts, and the latest retry times are spread. */
     @Test
     void nobodyIsToldMoreThanItWaitsAndTheLatestAreSpread() {
         long[] millis = new long[100];
--- a/src/test/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicyTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicyTest.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** For how long requests may wait, by whether the queue passes or stands. */
+/** Tests how long requests may wait in transient and standing queues. */
 class StandingQueuePolicyTest {
     private static final long TARGET_MILLIS = 300;
 
@@ -51,7 +51,7 @@
         assertThat(turnsAway("s", 200, 1000)).isTrue();
     }
 
-    /** A host that has just started and finds all slots taken does not know for how long they have been. */
+    /** A host that has just started and finds all slots in use does not know how long they have been so. */
     @Test
     void beforeAnythingIsKnownRequestsMayWait() {
         assertThat(turnsAway("s", 200, 0)).isFalse();
