--- a/src/main/java/org/gooseberryhill/decision/dispatch/ConnectionView.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ConnectionView.java
@@ -9,5 +9,5 @@
     ConnectionView NONE = address -> false;
 
     /** Returns whether an idle connection to an address is kept. */
-    boolean isKept(Address address);
+    boolean hasIdleConnection(Address address);
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
@@ -34,13 +34,13 @@
      * The limit for a request whose caller has received a part of the answer: items yield within some tens of
      * milliseconds, and completing an answer is worth more sends than a new request, whose caller can retry.
      */
-    private static final int MAX_SENDS_BEGUN = 20;
+    private static final int MAX_SENDS_AFTER_ANSWER_START = 20;
 
     /** Delay before a full service is tried again for the rest of an answer: about the time an item takes to yield. */
-    private static final long FULL_AGAIN_MILLIS = 50;
+    private static final long FULL_SERVICE_WAIT_MILLIS = 50;
 
     /** Shortest time in which an endpoint can answer: a round trip and the shortest run. */
-    private static final long MIN_LEFT_MILLIS = 20;
+    private static final long MIN_REMAINING_MILLIS = 20;
 
     /** Retry-after of a full service: about the time until the next slot of an endpoint is free. */
     private static final long BUSY_RETRY_AFTER_MILLIS = 200;
@@ -49,8 +49,8 @@
     private final DispatchPolicies policies;
     private final Fleet fleet;
     private final CrashSuspects suspects;
-    private final Map<String, ServicePace> paces = new HashMap<>();
-    private final PromptReads reads = new PromptReads();
+    private final Map<String, ServiceRunTime> runTimes = new HashMap<>();
+    private final PromptPrefixTracker prefixes = new PromptPrefixTracker();
 
     /** Creates a core for the endpoints that its host knows. */
     public DispatchCore(AvailabilityZone zone, DispatchPolicies policies, Fleet fleet, CrashSuspects suspects) {
@@ -74,7 +74,7 @@
         if (quarantined.isPresent()) {
             return new DispatchDecision.Refuse(quarantined.get());
         }
-        if (request.leftMillis(nowNanos) < MIN_LEFT_MILLIS) {
+        if (request.remainingMillis(nowNanos) < MIN_REMAINING_MILLIS) {
             return new DispatchDecision.Refuse(refusal(
                     request, ErrorCode.DEADLINE_EXCEEDED, "the request's time was over before it could be sent"));
         }
@@ -88,7 +88,7 @@
             Refusal refusal = Refusal.notRun(
                     ErrorCode.OVERLOADED,
                     "no slot is likely to be free in time",
-                    policies.returns().retryAfterMillis(overload));
+                    policies.retryAfter().retryAfterMillis(overload));
             return new DispatchDecision.Refuse(refusal, Optional.of(OverloadFacts.of(overload, longestWaitMillis)));
         }
         return send(request, best.get(), nowNanos);
@@ -97,11 +97,11 @@
     /** Decides what follows an attempt that ended without the whole answer: another endpoint, a wait or a refusal. */
     public DispatchDecision attemptFailed(RoutedRequest request, AttemptEnd end, long nowNanos) {
         attemptEnded(request, end, nowNanos);
-        Optional<Refusal> refusal = giveUp(request, request.progress(), end, nowNanos);
+        Optional<Refusal> refusal = refuseFurtherAttempt(request, request.progress(), end, nowNanos);
         if (refusal.isPresent()) {
             return new DispatchDecision.Refuse(refusal.get());
         }
-        return another(request, nowNanos);
+        return sendToAnother(request, nowNanos);
     }
 
     /**
@@ -113,32 +113,33 @@
             return false;
         }
         RequestProgress afterSilence = request.progress().after(AttemptEnd.SILENT);
-        return giveUp(request, afterSilence, AttemptEnd.SILENT, nowNanos).isEmpty()
-                && chooseOther(request, nowNanos).isPresent();
+        return refuseFurtherAttempt(request, afterSilence, AttemptEnd.SILENT, nowNanos)
+                        .isEmpty()
+                && chooseUntried(request, nowNanos).isPresent();
     }
 
     /** Decides the next action after the delay of a {@link DispatchDecision.Wait} has passed. */
     public DispatchDecision again(RoutedRequest request, long nowNanos) {
-        if (request.leftMillis(nowNanos) < MIN_LEFT_MILLIS) {
+        if (request.remainingMillis(nowNanos) < MIN_REMAINING_MILLIS) {
             return new DispatchDecision.Refuse(
                     refusal(request, ErrorCode.DEADLINE_EXCEEDED, "no time is left for the rest of the answer"));
         }
-        return another(request, nowNanos);
+        return sendToAnother(request, nowNanos);
     }
 
-    private DispatchDecision another(RoutedRequest request, long nowNanos) {
+    private DispatchDecision sendToAnother(RoutedRequest request, long nowNanos) {
         Optional<FleetEndpoint> endpoint = choose(request, nowNanos);
         if (endpoint.isPresent()) {
             return send(request, endpoint.get(), nowNanos);
         }
-        return request.mayBeTakenLater()
-                ? new DispatchDecision.Wait(FULL_AGAIN_MILLIS)
+        return request.mayWaitForEndpoint()
+                ? new DispatchDecision.Wait(FULL_SERVICE_WAIT_MILLIS)
                 : new DispatchDecision.Refuse(noOtherEndpoint(request));
     }
 
     /** Records that an attempt returned the whole answer. */
     public void attemptSucceeded(RoutedRequest request, long nowNanos) {
-        pace(request).ran(request.runNanos(nowNanos));
+        runTime(request).add(request.runNanos(nowNanos));
         attemptEnded(request, AttemptEnd.ANSWERED, nowNanos);
         if (suspects.size() > 0) {
             suspects.completed(request.intake().fingerprint());
@@ -159,56 +160,57 @@
     }
 
     /** Returns the refusal if no further attempt may follow one that ended; empty if one may. */
-    private Optional<Refusal> giveUp(RoutedRequest request, RequestProgress progress, AttemptEnd end, long nowNanos) {
+    private Optional<Refusal> refuseFurtherAttempt(
+            RoutedRequest request, RequestProgress progress, AttemptEnd end, long nowNanos) {
         Route route = request.intake().route();
         if (progress.outcome() == Outcome.MAY_HAVE_RUN && !route.isRepeatable()) {
             return Optional.of(Refusal.mayHaveRun(
                     ErrorCode.ENDPOINT_FAILED, "the endpoint failed after the request was sent; it is not repeated"));
         }
-        if (progress.answerBegun() && !route.resumable()) {
+        if (progress.answerStarted() && !route.resumable()) {
             return Optional.of(Refusal.mayHaveRun(ErrorCode.ENDPOINT_FAILED, "the answer was cut"));
         }
-        if (request.leftMillis(nowNanos) < MIN_LEFT_MILLIS) {
+        if (request.remainingMillis(nowNanos) < MIN_REMAINING_MILLIS) {
             return Optional.of(refusal(request, ErrorCode.DEADLINE_EXCEEDED, "no time is left for another attempt"));
         }
-        if (progress.runs() >= route.maxAttempts()) {
+        if (progress.possibleRuns() >= route.maxAttempts()) {
             return Optional.of(refusal(request, ErrorCode.ENDPOINT_FAILED, "all attempts failed, the last: " + end));
         }
-        if (progress.sends() >= (progress.answerBegun() ? MAX_SENDS_BEGUN : MAX_SENDS)) {
+        if (progress.sends() >= (progress.answerStarted() ? MAX_SENDS_AFTER_ANSWER_START : MAX_SENDS)) {
             return Optional.of(refusal(request, ErrorCode.OVERLOADED, "the endpoints are full"));
         }
         return refuseQuarantined(request, nowNanos);
     }
 
     private OverloadCase overloadCase(RoutedRequest request, FleetEndpoint best, long nowNanos) {
-        double meanRunMillis = pace(request).meanRunMillis();
+        double meanRunMillis = runTime(request).meanRunMillis();
         int slots = 0;
-        for (FleetEndpoint endpoint : fleet.usable(request.intake().service(), nowNanos)) {
+        for (FleetEndpoint endpoint : fleet.usableEndpoints(request.intake().service(), nowNanos)) {
             slots += endpoint.entry().slots();
         }
         return new OverloadCase(
                 request.intake().service(),
                 WaitForecast.waitMillis(best, meanRunMillis),
                 request.intake().route().targetLatencyMillis(),
-                request.leftMillis(nowNanos),
+                request.remainingMillis(nowNanos),
                 slots,
                 meanRunMillis,
-                fleet.hosts(),
+                fleet.hostCount(),
                 nowNanos);
     }
 
     private DispatchDecision send(RoutedRequest request, FleetEndpoint endpoint, long nowNanos) {
         EndpointEntry entry = endpoint.entry();
-        PlacementFacts facts = facts(request, endpoint, nowNanos);
+        PlacementFacts facts = placementFacts(request, endpoint, nowNanos);
         fleet.onlineStarted(entry.key());
-        request.sent(entry.key(), nowNanos);
-        request.intake().prompt().ifPresent(prompt -> reads.sent(entry.key(), prompt));
+        request.attemptStarted(entry.key(), nowNanos);
+        request.intake().prompt().ifPresent(prompt -> prefixes.requestSent(entry.key(), prompt));
         return new DispatchDecision.Send(entry, facts);
     }
 
-    private PlacementFacts facts(RoutedRequest request, FleetEndpoint endpoint, long nowNanos) {
-        int usable = fleet.usable(request.intake().service(), nowNanos).size();
-        double waitMillis = WaitForecast.waitMillis(endpoint, pace(request).meanRunMillis());
+    private PlacementFacts placementFacts(RoutedRequest request, FleetEndpoint endpoint, long nowNanos) {
+        int usable = fleet.usableEndpoints(request.intake().service(), nowNanos).size();
+        double waitMillis = WaitForecast.waitMillis(endpoint, runTime(request).meanRunMillis());
         return new PlacementFacts(
                 usable, endpoint.online(), endpoint.batch(), endpoint.entry().slots(), Math.round(waitMillis));
     }
@@ -218,7 +220,7 @@
     }
 
     /** Chooses an endpoint that neither has the request now nor was tried before. */
-    private Optional<FleetEndpoint> chooseOther(RoutedRequest request, long nowNanos) {
+    private Optional<FleetEndpoint> chooseUntried(RoutedRequest request, long nowNanos) {
         Set<EndpointKey> excluded = new HashSet<>(request.tried());
         request.endpoint().ifPresent(excluded::add);
         return choose(request, excluded, nowNanos);
@@ -227,12 +229,17 @@
     private Optional<FleetEndpoint> choose(RoutedRequest request, Set<EndpointKey> excluded, long nowNanos) {
         List<FleetEndpoint> endpoints = fleet.of(request.intake().service());
         PlacementCase placement = new PlacementCase(
-                zone, request.intake().prompt(), reads, excluded, pace(request).meanRunMillis(), nowNanos);
+                zone,
+                request.intake().prompt(),
+                prefixes,
+                excluded,
+                runTime(request).meanRunMillis(),
+                nowNanos);
         return policies.placement().choose(endpoints, placement);
     }
 
-    private ServicePace pace(RoutedRequest request) {
-        return paces.computeIfAbsent(request.intake().service(), service -> new ServicePace());
+    private ServiceRunTime runTime(RoutedRequest request) {
+        return runTimes.computeIfAbsent(request.intake().service(), service -> new ServiceRunTime());
     }
 
     private Optional<Refusal> refuseQuarantined(RoutedRequest request, long nowNanos) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchPolicies.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchPolicies.java
@@ -7,17 +7,17 @@
  *
  * @param placement chooses the endpoint of an online request
  * @param overload decides which requests are refused because of load
- * @param returns decides when the callers of refused requests should retry
+ * @param retryAfter decides when the callers of refused requests should retry
  * @param items chooses the endpoints where items of request batches start
  */
 public record DispatchPolicies(
-        PlacementPolicy placement, OverloadPolicy overload, ReturnPolicy returns, ItemPlacement items) {
+        PlacementPolicy placement, OverloadPolicy overload, ReturnPolicy retryAfter, ItemPlacement items) {
     /** Returns the policies that the product uses. */
     public static DispatchPolicies product(Random random) {
         return new DispatchPolicies(
                 new LeastWaitPlacement(random),
                 new StandingQueuePolicy(),
-                new SpreadReturn(random),
+                new SpreadRetryAfterPolicy(random),
                 new ReservedSlotPlacement(random));
     }
 
--- a/src/main/java/org/gooseberryhill/decision/dispatch/EndpointHealth.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/EndpointHealth.java
@@ -23,74 +23,76 @@
     private static final int MAX_EJECTION_DOUBLINGS = 3;
 
     /** No placement for this long after an endpoint that seemed to have room refused: newer counts arrive by then. */
-    private static final long BUSY_MILLIS = 40;
+    private static final long BUSY_BACKOFF_MILLIS = 40;
 
-    private int failuresInRow;
+    private int consecutiveFailures;
     private int ejections;
     private long ejectedUntilNanos = Long.MIN_VALUE;
     private boolean unreachable;
-    private boolean probing;
+    private boolean probeInProgress;
     private long busyUntilNanos = Long.MIN_VALUE;
 
     /** Returns whether requests may be placed at the endpoint. */
     boolean isUsable(long nowNanos) {
-        return !isEjected(nowNanos) && isPast(busyUntilNanos, nowNanos);
+        return !isEjected(nowNanos) && hasPassed(busyUntilNanos, nowNanos);
     }
 
     boolean isEjected(long nowNanos) {
-        return unreachable || !isPast(ejectedUntilNanos, nowNanos);
+        return unreachable || !hasPassed(ejectedUntilNanos, nowNanos);
     }
 
     /** Returns whether a connection probe is due and marks it as started; true once per probe. */
-    boolean takeProbe(long nowNanos) {
-        boolean due = unreachable && !probing && isPast(ejectedUntilNanos, nowNanos);
-        probing |= due;
+    boolean startProbeIfDue(long nowNanos) {
+        boolean due = unreachable && !probeInProgress && hasPassed(ejectedUntilNanos, nowNanos);
+        probeInProgress |= due;
         return due;
     }
 
     /** Records the result of a connection probe. */
-    void probed(boolean reached, long nowNanos) {
-        probing = false;
+    void onProbeEnded(boolean reached, long nowNanos) {
+        probeInProgress = false;
         if (reached) {
-            succeeded();
+            onSuccess();
         } else if (unreachable) {
             eject(nowNanos);
         }
     }
 
     /** Returns the remaining ejection time in milliseconds, or 0 if it is over. */
-    long ejectedMillis(long nowNanos) {
-        return !isPast(ejectedUntilNanos, nowNanos) ? TimeUnit.NANOSECONDS.toMillis(ejectedUntilNanos - nowNanos) : 0;
+    long remainingEjectionMillis(long nowNanos) {
+        return !hasPassed(ejectedUntilNanos, nowNanos)
+                ? TimeUnit.NANOSECONDS.toMillis(ejectedUntilNanos - nowNanos)
+                : 0;
     }
 
-    void succeeded() {
-        failuresInRow = 0;
+    void onSuccess() {
+        consecutiveFailures = 0;
         ejections = 0;
         unreachable = false;
         ejectedUntilNanos = Long.MIN_VALUE;
     }
 
-    void busy(long nowNanos) {
-        busyUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(BUSY_MILLIS);
+    void onBusy(long nowNanos) {
+        busyUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(BUSY_BACKOFF_MILLIS);
     }
 
-    void failed(long nowNanos) {
-        failuresInRow++;
-        if (failuresInRow >= FAILURES_BEFORE_EJECTION) {
+    void onFailure(long nowNanos) {
+        consecutiveFailures++;
+        if (consecutiveFailures >= FAILURES_BEFORE_EJECTION) {
             eject(nowNanos);
         }
     }
 
     /** Ejects the endpoint until a connection probe succeeds. */
-    void unreachable(long nowNanos) {
-        failuresInRow++;
+    void onUnreachable(long nowNanos) {
+        consecutiveFailures++;
         unreachable = true;
         eject(nowNanos);
     }
 
     /** Ejects the endpoint for a time: another endpoint answers at its address, so a probe would prove nothing. */
-    void misdirected(long nowNanos) {
-        failuresInRow++;
+    void onMisdirected(long nowNanos) {
+        consecutiveFailures++;
         eject(nowNanos);
     }
 
@@ -100,7 +102,7 @@
         ejectedUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    private static boolean isPast(long untilNanos, long nowNanos) {
+    private static boolean hasPassed(long untilNanos, long nowNanos) {
         return untilNanos == Long.MIN_VALUE || nowNanos - untilNanos >= 0;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -47,7 +47,7 @@
         Map<String, List<FleetEndpoint>> services = new HashMap<>();
         for (EndpointEntry entry : listed.values()) {
             FleetEndpoint endpoint = byKey.computeIfAbsent(entry.key(), key -> newEndpoint(entry));
-            endpoint.entry(entry);
+            endpoint.setEntry(entry);
             services.computeIfAbsent(entry.service(), service -> new ArrayList<>())
                     .add(endpoint);
         }
@@ -57,18 +57,18 @@
     /** Applies the report of another host on all requests that it has in flight. */
     public void reported(HostId host, Map<EndpointKey, InFlight> inFlight, long nowNanos) {
         Report before = reports.put(host, new Report(Map.copyOf(inFlight), nowNanos));
-        inFlight.keySet().forEach(this::sumUp);
-        sumUpMissing(before, inFlight);
+        inFlight.keySet().forEach(this::updateOthers);
+        updateOthersNoLongerReported(before, inFlight);
     }
 
     /** Removes the report of a lost host: none of its requests count as in flight any longer. */
     public void lost(HostId host) {
-        sumUpMissing(reports.remove(host), Map.of());
+        updateOthersNoLongerReported(reports.remove(host), Map.of());
     }
 
     /** Returns a snapshot of what is known about a service now. */
     public ServiceState state(String service, long nowNanos) {
-        List<FleetEndpoint> usable = usable(service, nowNanos);
+        List<FleetEndpoint> usable = usableEndpoints(service, nowNanos);
         long oldestNanos = reports.values().stream()
                 .mapToLong(report -> nowNanos - report.atNanos)
                 .max()
@@ -83,7 +83,7 @@
     }
 
     /** Returns the endpoints of a service that may get new requests now. */
-    public List<FleetEndpoint> usable(String service, long nowNanos) {
+    public List<FleetEndpoint> usableEndpoints(String service, long nowNanos) {
         List<FleetEndpoint> usable = new ArrayList<>();
         for (FleetEndpoint endpoint : of(service)) {
             if (endpoint.isUsable(nowNanos)) {
@@ -94,7 +94,7 @@
     }
 
     /** Returns the number of hosts that share the endpoints: those that report, and this one. */
-    public int hosts() {
+    public int hostCount() {
         return reports.size() + 1;
     }
 
@@ -167,14 +167,14 @@
 
     /** Updates the health of an endpoint by the end of an attempt there. */
     public void observed(EndpointKey key, AttemptEnd end, long nowNanos) {
-        find(key).ifPresent(endpoint -> observe(endpoint, end, nowNanos));
+        find(key).ifPresent(endpoint -> recordAttemptEnd(endpoint, end, nowNanos));
     }
 
     /** Returns the endpoints that are due for a connection probe; {@link #probed} must follow for each of them. */
     public List<FleetEndpoint> takeProbes(long nowNanos) {
         List<FleetEndpoint> due = new ArrayList<>();
         for (FleetEndpoint endpoint : byKey.values()) {
-            if (endpoint.health().takeProbe(nowNanos)) {
+            if (endpoint.health().startProbeIfDue(nowNanos)) {
                 due.add(endpoint);
             }
         }
@@ -184,7 +184,7 @@
     /** Records the result of a connection probe of an endpoint. */
     public void probed(EndpointKey key, boolean reached, long nowNanos) {
         find(key).ifPresent(endpoint -> {
-            endpoint.health().probed(reached, nowNanos);
+            endpoint.health().onProbeEnded(reached, nowNanos);
             if (reached) {
                 healthChanges.add(new HealthChange(key, false, AttemptEnd.ANSWERED, 0));
             }
@@ -201,22 +201,23 @@
         return changes;
     }
 
-    private void observe(FleetEndpoint endpoint, AttemptEnd end, long nowNanos) {
+    private void recordAttemptEnd(FleetEndpoint endpoint, AttemptEnd end, long nowNanos) {
         EndpointHealth health = endpoint.health();
         boolean wasEjected = health.isEjected(nowNanos);
-        take(health, endpoint, end, nowNanos);
+        applyToHealth(health, endpoint, end, nowNanos);
         if (health.isEjected(nowNanos) != wasEjected) {
-            healthChanges.add(new HealthChange(endpoint.key(), !wasEjected, end, health.ejectedMillis(nowNanos)));
+            healthChanges.add(
+                    new HealthChange(endpoint.key(), !wasEjected, end, health.remainingEjectionMillis(nowNanos)));
         }
     }
 
-    private void take(EndpointHealth health, FleetEndpoint endpoint, AttemptEnd end, long nowNanos) {
+    private void applyToHealth(EndpointHealth health, FleetEndpoint endpoint, AttemptEnd end, long nowNanos) {
         switch (end) {
-            case ANSWERED -> health.succeeded();
-            case BUSY -> health.busy(nowNanos);
-            case UNREACHABLE -> ifOthersLeft(endpoint, nowNanos, health::unreachable);
-            case OTHER_ENDPOINT -> ifOthersLeft(endpoint, nowNanos, health::misdirected);
-            case CUT, SILENT, ERROR_ANSWER, MALFORMED -> ifOthersLeft(endpoint, nowNanos, health::failed);
+            case ANSWERED -> health.onSuccess();
+            case BUSY -> health.onBusy(nowNanos);
+            case UNREACHABLE -> ifEjectionAllowed(endpoint, nowNanos, health::onUnreachable);
+            case OTHER_ENDPOINT -> ifEjectionAllowed(endpoint, nowNanos, health::onMisdirected);
+            case CUT, SILENT, ERROR_ANSWER, MALFORMED -> ifEjectionAllowed(endpoint, nowNanos, health::onFailure);
             case ABANDONED, DROPPED -> {
                 // Ended by this host: says nothing about the endpoint.
             }
@@ -224,7 +225,7 @@
         }
     }
 
-    private void ifOthersLeft(FleetEndpoint endpoint, long nowNanos, Consumer<Long> action) {
+    private void ifEjectionAllowed(FleetEndpoint endpoint, long nowNanos, Consumer<Long> action) {
         List<FleetEndpoint> peers = of(endpoint.entry().service());
         long ejected = peers.stream().filter(peer -> peer.isEjected(nowNanos)).count();
         if ((ejected + 1) * 2 <= peers.size()) {
@@ -240,36 +241,36 @@
         } else {
             own.put(key, after);
         }
-        find(key).ifPresent(endpoint -> endpoint.own(after));
+        find(key).ifPresent(endpoint -> endpoint.setOwn(after));
     }
 
     private FleetEndpoint newEndpoint(EndpointEntry entry) {
         FleetEndpoint endpoint = new FleetEndpoint(entry, connections);
-        endpoint.own(own.getOrDefault(entry.key(), InFlight.NONE));
-        sumUp(endpoint);
+        endpoint.setOwn(own.getOrDefault(entry.key(), InFlight.NONE));
+        updateOthers(endpoint);
         return endpoint;
     }
 
     /** Recounts the endpoints that an earlier report of a host named and its current one does not. */
-    private void sumUpMissing(Report before, Map<EndpointKey, InFlight> after) {
+    private void updateOthersNoLongerReported(Report before, Map<EndpointKey, InFlight> after) {
         if (before == null) {
             return;
         }
         for (EndpointKey key : before.inFlight.keySet()) {
             if (!after.containsKey(key)) {
-                sumUp(key);
+                updateOthers(key);
             }
         }
     }
 
-    private void sumUp(EndpointKey key) {
+    private void updateOthers(EndpointKey key) {
         FleetEndpoint endpoint = byKey.get(key);
         if (endpoint != null) {
-            sumUp(endpoint);
+            updateOthers(endpoint);
         }
     }
 
-    private void sumUp(FleetEndpoint endpoint) {
+    private void updateOthers(FleetEndpoint endpoint) {
         int online = 0;
         int batch = 0;
         for (Report report : reports.values()) {
@@ -277,7 +278,7 @@
             online += inFlight.online();
             batch += inFlight.batch();
         }
-        endpoint.others(new InFlight(online, batch));
+        endpoint.setOthers(new InFlight(online, batch));
     }
 
     /** The requests that a host had in flight, and when its report arrived. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/FleetEndpoint.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/FleetEndpoint.java
@@ -57,7 +57,7 @@
 
     /** Returns whether this host keeps an idle connection to the endpoint. */
     public boolean isConnected() {
-        return connections.isKept(entry.address());
+        return connections.hasIdleConnection(entry.address());
     }
 
     /** Returns whether new requests may be placed at the endpoint. */
@@ -73,15 +73,15 @@
         return health;
     }
 
-    void entry(EndpointEntry newEntry) {
+    void setEntry(EndpointEntry newEntry) {
         entry = newEntry;
     }
 
-    void others(InFlight inFlight) {
+    void setOthers(InFlight inFlight) {
         others = inFlight;
     }
 
-    void own(InFlight inFlight) {
+    void setOwn(InFlight inFlight) {
         own = inFlight;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ForecastOverloadPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ForecastOverloadPolicy.java
@@ -21,6 +21,6 @@
 
     @Override
     public double longestWaitMillis(OverloadCase overload) {
-        return Math.min(waitShareOfTarget * overload.targetLatencyMillis(), overload.leftMillis());
+        return Math.min(waitShareOfTarget * overload.targetLatencyMillis(), overload.remainingMillis());
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ItemPause.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ItemPause.java
@@ -13,22 +13,22 @@
  * lasts and is reset to its initial length after it.
  */
 public final class ItemPause {
-    private static final long FIRST_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long INITIAL_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     /** Two doublings: 1.2 s, half the length of a burst, so that slots do not stay empty for long after it. */
     private static final int MAX_DOUBLINGS = 2;
 
     /** A burst counts as over when no items had to yield for this long after the end of the pause. */
-    private static final long CALM_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
+    private static final long RESET_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
 
     private final Map<EndpointKey, Pause> pauses = new HashMap<>();
 
     /** Starts or extends the pause of an endpoint where items have yielded. */
     public void gaveWay(EndpointKey endpoint, long nowNanos) {
         Pause last = pauses.get(endpoint);
-        boolean sameBurst = last != null && nowNanos - last.untilNanos < CALM_NANOS;
+        boolean sameBurst = last != null && nowNanos - last.untilNanos < RESET_AFTER_NANOS;
         int doublings = sameBurst ? Math.min(MAX_DOUBLINGS, last.doublings + 1) : 0;
-        pauses.put(endpoint, new Pause(doublings, nowNanos + (FIRST_NANOS << doublings)));
+        pauses.put(endpoint, new Pause(doublings, nowNanos + (INITIAL_PAUSE_NANOS << doublings)));
     }
 
     /** Returns whether an endpoint gets no new items now. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
@@ -24,7 +24,7 @@
     private static final double CONNECT_MILLIS = 3;
 
     /** Prefill time of an engine per prompt token; the engines in use process some hundred tokens per millisecond. */
-    private static final double READ_MILLIS_PER_TOKEN = 0.01;
+    private static final double PREFILL_MILLIS_PER_TOKEN = 0.01;
 
     private final Random random;
 
@@ -56,7 +56,7 @@
         double loadMillis =
                 FULL_LOAD_MILLIS * endpoint.online() / endpoint.entry().slots();
         double connectMillis = endpoint.isConnected() ? 0 : CONNECT_MILLIS;
-        double prefillMillis = READ_MILLIS_PER_TOKEN * placement.unreadTokens(endpoint);
+        double prefillMillis = PREFILL_MILLIS_PER_TOKEN * placement.prefillTokens(endpoint);
         double warmUpMillis = Math.max(0, endpoint.entry().warmUpLeftMillis());
         return WaitForecast.waitMillis(endpoint, placement.meanRunMillis())
                 + yieldMillis
--- a/src/main/java/org/gooseberryhill/decision/dispatch/OverloadCase.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/OverloadCase.java
@@ -6,18 +6,18 @@
  * @param service the service that the request is for
  * @param waitMillis the forecast wait for a slot at the endpoint where it would be placed
  * @param targetLatencyMillis latency within which its answer is on time
- * @param leftMillis time until its deadline
+ * @param remainingMillis time until its deadline
  * @param slots number of slots of the usable endpoints of its service
  * @param meanRunMillis the mean time that a request of the service holds its slot
- * @param hosts number of hosts that share the slots
+ * @param hostCount number of hosts that share the slots
  * @param nowNanos the current time
  */
 public record OverloadCase(
         String service,
         double waitMillis,
         long targetLatencyMillis,
-        long leftMillis,
+        long remainingMillis,
         int slots,
         double meanRunMillis,
-        int hosts,
+        int hostCount,
         long nowNanos) {}
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PlacementCase.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PlacementCase.java
@@ -11,7 +11,7 @@
  *
  * @param zone the availability zone where the host runs
  * @param prompt the prompt; present for a token generation request
- * @param reads the prompt prefixes that the endpoints have processed
+ * @param prefixes the prompt prefixes that the endpoints have processed
  * @param tried the endpoints to leave out, since they have or had the request
  * @param meanRunMillis the mean time that a request of the service holds its slot
  * @param nowNanos the current time
@@ -19,12 +19,13 @@
 public record PlacementCase(
         AvailabilityZone zone,
         Optional<Prompt> prompt,
-        PromptReads reads,
+        PromptPrefixTracker prefixes,
         Set<EndpointKey> tried,
         double meanRunMillis,
         long nowNanos) {
     /** Returns how many tokens of the prompt an endpoint would have to process; 0 without a prompt. */
-    int unreadTokens(FleetEndpoint endpoint) {
-        return prompt.map(known -> reads.unreadTokens(endpoint.key(), known)).orElse(0);
+    int prefillTokens(FleetEndpoint endpoint) {
+        return prompt.map(known -> prefixes.prefillTokens(endpoint.key(), known))
+                .orElse(0);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PromptReads.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PromptPrefixTracker.java
@@ -16,40 +16,40 @@
  *
  * <p>Invariant: a part counts as cached only if all parts before it are, since an engine can reuse it only then.
  */
-final class PromptReads {
+final class PromptPrefixTracker {
     /**
      * Some hundred prefixes for each of some hundred endpoints. The least recently used are evicted, as engines evict
      * them too.
      */
-    private static final int MAX_READS = 50_000;
+    private static final int MAX_PREFIXES = 50_000;
 
     private static final int HASH_FACTOR = 31;
 
-    private final Map<Read, Boolean> reads = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<CachedPrefix, Boolean> prefixes = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Read, Boolean> eldest) {
-            return size() > MAX_READS;
+        protected boolean removeEldestEntry(Map.Entry<CachedPrefix, Boolean> eldest) {
+            return size() > MAX_PREFIXES;
         }
     };
 
     /** Records that a request with this prompt was sent to an endpoint. */
-    void sent(EndpointKey endpoint, Prompt prompt) {
+    void requestSent(EndpointKey endpoint, Prompt prompt) {
         long prefixHash = prompt.model().hashCode();
         for (PromptPart part : prompt.parts()) {
-            prefixHash = with(prefixHash, part);
-            reads.put(new Read(endpoint, prefixHash), Boolean.TRUE);
+            prefixHash = extendHash(prefixHash, part);
+            prefixes.put(new CachedPrefix(endpoint, prefixHash), Boolean.TRUE);
         }
     }
 
     /** Returns how many tokens of a prompt an endpoint would have to process because no cached prefix covers them. */
-    int unreadTokens(EndpointKey endpoint, Prompt prompt) {
+    int prefillTokens(EndpointKey endpoint, Prompt prompt) {
         int uncached = prompt.promptTokens();
         long prefixHash = prompt.model().hashCode();
         for (PromptPart part : prompt.parts()) {
-            prefixHash = with(prefixHash, part);
-            if (!reads.containsKey(new Read(endpoint, prefixHash))) {
+            prefixHash = extendHash(prefixHash, part);
+            if (!prefixes.containsKey(new CachedPrefix(endpoint, prefixHash))) {
                 break;
             }
             uncached -= part.tokens();
@@ -57,20 +57,20 @@
         return Math.max(0, uncached);
     }
 
-    private static long with(long prefixHash, PromptPart part) {
+    private static long extendHash(long prefixHash, PromptPart part) {
         return HASH_FACTOR * (HASH_FACTOR * prefixHash + part.id().hashCode()) + part.tokens();
     }
 
     /** A prompt prefix, identified by its hash, at an endpoint. */
-    private record Read(EndpointKey endpoint, long beginning) {
+    private record CachedPrefix(EndpointKey endpoint, long hash) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof Read that && beginning == that.beginning && endpoint.equals(that.endpoint);
+            return other instanceof CachedPrefix that && hash == that.hash && endpoint.equals(that.endpoint);
         }
 
         @Override
         public int hashCode() {
-            return HASH_FACTOR * endpoint.hashCode() + Long.hashCode(beginning);
+            return HASH_FACTOR * endpoint.hashCode() + Long.hashCode(hash);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ReservedSlotPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ReservedSlotPlacement.java
@@ -18,10 +18,10 @@
     private static final int RESERVED_SLOTS = 1;
 
     /** Upper bound of the random part of the score, in free slots. */
-    private static final double SPREAD_SLOTS = 2;
+    private static final double MAX_RANDOM_SLOTS = 2;
 
     /** Score of an existing connection, in free slots: less than any real difference in load. */
-    private static final double CONNECTED_SLOTS = 1;
+    private static final double CONNECTION_BONUS_SLOTS = 1;
 
     private final Random random;
 
@@ -39,8 +39,8 @@
             if (candidate.freeSlots() <= reserved || !candidate.isUsable(nowNanos)) {
                 continue;
             }
-            double connected = candidate.isConnected() ? CONNECTED_SLOTS : 0;
-            double score = candidate.freeSlots() + connected + SPREAD_SLOTS * random.nextDouble();
+            double connected = candidate.isConnected() ? CONNECTION_BONUS_SLOTS : 0;
+            double score = candidate.freeSlots() + connected + MAX_RANDOM_SLOTS * random.nextDouble();
             if (best == null || score > bestScore) {
                 best = candidate;
                 bestScore = score;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
@@ -17,12 +17,12 @@
 public final class RoutedRequest {
     private final RoutedIntake intake;
     private final Set<EndpointKey> tried = new HashSet<>();
-    private final Set<EndpointKey> turnedAway = new HashSet<>();
+    private final Set<EndpointKey> refusedBy = new HashSet<>();
     private final List<PastAttempt> pastAttempts = new ArrayList<>();
     private Optional<EndpointKey> endpoint = Optional.empty();
     private RequestProgress progress = new RequestProgress(Outcome.NOT_RUN, 0, 0, false);
     private boolean leftSilentEndpoint;
-    private long sentNanos;
+    private long attemptStartedNanos;
 
     RoutedRequest(RoutedIntake intake) {
         this.intake = intake;
@@ -44,8 +44,8 @@
     }
 
     /** Returns the number of endpoints that may have run the request. */
-    public int runs() {
-        return progress.runs();
+    public int possibleRuns() {
+        return progress.possibleRuns();
     }
 
     /** Returns the number of times that the request was sent. */
@@ -60,7 +60,7 @@
 
     /** Records that the caller has received a part of the answer. */
     public void answerBegun() {
-        progress = progress.withAnswerBegun();
+        progress = progress.withAnswerStarted();
     }
 
     /** Returns the progress; an attempt in progress counts as a send, but not yet as a run. */
@@ -73,29 +73,29 @@
     }
 
     /** Returns whether the request may wait for an endpoint when none can take it now. */
-    boolean mayBeTakenLater() {
-        return leftSilentEndpoint || (progress.answerBegun() && !turnedAway.isEmpty());
+    boolean mayWaitForEndpoint() {
+        return leftSilentEndpoint || (progress.answerStarted() && !refusedBy.isEmpty());
     }
 
-    long leftMillis(long nowNanos) {
+    long remainingMillis(long nowNanos) {
         return TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos);
     }
 
     /** Returns the duration of the current attempt so far, in nanoseconds. */
     public long runNanos(long nowNanos) {
-        return nowNanos - sentNanos;
+        return nowNanos - attemptStartedNanos;
     }
 
-    void sent(EndpointKey key, long nowNanos) {
+    void attemptStarted(EndpointKey key, long nowNanos) {
         endpoint = Optional.of(key);
         progress = progress.withSend();
-        sentNanos = nowNanos;
+        attemptStartedNanos = nowNanos;
     }
 
     void attemptEnded(AttemptEnd end, long nowNanos) {
         endpoint.ifPresent(key -> {
-            if (end == AttemptEnd.BUSY && (progress.answerBegun() || leftSilentEndpoint)) {
-                turnedAway.add(key);
+            if (end == AttemptEnd.BUSY && (progress.answerStarted() || leftSilentEndpoint)) {
+                refusedBy.add(key);
             } else {
                 tried.add(key);
             }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ServicePace.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ServiceRunTime.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Tracks the moving mean of the time that a service's online requests hold their slots. Not thread-safe. */
-final class ServicePace {
+final class ServiceRunTime {
     /** Initial value until requests have run: between the run times of a plain call and of a generated answer. */
     private static final double INITIAL_RUN_MILLIS = 200;
 
@@ -16,7 +16,7 @@
         return runMillis.value();
     }
 
-    void ran(long nanos) {
+    void add(long nanos) {
         runMillis.add((double) nanos / TimeUnit.MILLISECONDS.toNanos(1));
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/SpreadReturn.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
@@ -12,21 +12,21 @@
  * in a replay of long bursts, against 18 with separate retry times. The longer the burst, the more callers hold earlier
  * retry times and the later is the next one, which moves it past the end of the burst.
  */
-public final class SpreadReturn implements ReturnPolicy {
+public final class SpreadRetryAfterPolicy implements ReturnPolicy {
     /** Share of the slots that retries get during a burst; new requests use the rest. */
-    private static final double SHARE_OF_SLOTS = 0.1;
+    private static final double RETURNING_SHARE_OF_SLOTS = 0.1;
 
     /** Callers of the users' interface wait at most a third of their remaining time before a retry. */
-    private static final double MAX_SHARE_OF_LEFT = 1.0 / 3;
+    private static final double MAX_SHARE_OF_REMAINING = 1.0 / 3;
 
     /** Retry times beyond that limit are drawn at random from its last share, so that they do not coincide. */
-    private static final double DRAWN_SHARE = 0.25;
+    private static final double JITTER_SHARE = 0.25;
 
     private final Random random;
-    private long nextNanos = Long.MIN_VALUE;
+    private long nextFreeTurnNanos = Long.MIN_VALUE;
 
     /** Creates a policy that uses a seeded random source. */
-    public SpreadReturn(Random random) {
+    public SpreadRetryAfterPolicy(Random random) {
         this.random = random;
     }
 
@@ -34,19 +34,19 @@
     public long retryAfterMillis(OverloadCase overload) {
         long soonestNanos =
                 overload.nowNanos() + TimeUnit.MILLISECONDS.toNanos((long) Math.ceil(overload.waitMillis()));
-        boolean hasEarlierTurns = nextNanos != Long.MIN_VALUE && nextNanos - soonestNanos > 0;
-        long turnNanos = hasEarlierTurns ? nextNanos : soonestNanos;
+        boolean hasEarlierTurns = nextFreeTurnNanos != Long.MIN_VALUE && nextFreeTurnNanos - soonestNanos > 0;
+        long turnNanos = hasEarlierTurns ? nextFreeTurnNanos : soonestNanos;
         long millis = TimeUnit.NANOSECONDS.toMillis(turnNanos - overload.nowNanos());
-        long latestMillis = (long) (overload.leftMillis() * MAX_SHARE_OF_LEFT);
+        long latestMillis = (long) (overload.remainingMillis() * MAX_SHARE_OF_REMAINING);
         if (millis > latestMillis) {
-            return Math.max(1, (long) (latestMillis * (1 - DRAWN_SHARE * random.nextDouble())));
+            return Math.max(1, (long) (latestMillis * (1 - JITTER_SHARE * random.nextDouble())));
         }
-        nextNanos = turnNanos + gapNanos(overload);
+        nextFreeTurnNanos = turnNanos + gapNanos(overload);
         return Math.max(1, millis);
     }
 
     private static long gapNanos(OverloadCase overload) {
-        double slotsForRetries = Math.max(1, overload.slots()) * SHARE_OF_SLOTS / overload.hosts();
+        double slotsForRetries = Math.max(1, overload.slots()) * RETURNING_SHARE_OF_SLOTS / overload.hostCount();
         double gapMillis = overload.meanRunMillis() / slotsForRetries;
         return (long) (gapMillis * TimeUnit.MILLISECONDS.toNanos(1));
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicy.java
@@ -17,31 +17,31 @@
  */
 public final class StandingQueuePolicy implements OverloadPolicy {
     /** The rest of the target covers the network, the prefill, the first event and errors of the forecast. */
-    private static final double PASSING_SHARE_OF_TARGET = 0.7;
+    private static final double TRANSIENT_SHARE_OF_TARGET = 0.7;
 
     /** Less than the wait behind one other request at an endpoint of the sites in use. */
     private static final double STANDING_SHARE_OF_TARGET = 0.3;
 
     /** A queue that has lasted for this share of the target has made some request wait for most of the target. */
-    private static final double STANDS_AFTER_SHARE_OF_TARGET = 2.0 / 3;
+    private static final double STANDING_AFTER_SHARE_OF_TARGET = 2.0 / 3;
 
-    private final Map<String, Long> freeNanosByService = new HashMap<>();
+    private final Map<String, Long> lastFreeNanosByService = new HashMap<>();
 
     @Override
     public double longestWaitMillis(OverloadCase overload) {
         if (overload.waitMillis() <= 0) {
-            freeNanosByService.put(overload.service(), overload.nowNanos());
+            lastFreeNanosByService.put(overload.service(), overload.nowNanos());
         }
-        double share = isStanding(overload) ? STANDING_SHARE_OF_TARGET : PASSING_SHARE_OF_TARGET;
-        return Math.min(share * overload.targetLatencyMillis(), overload.leftMillis());
+        double share = isStanding(overload) ? STANDING_SHARE_OF_TARGET : TRANSIENT_SHARE_OF_TARGET;
+        return Math.min(share * overload.targetLatencyMillis(), overload.remainingMillis());
     }
 
     private boolean isStanding(OverloadCase overload) {
-        Long freeNanos = freeNanosByService.get(overload.service());
+        Long freeNanos = lastFreeNanosByService.get(overload.service());
         if (freeNanos == null) {
             return false;
         }
-        double maxTransientMillis = STANDS_AFTER_SHARE_OF_TARGET * overload.targetLatencyMillis();
+        double maxTransientMillis = STANDING_AFTER_SHARE_OF_TARGET * overload.targetLatencyMillis();
         return overload.nowNanos() - freeNanos > maxTransientMillis * TimeUnit.MILLISECONDS.toNanos(1);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/YieldTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/YieldTiming.java
@@ -16,7 +16,7 @@
     /** Several trips between zones, and a tenth of the shortest target latency to the first event in use. */
     private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
 
-    private final Map<EndpointKey, Long> fullSinceNanos = new HashMap<>();
+    private final Map<EndpointKey, Long> excessSinceNanos = new HashMap<>();
 
     /**
      * Returns how many of its items a host has to stop at an endpoint now: the whole excess once it has lasted for the
@@ -24,10 +24,10 @@
      */
     public int due(EndpointKey endpoint, int excess, long nowNanos) {
         if (excess <= 0) {
-            fullSinceNanos.remove(endpoint);
+            excessSinceNanos.remove(endpoint);
             return 0;
         }
-        long since = fullSinceNanos.computeIfAbsent(endpoint, key -> nowNanos);
+        long since = excessSinceNanos.computeIfAbsent(endpoint, key -> nowNanos);
         return nowNanos - since >= GRACE_NANOS ? excess : 0;
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
@@ -30,20 +30,20 @@
     void requestsSpreadOverAllEndpointsBeforeAnyHasTwo() {
         Set<EndpointKey> used = new HashSet<>();
         for (int i = 0; i < 4; i++) {
-            used.add(sent(fixture.first(fixture.arrive(SAFE))));
+            used.add(sent(fixture.dispatch(fixture.arrive(SAFE))));
         }
         assertThat(used).hasSize(4);
     }
 
     /** Connection setup takes a round trip: of otherwise equal endpoints the one with an idle connection is chosen. */
     @Test
-    void anEndpointWithAKeptConnectionIsTakenBeforeOthersThatAreNoBetter() {
+    void anEndpointWithAnIdleConnectionIsChosenAmongEqualEndpoints() {
         fixture.connected.add(DispatchFixture.address("e2"));
-        EndpointKey first = sent(fixture.first(fixture.arrive(SAFE)));
+        EndpointKey first = sent(fixture.dispatch(fixture.arrive(SAFE)));
         assertThat(first).isEqualTo(DispatchFixture.key("e2"));
 
         for (int i = 0; i < 30; i++) {
-            fixture.first(fixture.arrive(SAFE));
+            fixture.dispatch(fixture.arrive(SAFE));
         }
         assertThat(fixture.endpoint("e2").online()).isLessThanOrEqualTo(11);
     }
@@ -53,14 +53,14 @@
      * burst they spread, since waiting for a slot takes longer than processing the prefix again.
      */
     @Test
-    void requestsThatShareABeginningGoWhereItWasReadUnlessTheyWouldWait() {
-        EndpointKey first = sent(fixture.first(fixture.arrive(RESUMABLE, prompt(0))));
+    void requestsThatShareAPrefixGoWhereItIsCachedUnlessTheyWouldWait() {
+        EndpointKey first = sent(fixture.dispatch(fixture.arrive(RESUMABLE, prompt(0))));
         fixture.fleet.onlineEnded(first);
-        assertThat(sent(fixture.first(fixture.arrive(RESUMABLE, prompt(1))))).isEqualTo(first);
+        assertThat(sent(fixture.dispatch(fixture.arrive(RESUMABLE, prompt(1))))).isEqualTo(first);
 
         Set<EndpointKey> used = new HashSet<>();
         for (int i = 2; i < 30; i++) {
-            used.add(sent(fixture.first(fixture.arrive(RESUMABLE, prompt(i)))));
+            used.add(sent(fixture.dispatch(fixture.arrive(RESUMABLE, prompt(i)))));
         }
         assertThat(used).hasSize(4);
     }
@@ -72,7 +72,7 @@
     @Test
     void aRequestThatMayNotBeRepeatedIsNotSentAgainOnceItMayHaveRun() {
         RoutedRequest request = fixture.arrive(UNSAFE);
-        fixture.first(request);
+        fixture.dispatch(request);
 
         Refusal refusal = refusal(fixture.failed(request, AttemptEnd.CUT));
 
@@ -84,17 +84,17 @@
     @Test
     void aStreamThatCannotBeResumedIsNotSentAgainOnceItMayHaveRun() {
         RoutedRequest request = fixture.arrive(ONCE_STREAM);
-        fixture.first(request);
+        fixture.dispatch(request);
 
         assertThat(refusal(fixture.failed(request, AttemptEnd.CUT)).code()).isEqualTo(ErrorCode.ENDPOINT_FAILED);
     }
 
     @Test
-    void whatAnEndpointTurnedAwayGoesToAnotherWhateverItsKind() {
+    void aRequestOfAnyKindGoesToAnotherEndpointAfterABusyRefusal() {
         for (Route route : List.of(SAFE, UNSAFE, ONCE_STREAM, RESUMABLE)) {
             DispatchFixture fresh = new DispatchFixture(4);
             RoutedRequest request = fresh.arrive(route);
-            EndpointKey one = sent(fresh.first(request));
+            EndpointKey one = sent(fresh.dispatch(request));
             EndpointKey other = sent(fresh.failed(request, AttemptEnd.BUSY));
             assertThat(other).isNotEqualTo(one);
             assertThat(request.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -106,9 +106,9 @@
      * cannot request the rest: the host tries the other endpoints again until one of them has a slot.
      */
     @Test
-    void theRestOfAStreamWaitsForASlotWhereAllAreFull() {
+    void theRestOfAStreamWaitsForASlotWhenAllEndpointsAreFull() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
-        EndpointKey broken = sent(fixture.first(request));
+        EndpointKey broken = sent(fixture.dispatch(request));
         request.answerBegun();
         DispatchDecision decision = fixture.failed(request, AttemptEnd.CUT);
         for (int i = 0; i < 5; i++) {
@@ -116,7 +116,7 @@
                 decision = fixture.failed(request, AttemptEnd.BUSY);
             }
             assertThat(decision).isInstanceOf(DispatchDecision.Wait.class);
-            fixture.pass(((DispatchDecision.Wait) decision).millis());
+            fixture.advanceMillis(((DispatchDecision.Wait) decision).millis());
             decision = fixture.core.again(request, fixture.nowNanos);
         }
 
@@ -125,11 +125,11 @@
 
     /** The deadline passed while the host was busy with its start: the refusal says so and does not report overload. */
     @Test
-    void aRequestWhoseTimeIsOverWhenItIsLookedAtIsNotSent() {
+    void aRequestWhoseDeadlineHasPassedIsNotSent() {
         RoutedRequest request = fixture.arrive(SAFE);
-        fixture.pass(5000);
+        fixture.advanceMillis(5000);
 
-        Refusal refusal = refusal(fixture.first(request));
+        Refusal refusal = refusal(fixture.dispatch(request));
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.DEADLINE_EXCEEDED);
         assertThat(refusal.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -138,9 +138,9 @@
 
     /** The caller has no part of the answer yet: it is refused at once and can retry. */
     @Test
-    void aRequestThatAllEndpointsTurnAwayIsRefusedAtOnce() {
+    void aRequestThatAllEndpointsRefuseIsRefusedAtOnce() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
-        DispatchDecision decision = fixture.first(request);
+        DispatchDecision decision = fixture.dispatch(request);
         while (decision instanceof DispatchDecision.Send) {
             decision = fixture.failed(request, AttemptEnd.BUSY);
         }
@@ -151,27 +151,27 @@
     @Test
     void noMoreEndpointsMayHaveRunARequestThanItsRouteAllows() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
-        fixture.first(request);
+        fixture.dispatch(request);
         fixture.failed(request, AttemptEnd.BUSY);
         fixture.failed(request, AttemptEnd.CUT);
 
         assertThat(refusal(fixture.failed(request, AttemptEnd.CUT)).outcome()).isEqualTo(Outcome.MAY_HAVE_RUN);
-        assertThat(request.runs()).isEqualTo(2);
+        assertThat(request.possibleRuns()).isEqualTo(2);
     }
 
     @Test
-    void aResumableStreamGoesOnElsewhereAlsoWhenItsCallerHasAPartOfIt() {
+    void aResumableStreamContinuesElsewhereAfterItsCallerGotAPart() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
-        EndpointKey one = sent(fixture.first(request));
+        EndpointKey one = sent(fixture.dispatch(request));
         request.answerBegun();
 
         assertThat(sent(fixture.failed(request, AttemptEnd.CUT))).isNotEqualTo(one);
     }
 
     @Test
-    void whenAllEndpointsTurnARequestAwayItsCallerIsToldThatItHasNotRun() {
+    void whenAllEndpointsRefuseARequestItsCallerIsToldThatItHasNotRun() {
         RoutedRequest request = fixture.arrive(UNSAFE);
-        DispatchDecision decision = fixture.first(request);
+        DispatchDecision decision = fixture.dispatch(request);
         while (decision instanceof DispatchDecision.Send) {
             decision = fixture.failed(request, AttemptEnd.BUSY);
         }
@@ -180,24 +180,24 @@
     }
 
     @Test
-    void withoutTimeLeftNoFurtherAttemptIsMade() {
+    void withoutRemainingTimeNoFurtherAttemptIsMade() {
         RoutedRequest request = fixture.arrive(SAFE);
-        fixture.first(request);
-        fixture.pass(4990);
+        fixture.dispatch(request);
+        fixture.advanceMillis(4990);
 
         assertThat(refusal(fixture.failed(request, AttemptEnd.CUT)).code()).isEqualTo(ErrorCode.DEADLINE_EXCEEDED);
     }
 
     /** The endpoints are full of online requests for seconds: a new request is refused at once with a retry time. */
     @Test
-    void aRequestThatWouldWaitFarBeyondItsTargetIsTurnedAwayAtOnceWithATime() {
+    void aRequestThatWouldWaitFarBeyondItsTargetIsRefusedAtOnceWithARetryTime() {
         fixture.reported(Map.of(
                 DispatchFixture.key("e0"), new InFlight(60, 0),
                 DispatchFixture.key("e1"), new InFlight(60, 0),
                 DispatchFixture.key("e2"), new InFlight(60, 0),
                 DispatchFixture.key("e3"), new InFlight(60, 0)));
 
-        Refusal refusal = refusal(fixture.first(fixture.arrive(SAFE)));
+        Refusal refusal = refusal(fixture.dispatch(fixture.arrive(SAFE)));
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.OVERLOADED);
         assertThat(refusal.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -206,16 +206,16 @@
 
     /** To explain a refusal, operators need the load that was known at that moment and the age of the reports. */
     @Test
-    void aRefusalForLoadTellsWhatDecidedIt() {
+    void aRefusalBecauseOfLoadCarriesTheFiguresBehindIt() {
         fixture.reported(
                 Map.of(DispatchFixture.key("e0"), new InFlight(60, 2), DispatchFixture.key("e1"), new InFlight(60, 0)));
         fixture.fleet.directory(List.of(
                 DispatchFixture.entry("e0", 1, false),
                 DispatchFixture.entry("e1", 1, false),
                 DispatchFixture.entry("e2", 1, true)));
-        fixture.pass(70);
+        fixture.advanceMillis(70);
 
-        DispatchDecision decision = fixture.first(fixture.arrive(SAFE));
+        DispatchDecision decision = fixture.dispatch(fixture.arrive(SAFE));
 
         OverloadFacts facts = ((DispatchDecision.Refuse) decision).overload().orElseThrow();
         assertThat(facts.waitMillis()).isGreaterThan(facts.longestWaitMillis());
@@ -224,29 +224,29 @@
     }
 
     @Test
-    void itemsOfBatchesDoNotKeepAnOnlineRequestAway() {
+    void batchItemsDoNotCauseTheRefusalOfAnOnlineRequest() {
         fixture.reported(Map.of(
                 DispatchFixture.key("e0"), new InFlight(0, 8),
                 DispatchFixture.key("e1"), new InFlight(0, 8),
                 DispatchFixture.key("e2"), new InFlight(0, 8),
                 DispatchFixture.key("e3"), new InFlight(0, 8)));
 
-        assertThat(fixture.first(fixture.arrive(ONCE_STREAM))).isInstanceOf(DispatchDecision.Send.class);
+        assertThat(fixture.dispatch(fixture.arrive(ONCE_STREAM))).isInstanceOf(DispatchDecision.Send.class);
     }
 
     @Test
-    void anEndpointThatIsLeavingGetsNothingNew() {
+    void aLeavingEndpointGetsNoNewRequests() {
         fixture.fleet.directory(List.of(DispatchFixture.entry("e0", 1, true), DispatchFixture.entry("e1", 1, false)));
         List<EndpointKey> used = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            used.add(sent(fixture.first(fixture.arrive(SAFE))));
+            used.add(sent(fixture.dispatch(fixture.arrive(SAFE))));
         }
         assertThat(used).containsOnly(DispatchFixture.key("e1"));
     }
 
     /** An endpoint that crashed and restarted under the same id does not inherit its recorded failures. */
     @Test
-    void anotherStartOfAnEndpointIsAnotherEndpoint() {
+    void aRestartedEndpointIsADifferentEndpoint() {
         fixture.fleet.directory(List.of(DispatchFixture.entry("e0", 1, false), DispatchFixture.entry("e1", 1, false)));
         fixture.fleet.observed(DispatchFixture.key("e0"), AttemptEnd.UNREACHABLE, fixture.nowNanos);
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isFalse();
@@ -259,7 +259,7 @@
 
     /** This host is cut off from all endpoints: half stay in use, or none would be tried once the network recovers. */
     @Test
-    void failuresNeverLeaveOutMoreThanHalfOfAService() {
+    void failuresNeverEjectMoreThanHalfOfAService() {
         for (String id : List.of("e0", "e1", "e2", "e3")) {
             fixture.fleet.observed(DispatchFixture.key(id), AttemptEnd.UNREACHABLE, fixture.nowNanos);
         }
@@ -274,9 +274,9 @@
      * request must not make the in-flight count negative.
      */
     @Test
-    void aRegistrationThatComesBackKeepsWhatIsInFlight() {
+    void aReturningRegistrationKeepsItsInFlightCounts() {
         RoutedRequest request = fixture.arrive(SAFE);
-        EndpointKey key = sent(fixture.first(request));
+        EndpointKey key = sent(fixture.dispatch(request));
         fixture.fleet.directory(List.of());
         fixture.fleet.directory(List.of(DispatchFixture.entry(key.id(), 1, false)));
         assertThat(fixture.endpoint(key.id()).online()).isEqualTo(1);
@@ -290,10 +290,10 @@
     void aRequestThatCrashedEndpointsTwiceIsRefusedAsNotRun() {
         RoutedRequest request = fixture.arrive(SAFE);
         fixture.suspects.crashed("e0", List.of(request.intake().fingerprint()), fixture.nowNanos);
-        fixture.pass(3000);
+        fixture.advanceMillis(3000);
         fixture.suspects.crashed("e1", List.of(request.intake().fingerprint()), fixture.nowNanos);
 
-        assertThat(refusal(fixture.first(request)).code()).isEqualTo(ErrorCode.QUARANTINED);
+        assertThat(refusal(fixture.dispatch(request)).code()).isEqualTo(ErrorCode.QUARANTINED);
     }
 
     private static Optional<Prompt> prompt(int request) {
@@ -313,10 +313,10 @@
 
     /** Guards against an answer that is cut because its endpoint is silent, though no other one can continue it. */
     @Test
-    void silenceSendsAStreamElsewhereOnlyWhereThereIsSomewhereToGo() {
+    void aSilentStreamFailsOverOnlyIfAnotherAttemptIsPossible() {
         Route resumable = DispatchFixture.route(RouteKind.STREAM, true, 2);
         RoutedRequest request = fixture.arrive(resumable);
-        fixture.first(request);
+        fixture.dispatch(request);
         assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isTrue();
 
         fixture.failed(request, AttemptEnd.SILENT);
@@ -325,14 +325,14 @@
                 .isFalse();
 
         RoutedRequest once = fixture.arrive(DispatchFixture.route(RouteKind.STREAM, false, 2));
-        fixture.first(once);
+        fixture.dispatch(once);
         assertThat(fixture.core.mayGoElsewhere(once, fixture.nowNanos))
                 .as("may run once")
                 .isFalse();
 
         DispatchFixture single = new DispatchFixture(1);
         RoutedRequest alone = single.arrive(resumable);
-        single.first(alone);
+        single.dispatch(alone);
         assertThat(single.core.mayGoElsewhere(alone, single.nowNanos))
                 .as("no other endpoint")
                 .isFalse();
@@ -343,21 +343,21 @@
      * other endpoints.
      */
     @Test
-    void aStreamInQuarantineStaysWithItsSilentEndpoint() {
+    void aQuarantinedStreamStaysWithItsSilentEndpoint() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
-        fixture.first(request);
+        fixture.dispatch(request);
         request.answerBegun();
         quarantine(request);
-        fixture.pass(700);
+        fixture.advanceMillis(700);
 
         assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isFalse();
     }
 
     /** Guards against an answer that is moved from its silent endpoint though no other one can continue it midway. */
     @Test
-    void anAnswerThatCannotBeResumedStaysWithItsSilentEndpointOnceItHasBegun() {
+    void anAnswerThatCannotBeResumedStaysWithItsSilentEndpointOnceItHasStarted() {
         RoutedRequest request = fixture.arrive(SAFE);
-        fixture.first(request);
+        fixture.dispatch(request);
         assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isTrue();
 
         request.answerBegun();
@@ -367,15 +367,15 @@
 
     /** Guards against a request that is sent twice at once: failed over as silent while it waits to be sent again. */
     @Test
-    void aRequestThatWaitsForAnEndpointHasNoneThatIsSilent() {
+    void aRequestThatWaitsForAnEndpointCannotFailOver() {
         DispatchFixture pair = new DispatchFixture(2);
         RoutedRequest request = pair.arrive(DispatchFixture.route(RouteKind.STREAM, true, 4));
-        pair.first(request);
+        pair.dispatch(request);
         request.answerBegun();
         pair.failed(request, AttemptEnd.CUT);
         DispatchDecision decision = pair.failed(request, AttemptEnd.BUSY);
         assertThat(decision).isInstanceOf(DispatchDecision.Wait.class);
-        pair.pass(((DispatchDecision.Wait) decision).millis());
+        pair.advanceMillis(((DispatchDecision.Wait) decision).millis());
 
         assertThat(pair.core.mayGoElsewhere(request, pair.nowNanos)).isFalse();
     }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchFixture.java
@@ -95,7 +95,7 @@
         fleet.reported(new HostId("other"), inFlight, nowNanos);
     }
 
-    DispatchDecision first(RoutedRequest request) {
+    DispatchDecision dispatch(RoutedRequest request) {
         return core.first(request, nowNanos);
     }
 
@@ -103,7 +103,7 @@
         return core.attemptFailed(request, end, nowNanos);
     }
 
-    void pass(long millis) {
+    void advanceMillis(long millis) {
         nowNanos += TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
@@ -29,7 +29,7 @@
      * counts return to 0.
      */
     @Property
-    void noSequenceOfFailuresBreaksAPromise(
+    void noSequenceOfFailuresBreaksTheRepetitionRulesOrTheReportedOutcome(
             @ForAll Random random,
             @ForAll RouteKind kind,
             @ForAll boolean resumable,
@@ -37,18 +37,18 @@
         DispatchFixture fixture = new DispatchFixture(5);
         Route route = DispatchFixture.route(kind, resumable, max);
         RoutedRequest request = fixture.arrive(route);
-        DispatchDecision decision = fixture.first(request);
+        DispatchDecision decision = fixture.dispatch(request);
         boolean mayHaveRun = false;
         int runs = 0;
         while (!(decision instanceof DispatchDecision.Refuse)) {
             if (decision instanceof DispatchDecision.Wait wait) {
-                fixture.pass(wait.millis());
+                fixture.advanceMillis(wait.millis());
                 decision = fixture.core.again(request, fixture.nowNanos);
                 continue;
             }
             assertThat(mayHaveRun && !route.isRepeatable()).as("sent again").isFalse();
             AttemptEnd end = FAILURES.get(random.nextInt(FAILURES.size()));
-            fixture.pass(random.nextInt(200));
+            fixture.advanceMillis(random.nextInt(200));
             mayHaveRun |= end.mayHaveRun();
             runs += end.mayHaveRun() ? 1 : 0;
             decision = fixture.failed(request, end);
@@ -64,7 +64,7 @@
      * another endpoint exactly if that was predicted, whatever happened to it, its endpoints and equal requests before.
      */
     @Property
-    void aSilentRequestIsSentElsewhereExactlyWhereItMayGoThere(
+    void aSilentRequestIsSentElsewhereExactlyWhenThatWasPredicted(
             @ForAll Random random,
             @ForAll RouteKind kind,
             @ForAll boolean resumable,
@@ -72,13 +72,13 @@
             @ForAll @IntRange(min = 1, max = 10) int max) {
         DispatchFixture fixture = new DispatchFixture(endpoints);
         RoutedRequest request = fixture.arrive(DispatchFixture.route(kind, resumable, max));
-        DispatchDecision decision = fixture.first(request);
+        DispatchDecision decision = fixture.dispatch(request);
         while (!(decision instanceof DispatchDecision.Refuse)) {
-            disturb(fixture, request, random);
+            simulateRandomEvent(fixture, request, random);
             boolean predicted = fixture.core.mayGoElsewhere(request, fixture.nowNanos);
             if (decision instanceof DispatchDecision.Wait wait) {
                 assertThat(predicted).as("no endpoint has it").isFalse();
-                fixture.pass(wait.millis());
+                fixture.advanceMillis(wait.millis());
                 decision = fixture.core.again(request, fixture.nowNanos);
                 continue;
             }
@@ -93,8 +93,8 @@
     }
 
     /** Simulates a random event while a request runs: the answer starts, or other endpoints crash, leave or refuse. */
-    private static void disturb(DispatchFixture fixture, RoutedRequest request, Random random) {
-        fixture.pass(random.nextInt(MAX_PAUSE_MILLIS));
+    private static void simulateRandomEvent(DispatchFixture fixture, RoutedRequest request, Random random) {
+        fixture.advanceMillis(random.nextInt(MAX_PAUSE_MILLIS));
         String other = "e" + random.nextInt(MAX_ENDPOINTS);
         switch (random.nextInt(8)) {
             case 0 -> request.answerBegun();
--- a/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
@@ -18,12 +18,12 @@
      * ejection the host probes the endpoint with a connection of its own, so that no other caller has to wait for it.
      */
     @Test
-    void anEndpointThatCanNotBeReachedCostsOneRequestItsTime() {
+    void anUnreachableEndpointDelaysOnlyOneRequest() {
         int affected = 0;
         int probes = 0;
         for (int step = 0; step < 400; step++) {
             RoutedRequest request = fixture.arrive(SAFE);
-            DispatchDecision decision = fixture.first(request);
+            DispatchDecision decision = fixture.dispatch(request);
             if (endpoint(decision).equals("e0")) {
                 affected++;
                 decision = fixture.failed(request, AttemptEnd.UNREACHABLE);
@@ -33,16 +33,16 @@
                 probes++;
                 fixture.fleet.probed(due.key(), false, fixture.nowNanos);
             }
-            fixture.pass(25);
+            fixture.advanceMillis(25);
         }
         assertThat(affected).isEqualTo(1);
         assertThat(probes).isBetween(3, 5);
     }
 
     @Test
-    void anEndpointThatIsReachedAgainGetsRequestsAgain() {
+    void anEndpointGetsRequestsAgainAfterASuccessfulProbe() {
         makeUnreachable();
-        fixture.pass(500);
+        fixture.advanceMillis(500);
         List<FleetEndpoint> due = fixture.fleet.takeProbes(fixture.nowNanos);
         assertThat(due).extracting(endpoint -> endpoint.key().id()).containsExactly("e0");
         assertThat(fixture.fleet.takeProbes(fixture.nowNanos)).isEmpty();
@@ -54,22 +54,22 @@
 
     /** Another endpoint has the address: a probe would connect to it and prove nothing. */
     @Test
-    void anEndpointWhoseAddressIsAnothersIsLeftOutForATimeAndNotTried() {
+    void anEndpointWhoseAddressWasReassignedIsEjectedForATimeAndNotProbed() {
         RoutedRequest request = request("e0");
         fixture.failed(request, AttemptEnd.OTHER_ENDPOINT);
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isFalse();
 
-        fixture.pass(500);
+        fixture.advanceMillis(500);
         assertThat(fixture.fleet.takeProbes(fixture.nowNanos)).isEmpty();
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isTrue();
     }
 
     /** This host is cut off from all endpoints: it keeps sending requests to half, as it cannot tell the cause. */
     @Test
-    void noMoreThanHalfOfTheEndpointsAreLeftOut() {
+    void noMoreThanHalfOfTheEndpointsAreEjected() {
         for (int i = 0; i < 8; i++) {
             RoutedRequest request = fixture.arrive(SAFE);
-            DispatchDecision decision = fixture.first(request);
+            DispatchDecision decision = fixture.dispatch(request);
             while (decision instanceof DispatchDecision.Send) {
                 decision = fixture.failed(request, AttemptEnd.UNREACHABLE);
             }
@@ -88,7 +88,7 @@
         List<RoutedRequest> others = new ArrayList<>();
         while (true) {
             RoutedRequest request = fixture.arrive(SAFE);
-            if (endpoint(fixture.first(request)).equals(endpoint)) {
+            if (endpoint(fixture.dispatch(request)).equals(endpoint)) {
                 others.forEach(other -> fixture.core.attemptSucceeded(other, fixture.nowNanos));
                 return request;
             }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/FleetYieldTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/FleetYieldTest.java
@@ -18,14 +18,15 @@
 
     /** Three hosts have items at an overcommitted endpoint: together they stop exactly as many as exceed its slots. */
     @Property
-    void hostsWithTheSameReportsGiveBackTogetherWhatIsTooMuch(@ForAll Random random) {
+    void hostsWithTheSameReportsTogetherYieldExactlyTheExcess(@ForAll Random random) {
         List<HostId> hosts = List.of(new HostId("a"), new HostId("b"), new HostId("c"));
         Map<HostId, InFlight> inFlight = new HashMap<>();
         hosts.forEach(host -> inFlight.put(host, new InFlight(random.nextInt(5), random.nextInt(5))));
         int online = inFlight.values().stream().mapToInt(InFlight::online).sum();
         int batch = inFlight.values().stream().mapToInt(InFlight::batch).sum();
 
-        int yielded = hosts.stream().mapToInt(host -> share(host, inFlight)).sum();
+        int yielded =
+                hosts.stream().mapToInt(host -> yieldShare(host, inFlight)).sum();
 
         int excess = Math.max(0, online + batch - DispatchFixture.SLOTS);
         assertThat(yielded).isEqualTo(Math.min(excess, batch));
@@ -33,7 +34,7 @@
 
     /** Crossing reports of two hosts make an endpoint seem overcommitted for some milliseconds: no item yields. */
     @Test
-    void aMomentOfTooMuchPushesNothingOut() {
+    void aBriefExcessDisplacesNoItems() {
         YieldTiming timing = new YieldTiming();
 
         assertThat(timing.due(KEY, 2, 0)).isZero();
@@ -45,7 +46,7 @@
 
     /** Pauses double during a burst, so that few items start only to yield again, and are reset after it. */
     @Test
-    void anEndpointPausesLongerTheLongerAWaveLasts() {
+    void thePauseOfAnEndpointDoublesDuringABurst() {
         ItemPause pause = new ItemPause();
         long now = 1_000_000_000L;
         pause.gaveWay(KEY, now);
@@ -71,7 +72,7 @@
         assertThat(placement.choose(endpoints, true, fixture.nowNanos)).isPresent();
     }
 
-    private static int share(HostId self, Map<HostId, InFlight> inFlight) {
+    private static int yieldShare(HostId self, Map<HostId, InFlight> inFlight) {
         Fleet fleet = new Fleet();
         fleet.directory(List.of(DispatchFixture.entry("e0", 1, false)));
         inFlight.forEach((host, load) -> {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/LeftEndpointTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/SilentEndpointFailoverTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests requests that were moved away from a merely silent endpoint. */
-class LeftEndpointTest {
+class SilentEndpointFailoverTest {
     private static final Route RESUMABLE = DispatchFixture.route(RouteKind.STREAM, true, 2);
 
     /** Guards against an answer that is cut because no other endpoint is free once its silent endpoint was given up. */
     @Test
-    void aStreamThatHasLeftItsSilentEndpointWaitsWhereNoOtherIsFreeAnyMore() {
+    void aStreamMovedFromItsSilentEndpointWaitsWhileNoOtherEndpointIsFree() {
         for (boolean begun : List.of(true, false)) {
             DispatchFixture pair = new DispatchFixture(2);
             RoutedRequest request = pair.arrive(RESUMABLE);
-            EndpointKey silent = sent(pair.first(request));
+            EndpointKey silent = sent(pair.dispatch(request));
             EndpointKey other = DispatchFixture.key(silent.id().equals("e0") ? "e1" : "e0");
             if (begun) {
                 request.answerBegun();
@@ -27,10 +27,10 @@
             pair.fleet.observed(other, AttemptEnd.BUSY, pair.nowNanos);
 
             assertThat(pair.failed(request, AttemptEnd.SILENT)).isInstanceOf(DispatchDecision.Wait.class);
-            pair.pass(50);
+            pair.advanceMillis(50);
             assertThat(sent(pair.core.again(request, pair.nowNanos))).isEqualTo(other);
             assertThat(pair.failed(request, AttemptEnd.BUSY)).isInstanceOf(DispatchDecision.Wait.class);
-            pair.pass(50);
+            pair.advanceMillis(50);
             assertThat(sent(pair.core.again(request, pair.nowNanos))).isEqualTo(other);
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/SpreadReturnTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicyTest.java
@@ -8,20 +8,20 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the retry times given to callers whose requests were refused. */
-class SpreadReturnTest {
+class SpreadRetryAfterPolicyTest {
     private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final SpreadReturn returns = new SpreadReturn(new Random(1));
+    private final SpreadRetryAfterPolicy policy = new SpreadRetryAfterPolicy(new Random(1));
 
     @Test
-    void theFirstCallerComesBackWhenTheWaitIsOver() {
-        assertThat(returns.retryAfterMillis(overloadAt(SECOND_NANOS, 5000))).isEqualTo(120);
+    void theFirstCallerRetriesWhenTheForecastWaitIsOver() {
+        assertThat(policy.retryAfterMillis(overloadAt(SECOND_NANOS, 5000))).isEqualTo(120);
     }
 
     @Test
-    void eachFurtherCallerComesBackLater() {
-        long first = returns.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
-        long second = returns.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
+    void eachFurtherCallerRetriesLater() {
+        long first = policy.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
+        long second = policy.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
 
         // 8 hosts share a tenth of 100 slots, each of which becomes free every 800 ms.
         assertThat(second - first).isEqualTo(640);
@@ -29,10 +29,10 @@
 
     /** In a burst no caller is told a longer wait than it accepts, and the latest retry times are spread. */
     @Test
-    void nobodyIsToldMoreThanItWaitsAndTheLatestAreSpread() {
+    void noRetryTimeExceedsTheLimitAndTheLatestAreSpread() {
         long[] millis = new long[100];
         for (int i = 0; i < millis.length; i++) {
-            millis[i] = returns.retryAfterMillis(overloadAt(SECOND_NANOS, 3000));
+            millis[i] = policy.retryAfterMillis(overloadAt(SECOND_NANOS, 3000));
         }
 
         assertThat(millis)
@@ -42,13 +42,12 @@
     }
 
     @Test
-    void afterTheWaveTheFirstComesBackSoonAgain() {
+    void afterTheBurstTheFirstCallerRetriesSoonAgain() {
         for (int i = 0; i < 100; i++) {
-            returns.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
+            policy.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
         }
 
-        assertThat(returns.retryAfterMillis(overloadAt(10 * SECOND_NANOS, 5000)))
-                .isEqualTo(120);
+        assertThat(policy.retryAfterMillis(overloadAt(10 * SECOND_NANOS, 5000))).isEqualTo(120);
     }
 
     private static OverloadCase overloadAt(long nowNanos, long leftMillis) {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicyTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicyTest.java
@@ -12,52 +12,52 @@
     private final StandingQueuePolicy policy = new StandingQueuePolicy();
 
     @Test
-    void aRequestWithAFreeSlotIsNeverTurnedAway() {
-        assertThat(turnsAway("s", 0, 0)).isFalse();
-        assertThat(turnsAway("s", 0, 60_000)).isFalse();
+    void aRequestWithAFreeSlotIsNeverRefused() {
+        assertThat(refuses("s", 0, 0)).isFalse();
+        assertThat(refuses("s", 0, 60_000)).isFalse();
     }
 
     @Test
-    void inAQueueThatHasJustFormedRequestsMayWaitForMostOfTheirTarget() {
-        turnsAway("s", 0, 0);
+    void inATransientQueueRequestsMayWaitForMostOfTheirTarget() {
+        refuses("s", 0, 0);
 
-        assertThat(turnsAway("s", 200, 50)).isFalse();
-        assertThat(turnsAway("s", 220, 50)).isTrue();
+        assertThat(refuses("s", 200, 50)).isFalse();
+        assertThat(refuses("s", 220, 50)).isTrue();
     }
 
     @Test
-    void inAQueueThatStandsTheyMayNot() {
-        turnsAway("s", 0, 0);
+    void inAStandingQueueRequestsMayWaitForASmallPartOfTheirTarget() {
+        refuses("s", 0, 0);
 
-        assertThat(turnsAway("s", 80, 250)).isFalse();
-        assertThat(turnsAway("s", 100, 250)).isTrue();
+        assertThat(refuses("s", 80, 250)).isFalse();
+        assertThat(refuses("s", 100, 250)).isTrue();
     }
 
     @Test
-    void aFreeSlotEndsTheQueue() {
-        turnsAway("s", 0, 0);
-        turnsAway("s", 100, 1000);
-        turnsAway("s", 0, 1100);
+    void aFreeSlotEndsTheStandingQueue() {
+        refuses("s", 0, 0);
+        refuses("s", 100, 1000);
+        refuses("s", 0, 1100);
 
-        assertThat(turnsAway("s", 200, 1150)).isFalse();
+        assertThat(refuses("s", 200, 1150)).isFalse();
     }
 
     @Test
-    void theQueueOfOneServiceSaysNothingOfAnother() {
-        turnsAway("s", 0, 0);
-        turnsAway("t", 0, 900);
+    void theQueueOfOneServiceDoesNotAffectAnother() {
+        refuses("s", 0, 0);
+        refuses("t", 0, 900);
 
-        assertThat(turnsAway("t", 200, 1000)).isFalse();
-        assertThat(turnsAway("s", 200, 1000)).isTrue();
+        assertThat(refuses("t", 200, 1000)).isFalse();
+        assertThat(refuses("s", 200, 1000)).isTrue();
     }
 
     /** A host that has just started and finds all slots in use does not know how long they have been so. */
     @Test
-    void beforeAnythingIsKnownRequestsMayWait() {
-        assertThat(turnsAway("s", 200, 0)).isFalse();
+    void withoutHistoryRequestsMayWaitForMostOfTheirTarget() {
+        assertThat(refuses("s", 200, 0)).isFalse();
     }
 
-    private boolean turnsAway(String service, double waitMillis, long atMillis) {
+    private boolean refuses(String service, double waitMillis, long atMillis) {
         long nowNanos = TimeUnit.MILLISECONDS.toNanos(atMillis);
         OverloadCase overload = new OverloadCase(service, waitMillis, TARGET_MILLIS, 5000, 100, 800, 8, nowNanos);
         return waitMillis > policy.longestWaitMillis(overload);
