--- a/src/main/java/org/gooseberryhill/decision/lease/LeaseGuard.java
+++ b/src/main/java/org/gooseberryhill/decision/lease/LeaseGuard.java
@@ -6,41 +6,49 @@
 /**
  * Tells whether this host may still act under its lease. Not thread-safe.
  *
- * <p>Failure: a host is paused, its lease lapses, another takes over; on waking it would act as if nothing had
- * happened. Two things stop it: the time is counted on the monotonic clock from before each renewal was <em>sent</em>,
- * less a margin, so this host stops earlier than the key-value service forgets it; and what it does carries the fence
- * of its claim, which is refused once the claim is gone.
+ * <p>Failure: a host is paused, its lease expires and another host takes over; when the first one resumes, it would go
+ * on as if it still held the lease. Two measures prevent this. The validity period is counted on the monotonic clock
+ * from before each renewal was <em>sent</em>, less a margin, so this host stops before the key-value service expires
+ * the lease. And each action carries the fence of its claim, so it is refused once the claim is gone.
  */
 public final class LeaseGuard {
     private final long marginNanos;
     private Optional<Long> leaseId = Optional.empty();
     private long validUntilNanos;
 
-    /** A guard that stops this long before the lease ends, in milliseconds. */
+    /**
+     * Creates a guard without a lease.
+     *
+     * @param marginMillis how long before its expiry a lease stops being usable
+     */
     public LeaseGuard(long marginMillis) {
         this.marginNanos = TimeUnit.MILLISECONDS.toNanos(marginMillis);
     }
 
-    /** A lease was granted or renewed; the time is that before the request was sent. */
+    /**
+     * Records that a lease was granted or renewed.
+     *
+     * @param sentNanos the time just before the request was sent
+     */
     public void renewed(long id, long sentNanos, long ttlMillis) {
         long until = sentNanos + TimeUnit.MILLISECONDS.toNanos(ttlMillis) - marginNanos;
         boolean sameLease = leaseId.equals(Optional.of(id));
-        // Answers can overtake each other; an older one must not shorten the time that a newer one gave.
+        // Answers may arrive out of order; an older one must not shorten the validity that a newer one granted.
         validUntilNanos = sameLease ? Math.max(validUntilNanos, until) : until;
         leaseId = Optional.of(id);
     }
 
-    /** The key-value service said that the lease is gone. */
+    /** Records that the lease no longer exists, as reported by the key-value service. */
     public void lost() {
         leaseId = Optional.empty();
     }
 
-    /** The lease, if this host may act under it now. */
+    /** Returns the id of the lease if this host may act under it now. */
     public Optional<Long> usable(long nowNanos) {
         return leaseId.filter(id -> nowNanos - validUntilNanos < 0);
     }
 
-    /** The lease that was granted, usable or not. */
+    /** Returns the id of the lease that was granted, whether it is usable or not. */
     public Optional<Long> granted() {
         return leaseId;
     }
--- a/src/main/java/org/gooseberryhill/decision/lease/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Leases: until when a host may act on what it holds. */
+/** Leases: how long a host may act under the lease that the key-value service granted to it. */
 package org.gooseberryhill.decision.lease;
--- a/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
+++ b/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
@@ -11,15 +11,20 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * Rendezvous hashing (Thaler and Ravishankar, 1998) over hosts, own zone first. Stateless and thread-safe.
+ * Assigns keys to hosts by rendezvous hashing (Thaler and Ravishankar, 1998), preferring hosts of a given zone.
+ * Stateless and thread-safe.
  *
- * <p>Invariant: hosts with the same view name the same owner, and a lost host moves only what it owned. Hosts with
- * different views may name two owners for a while: what must be exclusive carries a fence from the key-value service.
+ * <p>Invariant: hosts with the same view compute the same owner, and the loss of a host moves only the keys that it
+ * owned. Hosts with different views may compute two owners for a while, so exclusive work carries a fence from the
+ * key-value service.
  */
 public final class Ownership {
     private Ownership() {}
 
-    /** The owner of a key: the highest ranked host of the zone that is not leaving, else of any zone. */
+    /**
+     * Returns the owner of a key: the highest ranked host of the zone that is not leaving; else that of any zone; else
+     * the highest ranked host, even if it is leaving.
+     */
     public static Optional<Host> owner(String key, Optional<AvailabilityZone> zone, Collection<Host> hosts) {
         List<Host> ranked = rank(key, hosts);
         return ranked.stream()
@@ -29,22 +34,22 @@
                 .or(() -> ranked.stream().findFirst());
     }
 
-    /** The steward of an endpoint: one of its own zone if there is one. */
+    /** Returns the steward of an endpoint, preferably one in the zone of the endpoint. */
     public static Optional<Host> ownerOfEndpoint(String endpoint, AvailabilityZone zone, Collection<Host> stewards) {
         return owner("endpoint/" + endpoint, Optional.of(zone), stewards);
     }
 
-    /** The steward that owns a job. */
+    /** Returns the steward that owns a job. */
     public static Optional<Host> ownerOfJob(JobKey job, Collection<Host> stewards) {
         return owner("job/" + job.path(), Optional.empty(), stewards);
     }
 
-    /** The steward that arbitrates the suspects of a service. */
+    /** Returns the steward that arbitrates the suspect requests of a service. */
     public static Optional<Host> ownerOfSuspects(String service, Collection<Host> stewards) {
         return owner("suspects/" + service, Optional.empty(), stewards);
     }
 
-    /** All hosts, highest score for the key first. */
+    /** Returns all hosts, those with the highest score for the key first. */
     public static List<Host> rank(String key, Collection<Host> hosts) {
         return hosts.stream()
                 .sorted(Comparator.comparingLong((Host host) -> score(key, host))
@@ -54,8 +59,8 @@
     }
 
     /**
-     * The hosts that shall hold copies of a key: one a zone in the order of rank, until the number is reached; hosts
-     * of used zones only if there are too few zones.
+     * Returns the hosts that are to hold copies of a key: one host per zone in rank order until the number is reached.
+     * A second host of a zone is chosen only if there are fewer zones than copies.
      */
     public static List<Host> copies(String key, int number, Collection<Host> hosts) {
         List<Host> ranked = rank(key, hosts);
--- a/src/main/java/org/gooseberryhill/decision/ownership/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/ownership/package-info.java
@@ -1,2 +1,2 @@
-/** Which host looks after what, worked out alike on every host from the same view, with no messages. */
+/** Assignment of keys to hosts, computed on each host from its view of the hosts, without messages. */
 package org.gooseberryhill.decision.ownership;
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
@@ -3,17 +3,19 @@
 import org.gooseberryhill.contract.Outcome;
 
 /**
- * Decides when a submitted batch is accepted: by its record in the key-value store, or by copies on the disks of other hosts
- * that outlast the loss of some of them. Not thread-safe.
+ * Decides when a submitted batch is accepted: once its record is in the key-value store, or once enough other hosts
+ * hold copies on disk to survive the loss of some of them. Not thread-safe.
  *
- * <p>Failure: the key-value store is out for seconds, and batches that come meanwhile are confirmed late or not at all, though
- * there are slots for their items. Invariants: a caller gets one answer; it is confirmed only when the record or enough copies
- * are durable; once a copy may be kept anywhere, or the record written, nobody says that the batch has not run.
+ * <p>Failure: the key-value store is unavailable for seconds, and batches that are submitted meanwhile are confirmed
+ * late or not at all, although slots for their items are free. Invariants: a caller gets exactly one answer; a
+ * submission is confirmed only when its record or enough copies are durable; once a copy may exist on any host, or the
+ * record may be written, the caller is never told that the batch has not run.
  */
 public final class BatchAcceptance {
     /**
-     * The share of the target for a confirmation after which the key-value store counts as slow. It answers in a few
-     * milliseconds or, in a slow spell, later than the target; what is left is for the disks of busy hosts.
+     * The share of the target latency of a confirmation after which the key-value store counts as slow. The store
+     * answers either in a few milliseconds or, when it is slow, later than the target. The rest of the target is left
+     * for disk writes on busy hosts.
      */
     private static final double COPIES_SHARE_OF_TARGET = 0.25;
 
@@ -23,51 +25,58 @@
     private boolean answered;
 
     /**
-     * A submission that nothing is known of yet.
+     * Creates the state of a submission without a record or copies.
      *
-     * @param copiesNeeded how many copies outlast all losses that are to be borne
+     * @param copiesNeeded how many copies survive all host losses that must be tolerated
      */
     public BatchAcceptance(int copiesNeeded) {
         this.copiesNeeded = copiesNeeded;
     }
 
-    /** How long after its arrival copies of a submission are asked for, if the key-value store has not answered. */
+    /**
+     * Returns how long after its arrival copies of a submission are requested if the key-value store has not answered.
+     */
     public static long copiesAfterMillis(long targetLatencyMillis) {
         return Math.round(COPIES_SHARE_OF_TARGET * targetLatencyMillis);
     }
 
-    /** Whether the caller has its answer. */
+    /** Returns whether the caller has got its answer. */
     public boolean isAnswered() {
         return answered;
     }
 
-    /** Whether some host may have a copy. */
+    /** Returns whether some host may hold a copy. */
     public boolean mayBeCopied() {
         return copiesAsked;
     }
 
-    /** Copies are asked for now, if the hosts that may keep them suffice; returns whether they do. */
+    /**
+     * Records that copies are requested now if the caller is unanswered and there are enough hosts to hold them.
+     *
+     * @param hosts the number of hosts that can hold a copy
+     * @return whether the copies are to be requested
+     */
     public boolean askCopies(int hosts) {
         boolean suffice = !answered && hosts >= copiesNeeded;
         copiesAsked |= suffice;
         return suffice;
     }
 
-    /** The key-value store has the record; returns whether the caller is to be answered now. */
+    /** Records that the key-value store has the record; returns whether the caller is to be answered now. */
     public boolean recorded() {
         return answer();
     }
 
-    /** Another copy is durable; returns whether the caller is to be answered now. */
+    /** Records that one more copy is durable; returns whether the caller is to be answered now. */
     public boolean copyKept() {
         copiesKept++;
         return copiesKept >= copiesNeeded && answer();
     }
 
     /**
-     * The submission is given up; its caller is to be told the outcome.
+     * Gives up the submission and returns the outcome to tell its caller.
      *
-     * @param mayBeRecorded whether the record may be written, or may yet be
+     * @param mayBeRecorded whether the record may have been written or may still be written
      */
     public Outcome giveUp(boolean mayBeRecorded) {
         answered = true;
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchExpiry.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchExpiry.java
@@ -7,26 +7,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When nothing of a finished batch is owed any more. Not thread-safe.
+ * Determines when the retention period of finished batches has passed. Not thread-safe.
  *
- * <p>Failure: a host's time of day is wrong by an hour, and results that were promised for minutes are deleted at once. So the
- * times in records don't count: a batch has to be seen finished for the whole time by the steady clock of the host that
- * deletes it, which begins anew with each process.
+ * <p>Failure: the wall clock of a host is wrong by an hour, and results that were promised for minutes are deleted at
+ * once. Timestamps in records are therefore ignored: a batch has to be observed as finished for the whole period on the
+ * monotonic clock of the host that deletes it. The period starts again when the process restarts.
  */
 public final class BatchExpiry {
     private final long retentionNanos;
     private final Map<String, Long> finishedSinceNanos = new HashMap<>();
 
     /**
-     * An expiry that has seen nothing yet.
+     * Creates an expiry that has observed no batches.
      *
-     * @param retentionMillis how long a batch is kept after it was seen finished
+     * @param retentionMillis how long a batch is kept after it was first observed as finished
      */
     public BatchExpiry(long retentionMillis) {
         this.retentionNanos = TimeUnit.MILLISECONDS.toNanos(retentionMillis);
     }
 
-    /** Takes in which of all batches are finished; returns those whose time is over. */
+    /**
+     * Updates the set of finished batches.
+     *
+     * @param finished the ids of all batches that are finished now; the period of one that is missing starts again
+     * @return the ids of the batches whose retention period has passed, sorted
+     */
     public List<String> observe(Set<String> finished, long nowNanos) {
         finishedSinceNanos.keySet().retainAll(finished);
         finished.forEach(id -> finishedSinceNanos.putIfAbsent(id, nowNanos));
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchPage.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchPage.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Results of a batch from a position on. Immutable.
+ * A page of the results of a batch. Immutable.
  *
- * @param total the number of items
- * @param after the position of the first result
- * @param results the results in the order of their positions
+ * @param total the number of items of the batch
+ * @param after the position of the first result of the page
+ * @param results the results in order of position
  */
 public record BatchPage(int total, int after, List<ItemResult> results) {
-    /** The position after the last result. */
+    /** Returns the position after the last result of the page. */
     public int next() {
         return after + results.size();
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchRecord.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * What the key-value store knows of a batch: written when it is accepted, with each commit of results, and when it ends.
- * Immutable.
+ * The state of a batch in the key-value store: written when the batch is accepted or changes its owner, with each
+ * commit of results, and when its caller ends it. Immutable.
  *
- * <p>Invariant: it changes only by compare-and-set on its revision, so of two hosts that both think they own a batch
- * one finds its commit refused; positions are therefore given once.
+ * <p>Invariant: a record changes only by compare-and-set on its revision. If two hosts both believe that they own a
+ * batch, the commit of one of them is refused, so each position is assigned once.
  *
  * @param host the value of the batch's host header
- * @param target path and query of its submission, which its route is found by
- * @param bodyHash tells the same batch sent again from another one under its id
- * @param owner the host that runs it
- * @param ownerStart tells that host's process from an earlier one
- * @param acceptedAtMillis when it was accepted, in epoch milliseconds
- * @param bodyParts in how many values its items are kept
+ * @param target path and query of the submission, by which its route is found
+ * @param bodyHash distinguishes a repeated submission of the batch from another batch with the same id
+ * @param owner the host that runs the batch
+ * @param ownerStart distinguishes the owner's process from earlier processes of that host
+ * @param acceptedAtMillis when the batch was accepted, in epoch milliseconds
+ * @param bodyParts the number of values in which the items are stored
  * @param items the number of items
- * @param ended whether its caller ended it
+ * @param ended whether the caller ended the batch
  * @param chunks the first position of each committed chunk of results, in order
- * @param listed how many positions are committed
+ * @param listed the number of committed positions
  */
 public record BatchRecord(
         String host,
@@ -35,13 +35,13 @@
         boolean ended,
         List<Integer> chunks,
         int listed) {
-    /** Whether nothing is left to do. */
+    /** Returns whether the caller ended the batch or all its results are committed. */
     @JsonIgnore
     public boolean isFinished() {
         return ended || listed >= items;
     }
 
-    /** The same batch in the hands of another process. */
+    /** Returns a copy of this record that is owned by another process. */
     public BatchRecord ownedBy(String newOwner, String newOwnerStart) {
         return new BatchRecord(
                 host,
@@ -57,13 +57,13 @@
                 listed);
     }
 
-    /** The same batch, ended by its caller. */
+    /** Returns a copy of this record that is marked as ended by the caller. */
     public BatchRecord asEnded() {
         return new BatchRecord(
                 host, target, bodyHash, owner, ownerStart, acceptedAtMillis, bodyParts, items, true, chunks, listed);
     }
 
-    /** The same batch with more results. */
+    /** Returns a copy of this record with one more committed chunk of the given number of results. */
     public BatchRecord withChunk(int results) {
         List<Integer> more = new ArrayList<>(chunks);
         more.add(listed);
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/DueItem.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/DueItem.java
@@ -1,20 +1,20 @@
 package org.gooseberryhill.decision.requestbatch;
 
 /**
- * An open item with what decides about its turn. Immutable.
+ * An open item with the values that determine its place in the scheduling order. Immutable.
  *
- * @param batch its batch
+ * @param batch the batch of the item
  * @param item the item
- * @param leftMillis how long until its batch is due; negative once that has passed
- * @param runMillis how long it is likely to run until it is done
+ * @param leftMillis the time until the batch is due; negative if that time has passed
+ * @param runMillis the expected run time until the item is done
  */
 public record DueItem(OwnedBatch batch, ItemProgress item, long leftMillis, double runMillis) {
-    /** How long it may still wait and be done when it is due; negative if it can't be. */
+    /** Returns how long the item can still wait and be done in time; negative if it can't be done in time. */
     public double slackMillis() {
         return leftMillis - runMillis;
     }
 
-    /** Whether it is done when it is due, if it runs from now on. */
+    /** Returns whether the item is expected to be done in time if it starts now. */
     public boolean isFeasible() {
         return slackMillis() >= 0;
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/FeasibleFirstOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/FeasibleFirstOrder.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * Items that can still be done when they are due go first, the one with the least time to spare before others; those that
- * can't follow, the oldest first. Stateless.
+ * Orders items that can still be done in time first, by least slack; items that can't be done in time follow, earliest
+ * due first. Stateless.
  *
- * <p>Load pattern: all hosts were away for some seconds, or a rush of batches came, and more is due than the slots can do.
- * If what is due first goes first, each item is done just after it was due, and the next one as well: one outage makes the
- * batches of half a minute late. An item that is late anyway loses little by being later.
+ * <p>Load pattern: after an outage of all hosts for some seconds, or a burst of batches, more items are due than the
+ * slots can complete in time. With the earliest due item first, each item in turn is done just after it was due, so one
+ * outage makes the batches of half a minute late. An item that is late anyway loses little by being later still.
  */
 public final class FeasibleFirstOrder implements ItemOrder {
     private static final Comparator<DueItem> ORDER =
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
@@ -23,13 +23,17 @@
 import org.gooseberryhill.route.RouteTarget;
 
 /**
- * Decides which items of a host's batches start, where, and which of them give way to online requests. Not thread-safe.
+ * Decides which items of a host's batches start, on which endpoints, and which running items yield to online requests.
+ * Not thread-safe.
  *
- * <p>Invariants: an item runs once at a time; each run that was begun here ends here, so the count of what is in flight
- * holds.
+ * <p>Invariants: an item has at most one run at a time; each run that is started here is also ended here, so the count
+ * of runs in flight stays correct.
  */
 public final class ItemDispatch {
-    /** With less time to spare than this many whole runs an item no longer waits for a slot beyond the reserve. */
+    /**
+     * Items with less slack than this many whole runs are urgent: they may take a slot of the reserve for online
+     * requests.
+     */
     private static final double URGENT_SLACK_RUNS = 1;
 
     private final HostId self;
@@ -42,7 +46,7 @@
     private final RunForecast forecast = new RunForecast();
     private final Map<EndpointKey, List<PlacedItem>> placed = new TreeMap<>();
 
-    /** A dispatch of one host's items over the endpoints that it knows. */
+    /** Creates a dispatch of the items of one host to the endpoints that this host knows. */
     public ItemDispatch(HostId self, Fleet fleet, BatchRoutes routes, ItemOrder order, ItemPlacement placement) {
         this.self = self;
         this.fleet = fleet;
@@ -51,12 +55,12 @@
         this.placement = placement;
     }
 
-    /** How many items run. */
+    /** Returns the number of running items. */
     public int running() {
         return placed.values().stream().mapToInt(List::size).sum();
     }
 
-    /** The runs that start now; they count as started. */
+    /** Starts runs on free slots and returns them, already counted as in flight. */
     public List<PlacedItem> start(Collection<OwnedBatch> batches, long nowNanos, long nowMillis) {
         List<DueItem> items = new ArrayList<>();
         for (OwnedBatch batch : batches) {
@@ -69,7 +73,10 @@
         return items.isEmpty() ? List.of() : place(order.inOrder(items), nowNanos);
     }
 
-    /** The runs that give way now, where more is in flight than an endpoint has slots; they count as running until they end. */
+    /**
+     * Returns the runs that have to yield now because their endpoint has more requests in flight than slots. They count
+     * as running until {@link #ended} is called.
+     */
     public List<PlacedItem> giveWay(long nowNanos, long nowMillis) {
         List<PlacedItem> leaving = new ArrayList<>();
         placed.forEach((key, runs) -> fleet.find(key).ifPresent(endpoint -> {
@@ -82,17 +89,17 @@
         return leaving;
     }
 
-    /** The runs of a batch. */
+    /** Returns the runs of a batch. */
     public List<PlacedItem> runsOf(String batchId) {
         return all().stream().filter(run -> run.batch().id().equals(batchId)).toList();
     }
 
-    /** All runs. */
+    /** Returns all runs. */
     public List<PlacedItem> all() {
         return placed.values().stream().flatMap(List::stream).toList();
     }
 
-    /** A run ended. */
+    /** Records the end of a run. */
     public void ended(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, long nowNanos) {
         EndpointKey key = run.endpoint().key();
         List<PlacedItem> runs = placed.get(key);
@@ -152,7 +159,10 @@
         return endpoints;
     }
 
-    /** Those that would get a free slot last; of equals the one that started last, which has the least to read again. */
+    /**
+     * Returns the runs whose items are last in the order for free slots; among equal ones those that started last,
+     * which have the least output to process again when they are resumed.
+     */
     private List<PlacedItem> leastLoss(List<PlacedItem> runs, int number, long nowMillis) {
         Map<DueItem, PlacedItem> runsByItem = new LinkedHashMap<>();
         for (PlacedItem run : runs) {
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemOrder.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-/** In which order the items of all batches of a host get free slots. */
+/** Determines the order in which the items of all batches of a host get free slots. */
 public interface ItemOrder {
-    /** The items in the order of their turns, all of them. */
+    /** Returns all the items, those that get a slot first at the front. */
     List<DueItem> inOrder(List<DueItem> items);
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * How far one item of an owned batch is. Not thread-safe.
+ * Tracks the progress of one item of an owned batch. Not thread-safe.
  *
- * <p>Invariant: it gets one result. What it generated so far is kept when a run breaks off, and the next run goes on after
- * the last event of it.
+ * <p>Invariant: an item gets exactly one result. When a run is interrupted, its output is kept, and the next run
+ * resumes after the last event; output without event ids is discarded instead.
  */
 public final class ItemProgress {
     private final BatchItem item;
@@ -25,22 +25,22 @@
         this.item = item;
     }
 
-    /** What was submitted. */
+    /** Returns the item as submitted. */
     public BatchItem item() {
         return item;
     }
 
-    /** The event after which the next run goes on. */
+    /** Returns the id of the event after which the next run resumes; empty if it starts from the beginning. */
     public Optional<Long> lastEventId() {
         return lastEventId;
     }
 
-    /** Whether some output is there, which another run would have to generate again. */
+    /** Returns whether the item has output, which a run from the beginning would have to generate again. */
     public boolean isBegun() {
         return begun;
     }
 
-    /** Takes in an event of the present run; one that is there already changes nothing. */
+    /** Appends an event of the current run; an event that was received before is ignored. */
     public void event(Optional<Long> id, String data) {
         if (id.isPresent() && lastEventId.isPresent() && id.get() <= lastEventId.get()) {
             return;
@@ -57,17 +57,17 @@
         }
     }
 
-    /** How many characters it has generated so far. */
+    /** Returns the number of characters generated so far. */
     public int characters() {
         return text.length();
     }
 
-    /** How many of its runs ended with an error answer. */
+    /** Returns the number of runs that ended with an error answer. */
     public int errorAnswers() {
         return errorAnswers;
     }
 
-    /** Whether it ended without its output. */
+    /** Returns whether the item was given up. */
     public boolean isGivenUp() {
         return result.map(end -> end.state() == ItemState.GIVEN_UP).orElse(false);
     }
@@ -76,7 +76,7 @@
         return running;
     }
 
-    /** How many events this host has taken in for it. */
+    /** Returns the number of events that this host has received for the item. */
     long events() {
         return events;
     }
@@ -111,12 +111,12 @@
         return ++fruitlessRuns;
     }
 
-    /** Whether the present run brought an event. */
+    /** Returns whether the current run has delivered a new event. */
     boolean isRunFruitful() {
         return runFruitful;
     }
 
-    /** Events without ids can't be continued: the next run begins anew. */
+    /** Discards output whose events have no ids: it can't be resumed, so the next run starts from the beginning. */
     void forgetUnlessResumable() {
         if (begun && lastEventId.isEmpty()) {
             text.setLength(0);
@@ -124,7 +124,7 @@
         }
     }
 
-    /** What it has generated so far, if another run may go on from there. */
+    /** Returns the output generated so far, if another run can resume after it. */
     Optional<ItemCheckpoint> checkpoint() {
         if (result.isPresent() || !begun || lastEventId.isEmpty()) {
             return Optional.empty();
@@ -132,7 +132,7 @@
         return Optional.of(new ItemCheckpoint(item.id(), lastEventId.get(), text.toString()));
     }
 
-    /** An earlier owner generated this much of it; less than is known already changes nothing. */
+    /** Restores output that an earlier owner generated, unless at least as much is already known. */
     void restored(ItemCheckpoint checkpoint) {
         if (result.isPresent() || lastEventId.orElse(0L) >= checkpoint.lastEventId()) {
             return;
@@ -143,7 +143,7 @@
         begun = true;
     }
 
-    /** Its result was committed by an earlier owner. */
+    /** Restores a result that an earlier owner committed. */
     void restored(ItemResult committed) {
         result = Optional.of(committed);
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemState.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemState.java
@@ -1,9 +1,9 @@
 package org.gooseberryhill.decision.requestbatch;
 
-/** How an item ended. Immutable. */
+/** The final state of an item. */
 public enum ItemState {
-    /** It has its whole output. */
+    /** The item has its complete output. */
     DONE,
-    /** It was given up for good. */
+    /** The item was given up permanently. */
     GIVEN_UP
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
@@ -8,26 +8,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A batch as its owner runs it. Not thread-safe.
+ * The state of a batch on the host that owns and runs it. Not thread-safe.
  *
- * <p>Invariants: positions are given in commits only, each once; an item has one position; a result is shown only after
- * its commit. An item is given up only when an endpoint said that it can never be done, when its attempts are used up, or
- * when it may be abandoned by its age.
+ * <p>Invariants: positions are assigned only by commits, each of them once; an item has one position; a result is
+ * visible only after its commit. An item is given up only when an endpoint answered that the item can never be run,
+ * when all attempts failed, or when the batch is older than its retention period.
  */
 public final class OwnedBatch {
-    /** Before another try after an error answer: the endpoint may be the cause, and others take their turn meanwhile. */
+    /** The delay after an error answer: the endpoint may be the cause, and other items can run in the meantime. */
     private static final long ERROR_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-    /** After giving way: the wave that it gave way to lasts longer than a restart elsewhere would gain. */
+    /** The delay after yielding: the burst of online requests lasts longer than a restart elsewhere would gain. */
     private static final long YIELD_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** After an endpoint turned an item away: about when a slot of it is free. */
+    /** The delay after an endpoint refused to run an item: about the time until one of its slots is free. */
     private static final long BUSY_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** Runs cut before any output after which an item counts as one that may crash its endpoints. */
+    /** The number of runs cut before any output from which on an item is suspected of crashing its endpoints. */
     private static final int SUSPECT_RUNS = 3;
 
-    /** The first pause of such an item; it doubles, so that an innocent one still gets its turn and a guilty one few. */
+    /**
+     * The first pause of a suspect item. The pause doubles with each further cut, so that an item that does not crash
+     * endpoints still gets to run, and one that does starts only rarely.
+     */
     private static final long FIRST_SUSPECT_PAUSE_MILLIS = 2_000;
 
     private static final int MAX_PAUSE_DOUBLINGS = 4;
@@ -43,11 +46,11 @@
     private long savedEvents;
 
     /**
-     * A batch that this host owns from now on.
+     * Creates a batch that this host has just come to own.
      *
-     * @param recordRevision the revision of its record; 0 if the key-value store lacks it yet
-     * @param batchItems all its items
-     * @param results the results that are committed, in the order of their positions
+     * @param recordRevision the revision of its record; 0 if the record is not in the key-value store yet
+     * @param batchItems all items of the batch
+     * @param results the committed results in order of position
      */
     public OwnedBatch(
             String id, BatchRecord record, long recordRevision, List<BatchItem> batchItems, List<ItemResult> results) {
@@ -58,33 +61,33 @@
         results.forEach(this::restore);
     }
 
-    /** What the open items have generated so far, for another owner. */
+    /** Returns the output of the open items so far, from which another owner can resume them. */
     public List<ItemCheckpoint> checkpoints() {
         return items.values().stream()
                 .flatMap(item -> item.checkpoint().stream())
                 .toList();
     }
 
-    /** How many events its items have taken in on this host; grows with each of them. */
+    /** Returns the number of events that this host has received for all items; it never decreases. */
     public long events() {
         return items.values().stream().mapToLong(ItemProgress::events).sum();
     }
 
-    /** Whether its items have generated something that no other host would know if this one were lost. */
+    /** Returns whether items have generated output that would be lost with this host. */
     public boolean hasUnsavedProgress() {
         return !record.ended() && events() > savedEvents;
     }
 
     /**
-     * What its open items have generated is known outside of this host.
+     * Records that the output of the open items is stored outside this host.
      *
-     * @param events {@link #events} when it was written down
+     * @param events the value of {@link #events} when the output was saved
      */
     public void progressSaved(long events) {
         savedEvents = events;
     }
 
-    /** What an earlier owner's items had generated. */
+    /** Restores the output that the items had generated at an earlier owner. */
     public void restore(List<ItemCheckpoint> checkpoints) {
         for (ItemCheckpoint checkpoint : checkpoints) {
             ItemProgress item = items.get(checkpoint.id());
@@ -94,34 +97,35 @@
         }
     }
 
-    /** Its id. */
+    /** Returns the id of the batch. */
     public String id() {
         return id;
     }
 
-    /** Its record as last written. */
+    /** Returns the record as last written. */
     public BatchRecord record() {
         return record;
     }
 
-    /** The revision of that record. */
+    /** Returns the revision of the record; 0 if it is not in the key-value store yet. */
     public long recordRevision() {
         return recordRevision;
     }
 
     /**
-     * Whether the key-value store has its record. One that was accepted by copies runs already, and its results wait for that.
+     * Returns whether the record is in the key-value store. A batch that was accepted by copies already runs without a
+     * record, but its results are committed only once the record exists.
      */
     public boolean isRecorded() {
         return recordRevision > 0;
     }
 
-    /** Whether each item has a committed result, or the caller ended it. */
+    /** Returns whether each item has a committed result or the caller ended the batch. */
     public boolean isFinished() {
         return record.ended() || committed.size() == items.size();
     }
 
-    /** The items that may start now, in the order of their submission, those with some output first. */
+    /** Returns the items that may start now, those with output first, in order of submission otherwise. */
     public List<ItemProgress> startable(long nowNanos) {
         if (ending || record.ended()) {
             return List.of();
@@ -136,25 +140,25 @@
         return startable;
     }
 
-    /** How many items have no result yet. */
+    /** Returns the number of items without a result. */
     public long openItems() {
         return items.values().stream().filter(item -> item.result().isEmpty()).count();
     }
 
-    /** Its caller ends it: no item starts any more, while the record is still on its way to say so. */
+    /** Marks the batch as being ended by its caller: no item starts any more, even before the record says so. */
     public void beginEnding() {
         ending = true;
     }
 
-    /** An item's run starts. */
+    /** Records the start of a run of an item. */
     public void started(ItemProgress item) {
         item.started();
     }
 
     /**
-     * An item's run ended.
+     * Records the end of a run of an item.
      *
-     * @param maxAttempts how many error answers end it
+     * @param maxAttempts the number of error answers after which the item is given up
      */
     public void ended(ItemProgress item, RunEnd end, int maxAttempts, long nowNanos) {
         item.stopped();
@@ -175,25 +179,26 @@
         }
     }
 
-    /** Gives up all items that are still open: the batch is older than its route keeps items. */
+    /** Gives up all open items, since the batch is older than the retention period of its route. */
     public void giveUpAll() {
         items.values().stream().filter(item -> item.result().isEmpty()).forEach(item -> uncommitted.add(item.giveUp()));
     }
 
-    /** Results that wait for their commit. */
+    /** Returns whether there are results to commit. */
     public boolean hasUncommitted() {
         return !uncommitted.isEmpty() && !record.ended();
     }
 
-    /** Whether the last results are there and wait for their commit. */
+    /** Returns whether there are results to commit and no items are open. */
     public boolean isLastCommitDue() {
         return hasUncommitted() && openItems() == 0;
     }
 
     /**
-     * The results to commit now, at the positions from {@code record().listed()} on, as many as fit into a number of
-     * characters, at least one. They stay the same until the commit is known to have taken effect: an unanswered write
-     * may be done seconds later, and one that is tried again must say the same.
+     * Returns the results to commit now, at the positions from {@code record().listed()} on: as many as fit into the
+     * given number of characters, but at least one if there is any. Returns the same results until the commit is known
+     * to have taken effect: a write without an answer may still take effect seconds later, so a repetition must have
+     * the same content.
      */
     public List<ItemResult> beginCommit(int maxCharacters) {
         if (inCommit == 0) {
@@ -209,7 +214,7 @@
         return List.copyOf(uncommitted.subList(0, inCommit));
     }
 
-    /** The commit took effect. */
+    /** Records that the commit took effect, with the record that it wrote. */
     public void commitSucceeded(BatchRecord newRecord, long newRevision) {
         List<ItemResult> done = uncommitted.subList(0, inCommit);
         committed.addAll(done);
@@ -219,13 +224,16 @@
         recordRevision = newRevision;
     }
 
-    /** The record was changed by this host in another way than by a commit. */
+    /** Records a change of the record by this host other than a commit. */
     public void recordChanged(BatchRecord newRecord, long newRevision) {
         record = newRecord;
         recordRevision = newRevision;
     }
 
-    /** The committed results from a position on, as many as fit into a number of characters, at least one. */
+    /**
+     * Returns the committed results from a position on: as many as fit into the given number of characters, but at
+     * least one if there is any.
+     */
     public BatchPage page(int after, int maxCharacters) {
         List<ItemResult> results = new ArrayList<>();
         int characters = 0;
@@ -240,7 +248,7 @@
         return new BatchPage(items.size(), after, results);
     }
 
-    /** An item that is not listed yet. */
+    /** Returns an item whose result is not committed yet; empty for any other id. */
     public Optional<BatchItem> unlistedItem(String itemId) {
         boolean listed = committed.stream().anyMatch(result -> result.id().equals(itemId));
         return Optional.ofNullable(items.get(itemId)).filter(item -> !listed).map(ItemProgress::item);
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerWatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerWatch.java
@@ -7,27 +7,36 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells when the owner of a batch counts as lost. Not thread-safe.
+ * Detects the loss of the owners of batches. Not thread-safe.
  *
- * <p>Failure: a list of live hosts that is some seconds old lacks an owner that has just started, its batches are taken from
- * it, it takes them back, and each time all their items run again. An owner is lost only when for a while neither the
- * list of live hosts named its process nor anything was heard from it; a batch that a host left behind itself, in an
- * earlier process, it may take at once.
+ * <p>Failure: an owner that has just started is missing from a list of live hosts that is some seconds old. Its batches
+ * are taken over, it takes them back, and all their items run again each time. An owner therefore counts as lost only
+ * when its process has been missing for a while: neither in the list of live hosts nor heard from directly. Batches of
+ * an earlier process of this host may be taken over at once.
  */
 public final class OwnerWatch {
-    /** A process that was never seen alive: longer than a new host takes to be listed, and than the list may lag behind. */
+    /**
+     * The delay for a process that was never seen alive: longer than a new host takes to be listed, and longer than the
+     * list may lag behind.
+     */
     private static final long UNKNOWN_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
 
     /**
-     * A process that was seen alive: it can't be too new for the list, and hosts tell each other each second that they
-     * live, so one more such word is waited for.
+     * The delay for a process that was seen alive: it can't be too new for the list. Hosts send each other a heartbeat
+     * every second, so the delay covers one more heartbeat.
      */
     private static final long KNOWN_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(1200);
 
-    /** A host that came back looks after its own batches: others help only if it does not. */
+    /**
+     * The delay for an earlier process of a restarted host: the host takes over its own batches, others only if it does
+     * not.
+     */
     private static final long RESTARTED_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(6000);
 
-    /** Batches of a process that is missing for longer have long been taken, or show again as unknown. */
+    /**
+     * Processes that are missing for longer are forgotten: their batches have long been taken over, or the process is
+     * tracked again as one that was never seen alive.
+     */
     private static final long FORGET_NANOS = TimeUnit.MINUTES.toNanos(1);
 
     private final String self;
@@ -35,16 +44,20 @@
     private final Set<String> toldLost = new HashSet<>();
     private Map<String, String> live = Map.of();
 
-    /** A watch of one host. */
+    /**
+     * Creates a watch without any known owners.
+     *
+     * @param self the host that watches the owners
+     */
     public OwnerWatch(String self) {
         this.self = self;
     }
 
     /**
-     * Takes in which hosts live; called often.
+     * Updates the set of live processes. Has to be called periodically.
      *
-     * @param liveStarts the process of each host that is known to live now, by host
-     * @return whether a process that was seen alive is lost since the last call
+     * @param liveStarts the process of each host that is known to be alive now, by host
+     * @return whether a process that was seen alive has become lost since the last call
      */
     public boolean observe(Map<String, String> liveStarts, long nowNanos) {
         live.forEach((host, start) -> missing.putIfAbsent(process(host, start), new Missing(host, nowNanos, true)));
@@ -61,10 +74,10 @@
     }
 
     /**
-     * Whether the owner of a batch is lost.
+     * Returns whether the owner of a batch is lost; starts tracking an owner that is not known yet.
      *
      * @param owner the owner's host
-     * @param ownerStart its process
+     * @param ownerStart the owner's process on that host
      */
     public boolean isLost(String owner, String ownerStart, long nowNanos) {
         if (isLive(owner, ownerStart)) {
@@ -78,7 +91,7 @@
         return isPatienceOver(since, nowNanos);
     }
 
-    /** Whether a process is known to live now. */
+    /** Returns whether a process is known to be alive now. */
     public boolean isLive(String host, String start) {
         return start.equals(live.get(host));
     }
@@ -95,6 +108,6 @@
         return host + " " + start;
     }
 
-    /** Since when a process of a host is missing, and whether it was seen alive before. */
+    /** A missing process of a host: since when it is missing, and whether it was seen alive before. */
     private record Missing(String host, long sinceNanos, boolean seenAlive) {}
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/PlacedItem.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/PlacedItem.java
@@ -3,7 +3,8 @@
 import org.gooseberryhill.directory.EndpointEntry;
 
 /**
- * One run of an item at an endpoint. Immutable; each run is another one, even of the same item at the same endpoint.
+ * One run of an item at an endpoint. Immutable. Instances are compared by identity, so two runs of the same item at the
+ * same endpoint differ.
  */
 public final class PlacedItem {
     private final OwnedBatch batch;
@@ -24,37 +25,37 @@
         this.startCharacters = item.characters();
     }
 
-    /** The item's batch. */
+    /** Returns the batch of the item. */
     public OwnedBatch batch() {
         return batch;
     }
 
-    /** The item. */
+    /** Returns the item. */
     public ItemProgress item() {
         return item;
     }
 
-    /** Where it runs. */
+    /** Returns the endpoint that runs the item. */
     public EndpointEntry endpoint() {
         return endpoint;
     }
 
-    /** How long it could still have waited when it started; negative if it was late already. */
+    /** Returns how long the item could still have waited when the run started; negative if it was late already. */
     public double slackMillis() {
         return slackMillis;
     }
 
-    /** Whether it took a slot beyond the reserve. */
+    /** Returns whether the run was allowed to take a slot of the reserve for online requests. */
     public boolean isUrgent() {
         return urgent;
     }
 
-    /** How long it has been running. */
+    /** Returns how long the run has lasted so far. */
     public long ranNanos(long nowNanos) {
         return nowNanos - startedNanos;
     }
 
-    /** How much this run has generated. */
+    /** Returns the number of characters that this run has generated. */
     int newCharacters() {
         return item.characters() - startCharacters;
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/RecordWrite.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/RecordWrite.java
@@ -3,48 +3,48 @@
 import java.util.Optional;
 
 /**
- * Decides about one write of a batch's record, after each answer of the key-value store. Not thread-safe.
+ * Decides on the next step of one write of a batch record after each answer of the key-value store. Not thread-safe.
  *
- * <p>Invariant: the write holds only at the revision that it was made from, and is repeated word for word, so it takes
- * effect once at the most, however many of its repetitions arrive, and however late. It has taken effect if the record
- * says just what it wrote; if the record says anything else, another process was first.
+ * <p>Invariant: the write is conditional on the revision that it is based on and is repeated unchanged, so it takes
+ * effect at most once, however many repetitions arrive and however late. It has taken effect if the stored record
+ * equals the written one; if the stored record differs, another process wrote first.
  */
 public final class RecordWrite {
-    /** What to do next. */
+    /** The next step of the write. */
     public enum Step {
-        /** Send the write, the same as before. */
+        /** Send the unchanged write, again if it was sent before. */
         WRITE,
-        /** Read the record. */
+        /** Read the record to find out whether the write has taken effect. */
         READ,
         /** Done: the write has taken effect. */
         DONE,
-        /** Done: another process has changed the record; the write never takes effect any more. */
+        /** Done: another process has changed the record, so the write can no longer take effect. */
         SUPERSEDED
     }
 
     private final BatchRecord intended;
 
-    /** The write of a record. */
+    /** Creates the write of a record. */
     public RecordWrite(BatchRecord intended) {
         this.intended = intended;
     }
 
-    /** The write was answered. */
+    /** Returns the next step after the write was answered. */
     public Step written(boolean succeeded) {
         return succeeded ? Step.DONE : Step.READ;
     }
 
-    /** The write was not answered: it may have taken effect, or may yet. */
+    /** Returns the next step after a write without an answer, which may have taken effect or may still do so. */
     public Step writeUnanswered() {
         return Step.WRITE;
     }
 
-    /** The record was read after a write was refused. */
+    /** Returns the next step after the record was read following a refused write. */
     public Step read(Optional<BatchRecord> found) {
         return found.equals(Optional.of(intended)) ? Step.DONE : Step.SUPERSEDED;
     }
 
-    /** The record could not be read. */
+    /** Returns the next step after the record could not be read. */
     public Step readUnanswered() {
         return Step.READ;
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/RunEnd.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/RunEnd.java
@@ -1,17 +1,19 @@
 package org.gooseberryhill.decision.requestbatch;
 
-/** How a run of an item ended. Immutable. */
+/** The ways in which a run of an item ends. */
 public enum RunEnd {
-    /** With its whole output. */
+    /** The run delivered the complete output. */
     COMPLETED,
-    /** Given up by its owner for online work, or since the owner stops; goes on from where it was. */
+    /**
+     * The owner cancelled the run in favour of online requests, or because the owner stops; the item is to be resumed.
+     */
     YIELDED,
-    /** The endpoint broke off or went silent; goes on from where it was. */
+    /** The endpoint closed the connection or stopped sending; the item is to be resumed. */
     CUT,
-    /** The endpoint answered with an error: a failed attempt. */
+    /** The endpoint answered with an error, which counts as a failed attempt. */
     ERROR_ANSWER,
-    /** The endpoint answered that the item can never be done. */
+    /** The endpoint answered that it will never be able to run the item. */
     REJECTED,
-    /** The endpoint did not run it. */
+    /** The endpoint did not run the item. */
     NOT_RUN
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/RunForecast.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/RunForecast.java
@@ -3,35 +3,35 @@
 import org.gooseberryhill.decision.dispatch.MovingMean;
 
 /**
- * How long items are likely to run until they are done, by how much those before them generated and how fast. Not
+ * Estimates the remaining run time of items from the output length and the generation speed of earlier items. Not
  * thread-safe.
  *
- * <p>Both are learned apart, since most items give way several times: their runs are too short to tell the length of an
- * item, and their pauses too long to tell its pace.
+ * <p>Length and speed are estimated separately, since most items yield several times: a single run is too short to show
+ * the length of an item, and the pauses between runs are too long to derive the speed from its total time.
  */
 public final class RunForecast {
-    /** Until some runs have ended: some seconds of output of a few words an event. */
+    /** The initial estimate of the length of an item: some seconds of output with a few words per event. */
     private static final double INITIAL_CHARACTERS = 8_000;
 
     private static final double INITIAL_MILLIS_PER_CHARACTER = 0.5;
 
-    /** About the last sixteen count: enough to smooth single items, few enough to follow a slow-down. */
+    /** The mean covers about the last 16 values: enough to smooth single items, few enough to follow a slow-down. */
     private static final double NEWEST_WEIGHT = 1.0 / 16;
 
-    /** Connecting, waiting for a slot and reading the prompt, before the first event of a run. */
+    /** The time to connect, wait for a slot and process the prompt, before the first event of a run. */
     private static final double START_MILLIS = 100;
 
-    /** A run that brought less than this tells nothing of the pace. */
+    /** Runs that generated fewer characters are too short to measure the speed. */
     private static final int MIN_CHARACTERS = 500;
 
     private final MovingMean characters = new MovingMean(INITIAL_CHARACTERS, NEWEST_WEIGHT);
     private final MovingMean millisPerCharacter = new MovingMean(INITIAL_MILLIS_PER_CHARACTER, NEWEST_WEIGHT);
 
     /**
-     * A run ended.
+     * Records the end of a run.
      *
-     * @param newCharacters how much it generated
-     * @param millis how long it took
+     * @param newCharacters the number of characters that the run generated
+     * @param millis the duration of the run
      */
     public void ran(int newCharacters, double millis) {
         if (newCharacters >= MIN_CHARACTERS) {
@@ -39,17 +39,17 @@
         }
     }
 
-    /** An item is done. */
+    /** Records that an item is done, with the length of its whole output. */
     public void completed(int allCharacters) {
         characters.add(allCharacters);
     }
 
-    /** How long a whole item runs. */
+    /** Returns the expected run time of a whole item. */
     public double wholeMillis() {
         return START_MILLIS + characters.value() * millisPerCharacter.value();
     }
 
-    /** How long an item still runs. */
+    /** Returns the expected remaining run time of an item. */
     public double leftMillis(ItemProgress item) {
         double left = Math.max(0, characters.value() - item.characters());
         return START_MILLIS + left * millisPerCharacter.value();
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/SaveTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/SaveTiming.java
@@ -6,22 +6,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When an owner writes down what its batches have produced. Not thread-safe.
+ * Determines when an owner writes the results and the progress of its batches to the key-value store. Not thread-safe.
  *
- * <p>Each write has its price, so what comes within some time goes out together. Failure on the other side: a host is lost,
- * and what its items had generated is generated again, in slots that other items wait for; after a loss of all hosts the
- * batches of the last seconds before it are late by that much.
+ * <p>Each write has a cost, so results and progress of a short period are written together. Waiting too long has a cost
+ * as well: when a host is lost, the unsaved output of its items is generated again, in slots that other items wait for,
+ * and after a loss of all hosts the batches of the last seconds before it are late by that much.
  */
 public final class SaveTiming {
-    /** Readers come for results at the batch's due time, many seconds later. */
+    /** The delay of a commit of results: callers read them when the batch is due, many seconds later. */
     private static final long RESULTS_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
-    /** Readers ask for late results as well, but each result counts that they find when its batch is due. */
+    /**
+     * Results are committed without delay this close to the due time, before or after it: callers also read late
+     * results, but the results that count are those they find when the batch is due.
+     */
     private static final long NEAR_DUE_MILLIS = 2500;
 
     /**
-     * What an item generates in this time is at risk. A run lasts some seconds, so a loss costs an item about an eighth of
-     * its run instead of half of it, for one write a host in this time.
+     * The interval between saves of progress; the output of one interval may be lost. A run lasts some seconds, so the
+     * loss of a host costs an item about an eighth of its run instead of half of it, at the cost of one write per host
+     * and interval.
      */
     private static final long PROGRESS_NANOS = TimeUnit.MILLISECONDS.toNanos(2000);
 
@@ -29,10 +33,11 @@
     private final Map<String, Long> unsavedSinceNanos = new HashMap<>();
 
     /**
-     * Whether a batch has something that is to be written down now; asked often.
+     * Returns whether results or progress of a batch are to be written now. Has to be called periodically.
      *
-     * @param stopping the host is about to end: results go at once, and progress is handed over in another way
-     * @param leftMillis how long until the batch is due; empty if that is not known
+     * @param stopping whether the host is stopping: results are written at once, and progress is handed over by other
+     *     means
+     * @param leftMillis the time until the batch is due; empty if that is not known
      */
     public boolean isDue(OwnedBatch batch, boolean stopping, OptionalLong leftMillis, long nowNanos) {
         boolean resultsDue = batch.hasUncommitted()
@@ -46,7 +51,10 @@
         return resultsDue || progressDue;
     }
 
-    /** What a batch had was sent to be written down, or the batch is not this host's any more. */
+    /**
+     * Resets the delays of a batch, since its results and progress were sent to the store or this host no longer owns
+     * it.
+     */
     public void sent(String batchId) {
         uncommittedSinceNanos.remove(batchId);
         unsavedSinceNanos.remove(batchId);
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/SubmissionOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/SubmissionOrder.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The baseline: the batch that is due first goes first, and in it what has begun. Stateless. */
+/** The baseline order: items of the batch that is due first, and among those the ones that have output. Stateless. */
 public final class SubmissionOrder implements ItemOrder {
     private static final Comparator<DueItem> ORDER = Comparator.comparingLong(DueItem::leftMillis)
             .thenComparing(due -> !due.item().isBegun());
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/package-info.java
@@ -1,2 +1,2 @@
-/** Request batches: what was accepted, which item runs next and where, what completes an item, where it is listed. */
+/** Request batches: acceptance of submissions, scheduling and placement of items, item results and their positions. */
 package org.gooseberryhill.decision.requestbatch;
--- a/src/test/java/org/gooseberryhill/decision/lease/LeaseGuardTest.java
+++ b/src/test/java/org/gooseberryhill/decision/lease/LeaseGuardTest.java
@@ -10,7 +10,9 @@
 
     private final LeaseGuard guard = new LeaseGuard(1000);
 
-    /** A host is paused past its lease. When it wakes, its own clock tells it to stop, before any message does. */
+    /**
+     * A host is paused beyond its lease. When it resumes, its own clock shows the expiry before any message arrives.
+     */
     @Test
     void aPausedHolderMayNotActWhenItWakes() {
         guard.renewed(7, 0, 5000);
@@ -19,7 +21,9 @@
         assertThat(guard.usable(4100 * MILLI)).isEmpty();
     }
 
-    /** The renewal took two seconds on its way: the service counts from when it got it, this host from the sending. */
+    /**
+     * The service counts the time to live from the receipt of a renewal, this host from the sending, which is earlier.
+     */
     @Test
     void theTimeCountsFromTheSendingOfTheRenewal() {
         guard.renewed(7, 0, 5000);
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
@@ -10,9 +10,8 @@
 import net.jqwik.api.constraints.Size;
 import org.gooseberryhill.contract.Outcome;
 
-/** What the caller of a submission is told, in whatever order the key-value store and the disks answer. */
+/** Tests the answer to the caller of a submission for all orders in which the key-value store and the disks answer. */
 class BatchAcceptanceProperties {
-    /** What may come to pass. */
     enum Step {
         RECORDED,
         COPIES_ASKED,
@@ -55,7 +54,7 @@
         }
     }
 
-    /** Too few hosts are known to outlast the losses that are to be borne: no copy is made, so a refusal is still true. */
+    /** With too few hosts to survive the tolerated losses, no copy is made, so the batch is known not to have run. */
     @Example
     void withTooFewHostsNoCopyIsAskedForAndNothingHasRun() {
         BatchAcceptance acceptance = new BatchAcceptance(2);
@@ -64,7 +63,9 @@
         assertThat(acceptance.giveUp(false)).isEqualTo(Outcome.NOT_RUN);
     }
 
-    /** A copy may lie on some disk, whose host creates the record later: nobody may say that it never runs. */
+    /**
+     * A host that holds a copy may create the record later, so the caller must not be told that the batch never runs.
+     */
     @Example
     void onceCopiesAreAskedForNothingIsDenied() {
         BatchAcceptance acceptance = new BatchAcceptance(2);
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchExpiryTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchExpiryTest.java
@@ -17,7 +17,10 @@
         assertThat(expiry.observe(Set.of("b"), at(1999))).containsExactly("b");
     }
 
-    /** A stale listing lacks the end of a batch, or shows it open again: its time begins anew, which deletes nothing early. */
+    /**
+     * A stale listing shows a finished batch as open again: its retention period starts again, so it is not deleted
+     * early.
+     */
     @Test
     void aBatchThatIsSeenOpenAgainBeginsAnew() {
         expiry.observe(Set.of("a"), at(0));
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchFixture.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Small batches for tests. */
+/** Creates small batches for tests and runs their items. */
 final class BatchFixture {
     private BatchFixture() {}
 
@@ -25,14 +25,14 @@
         return new OwnedBatch("batch", record(items, "a", "1"), 5, items(items), List.of());
     }
 
-    /** Runs an item to its end with a number of events from where it was. */
+    /** Completes an item in one run with a number of events after its last one. */
     static void run(OwnedBatch batch, ItemProgress item, int events) {
         batch.started(item);
         events(item, events);
         batch.ended(item, RunEnd.COMPLETED, 3, 0);
     }
 
-    /** Events with growing ids from where the item was. */
+    /** Appends events with consecutive ids after the last event of the item. */
     static void events(ItemProgress item, int number) {
         long from = item.lastEventId().orElse(0L) + 1;
         for (long id = from; id < from + number; id++) {
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
@@ -24,11 +24,12 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * Replays a load of request batches beside waves of online requests through the decisions about items, in virtual time.
+ * Simulates a load of request batches and bursts of online requests on the item scheduling, in virtual time.
  *
- * <p>The load is that of the sites in use: 13 endpoints of 8 slots, online waves of 2.4 s in each 6 s, 7 items a second of
- * about 170 events, 28.6 ms an event, batches due 18 s after their submission. All owners are one, since the slots are what is
- * scarce. During an outage nothing runs; after it items go on from what was saved, or begin anew.
+ * <p>The load is that of the sites in use: 13 endpoints of 8 slots, online bursts of 2.4 s every 6 s, 7 items
+ * per second of about 170 events, 28.6 ms per event, batches due 18 s after their submission. A single owner runs all
+ * batches, since only the slots are scarce. During an outage nothing runs; afterwards items resume from saved progress
+ * or start again.
  */
 final class BatchLoadReplay {
     private static final int ENDPOINTS = 13;
@@ -70,7 +71,7 @@
                 new HostId("owner"), fleet, routes, order, new ReservedSlotPlacement(new Random(seed + 1)));
     }
 
-    /** Lets time pass with batches coming at a rate, each of some 10 items. */
+    /** Advances the time while batches of 4 to 16 items are submitted at random times with the given mean rate. */
     void load(long millis, double batchesPerSecond, double onlineMeanSlots) {
         long untilMillis = nowMillis + millis;
         while (nowMillis < untilMillis) {
@@ -82,17 +83,17 @@
         }
     }
 
-    /** All that runs is lost, and nothing starts for a while. */
+    /** Cuts all runs; nothing starts until the outage is over. */
     void outage(long millis, boolean progressIsSaved) {
         for (PlacedItem run : dispatch.all()) {
             end(run, RunEnd.CUT);
         }
-        // Batches are owned anew: what was not saved is gone.
+        // All batches get a new owner, which does not know output that was not saved.
         batches.replaceAll(batch -> reowned(batch, progressIsSaved));
         nowMillis += millis;
     }
 
-    /** Lets the rest of the items be done. */
+    /** Advances the time without online load until all items are done, for at most 5 minutes. */
     void finish() {
         long untilMillis = nowMillis + TimeUnit.MINUTES.toMillis(5);
         while (done < all && nowMillis < untilMillis) {
@@ -109,7 +110,7 @@
         return done;
     }
 
-    /** The share of all items that were done when they were due. */
+    /** Returns the share of all items that were done in time. */
     double onTimeShare() {
         return (double) onTime / all;
     }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplayTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplayTest.java
@@ -6,7 +6,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** What the decisions about items reach under the loads that they are made for, each beside its baseline. */
+/**
+ * Tests the share of items done in time under the load patterns that item scheduling is designed for, against
+ * baselines.
+ */
 class BatchLoadReplayTest {
     private static final double BATCHES_PER_SECOND = 0.72;
     private static final double ONLINE_SLOTS = 45;
@@ -20,8 +23,8 @@
     }
 
     /**
-     * All hosts lose power for some seconds while they still work off a rush. The items that ran have little time left, and
-     * others wait for their slots; with what they had generated saved, more of both are on time.
+     * All hosts lose power for some seconds while they still process a burst of batches. The interrupted items have
+     * little time left, and other items wait for their slots; saved progress keeps more of both on time.
      */
     @Test
     void afterALossOfAllHostsSavedProgressKeepsItemsOnTime() {
@@ -32,7 +35,7 @@
         assertThat(saved).isGreaterThan(anew + 0.02);
     }
 
-    /** A rush brings more than the slots can do in time: items that can't be on time any more must not make others late. */
+    /** A burst exceeds what the slots can do in time: items that can no longer be in time must not make others late. */
     @Test
     void inARushItemsThatCanBeOnTimeGoBeforeThoseThatCanNot() {
         double bySubmission = mean(SubmissionOrder::new, BatchLoadReplayTest::rush);
@@ -69,7 +72,6 @@
                 .orElseThrow();
     }
 
-    /** What happens to the load in one play. */
     @FunctionalInterface
     private interface Scenario {
         void play(BatchLoadReplay replay);
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
@@ -13,8 +13,9 @@
 import org.gooseberryhill.decision.FakeKeyValue.Stored;
 
 /**
- * A batch and two hosts that may both think they own it, over a key-value service that loses answers, does writes late, and
- * never. Positions that were once shown are remembered and compared with all that is shown later.
+ * Models a batch and two hosts that may both believe they own it, on a key-value service that loses answers and that
+ * applies writes late or never. Results once shown at a position are remembered and compared with all that is shown
+ * there later.
  */
 final class BatchOwnershipModel {
     private static final String RECORD = "record";
@@ -46,7 +47,7 @@
         }
     }
 
-    /** One host is left alone without faults: it finishes the batch. */
+    /** Lets one host finish the batch while the other one is idle. */
     void finish() {
         for (int i = 0; i < 200 && !record().isFinished(); i++) {
             hosts.get(0).takeOver();
@@ -75,7 +76,7 @@
         return results;
     }
 
-    /** What one host believes. */
+    /** The state of the batch as one host sees it. */
     private final class HostView {
         private final String name;
         private int process;
@@ -105,7 +106,7 @@
 
         void runAnItem() {
             batch.ifPresent(owned -> owned.startable(0).stream().findFirst().ifPresent(item -> {
-                // Another host's run of the same item brings the same events.
+                // Runs of the same item on another host produce the same events.
                 BatchFixture.run(owned, item, 2);
             }));
         }
@@ -172,7 +173,7 @@
             long revision = store.now(RECORD).orElseThrow().modified();
             boolean overtaken = !record().equals(intended);
             if (overtaken) {
-                // Another host has taken it since; this one finds out at its next write.
+                // Another host has taken the batch over since; this host learns of it at its next write.
                 revision = expectedRevision;
             }
             if (commit) {
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipProperties.java
@@ -10,8 +10,9 @@
 
 class BatchOwnershipProperties {
     /**
-     * Two hosts take a batch from each other while answers of the store are lost and writes arrive late. Whatever a reader
-     * was shown at a position stays there, no item stands twice, and in the end each item has its place.
+     * Two hosts take a batch over from each other while answers of the store are lost and writes arrive late. A result
+     * that was shown at a position stays there, no item has two positions, and without faults every item has a position
+     * in the end.
      */
     @Property
     void positionsAreGivenOnceHoweverOftenTheOwnerChanges(
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
@@ -5,7 +5,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** When a host creates the record of a submission that it keeps. */
 class OutboxTimingTest {
     private final OutboxTiming timing = new OutboxTiming(240_000);
 
@@ -37,7 +36,7 @@
         assertThat(timing.takeTry("a", at(100))).isTrue();
     }
 
-    /** A host was away for hours and comes back: the batch may have been done and deleted long since. */
+    /** A host comes back after hours: the batch of its copy may have been finished and deleted long ago. */
     @Test
     void aCopyThatIsOlderThanFinishedBatchesAreKeptIsNotCreated() {
         assertThat(timing.isExpired(239_000)).isFalse();
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
@@ -28,7 +28,10 @@
         assertThat(batch.page(0, MANY).total()).isEqualTo(3);
     }
 
-    /** A run is cut after its second event: the next run goes on after it, and the text has each event once. */
+    /**
+     * A run is cut after its second event: the next run resumes after that event, and the text contains each event
+     * once.
+     */
     @Test
     void aRunThatIsCutGoesOnAfterItsLastEvent() {
         ItemProgress item = first();
@@ -46,7 +49,9 @@
         assertThat(batch.page(0, MANY).results().get(0).text()).isEqualTo("w1\nw2\nw3");
     }
 
-    /** Events without ids can't be continued: what a cut run generated is forgotten, or it would stand twice. */
+    /**
+     * Output without event ids can't be resumed: that of a cut run is discarded, or it would be in the result twice.
+     */
     @Test
     void eventsWithoutIdsBeginAnew() {
         ItemProgress item = first();
@@ -82,7 +87,10 @@
         assertThat(item.result().map(ItemResult::state)).contains(ItemState.GIVEN_UP);
     }
 
-    /** Full endpoints and cut runs are no attempts: an item that never got its turn must not be given up for it. */
+    /**
+     * Full endpoints, cuts and yields do not count as attempts: an item that could not run must not be given up for
+     * them.
+     */
     @Test
     void cutsRefusalsAndYieldsNeverGiveAnItemUp() {
         ItemProgress item = first();
@@ -95,8 +103,9 @@
     }
 
     /**
-     * An item crashes each endpoint that begins to run it: three endpoints are down after a moment. After the third it gets
-     * pauses that double, so that a few seconds later not all endpoints are down, and an innocent item still gets its turn.
+     * An item crashes each endpoint that starts to run it, so three endpoints are soon down. From the third cut on, the
+     * item gets pauses that double, so that it does not bring all endpoints down within seconds, while an item that
+     * does not crash endpoints still gets to run.
      */
     @Test
     void anItemWhoseRunsBringNothingGetsLongerAndLongerPauses() {
@@ -121,7 +130,7 @@
         assertThat(batch.startable(nowNanos)).isEmpty();
     }
 
-    /** A write was not answered, and more results came meanwhile: its repetition must say what it said before. */
+    /** A write was not answered, and more results were added meanwhile: its repetition must have the same content. */
     @Test
     void aCommitOnItsWayStaysTheSameWhateverCompletesMeanwhile() {
         BatchFixture.run(batch, first(), 1);
@@ -171,7 +180,9 @@
         assertThat(batch.hasUnsavedProgress()).isFalse();
     }
 
-    /** What is written down seconds before a loss and what the last owner told at its stop: the later one holds. */
+    /**
+     * Progress may come both from the store, seconds old, and from the last owner as it stops: the later one counts.
+     */
     @Test
     void ofTwoCheckpointsOfAnItemTheLaterOneHolds() {
         OwnedBatch next = BatchFixture.batch(3);
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OwnerWatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OwnerWatchTest.java
@@ -20,7 +20,9 @@
         assertThat(watch.isLost("other", "p1", at(0))).isFalse();
     }
 
-    /** The list of live hosts is seconds old and lacks an owner that has just started: its batches stay with it. */
+    /**
+     * The list of live hosts is seconds old and does not contain an owner that has just started: it keeps its batches.
+     */
     @Test
     void anOwnerThatWasNeverSeenAliveIsNotLostAtOnce() {
         watch.observe(NOBODY_ELSE, at(0));
@@ -41,8 +43,9 @@
     }
 
     /**
-     * An owner is killed for good while its batches are due in some seconds. Others saw it alive, so a list that lags is no
-     * explanation: one more word of it is waited for, and the loss is told once, so that somebody looks for its batches.
+     * An owner is killed permanently while its batches are due in some seconds. Other hosts saw it alive, so a list
+     * that lags behind can't be the reason: after one more missing heartbeat the loss is reported, once, which triggers
+     * the takeover.
      */
     @Test
     void anOwnerThatWasSeenAliveIsLostAfterOneMoreWordOfItIsMissing() {
@@ -55,7 +58,10 @@
         assertThat(watch.observe(NOBODY_ELSE, at(1325))).isFalse();
     }
 
-    /** The store was away and all leases lapsed at once: the hosts live, and their word comes within a second. */
+    /**
+     * The store was unavailable and all leases expired at once: the hosts are alive, and heartbeats arrive within a
+     * second.
+     */
     @Test
     void anOwnerThatIsMissingForAMomentIsNotLost() {
         watch.observe(OTHER_LIVES, at(0));
@@ -66,7 +72,7 @@
         assertThat(watch.isLost("other", "p1", at(2500))).isFalse();
     }
 
-    /** A host came back with another process: it looks after its own batches, and others help only if it does not. */
+    /** A restarted host takes over the batches of its earlier process; other hosts do so only if it does not. */
     @Test
     void aHostThatCameBackIsGivenTimeToTakeItsOwnBatches() {
         watch.observe(OTHER_LIVES, at(0));
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
@@ -29,7 +29,10 @@
         assertThat(timing.isDue(batch, false, FAR, at(1500))).isTrue();
     }
 
-    /** An item is done a second before its batch is due; its caller asks for results at that time, not when others are done. */
+    /**
+     * An item is done a second before its batch is due; the caller reads results at the due time, so they must not be
+     * delayed.
+     */
     @Test
     void resultsThatComeJustBeforeTheyAreDueGoAtOnce() {
         BatchFixture.run(batch, first(), 1);
@@ -62,8 +65,8 @@
     }
 
     /**
-     * All hosts lose power while items run. What an item had generated two seconds before is known then, however many
-     * events came since and however long the item takes.
+     * All hosts lose power while items run. The output that an item had generated two seconds earlier is saved by then,
+     * however many events followed and however long the item runs.
      */
     @Test
     void whatItemsGenerateIsWrittenDownEachTwoSeconds() {
