--- a/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
+++ b/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
@@ -62,17 +62,17 @@
      * Returns the hosts that are to hold copies of a key: one host per zone in rank order until the number is reached.
      * A second host of a zone is chosen only if there are fewer zones than copies.
      */
-    public static List<Host> copies(String key, int number, Collection<Host> hosts) {
+    public static List<Host> copies(String key, int count, Collection<Host> hosts) {
         List<Host> ranked = rank(key, hosts);
         List<Host> chosen = new ArrayList<>();
         for (Host host : ranked) {
             boolean newZone = chosen.stream().noneMatch(other -> other.zone().equals(host.zone()));
-            if (chosen.size() < number && newZone) {
+            if (chosen.size() < count && newZone) {
                 chosen.add(host);
             }
         }
         for (Host host : ranked) {
-            if (chosen.size() < number && !chosen.contains(host)) {
+            if (chosen.size() < count && !chosen.contains(host)) {
                 chosen.add(host);
             }
         }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
@@ -20,8 +20,8 @@
     private static final double COPIES_SHARE_OF_TARGET = 0.25;
 
     private final int copiesNeeded;
-    private int copiesKept;
-    private boolean copiesAsked;
+    private int durableCopies;
+    private boolean copiesRequested;
     private boolean answered;
 
     /**
@@ -47,7 +47,7 @@
 
     /** Returns whether some host may hold a copy. */
     public boolean mayBeCopied() {
-        return copiesAsked;
+        return copiesRequested;
     }
 
     /**
@@ -58,19 +58,19 @@
      */
     public boolean askCopies(int hosts) {
         boolean suffice = !answered && hosts >= copiesNeeded;
-        copiesAsked |= suffice;
+        copiesRequested |= suffice;
         return suffice;
     }
 
     /** Records that the key-value store has the record; returns whether the caller is to be answered now. */
     public boolean recorded() {
-        return answer();
+        return markAnswered();
     }
 
     /** Records that one more copy is durable; returns whether the caller is to be answered now. */
     public boolean copyKept() {
-        copiesKept++;
-        return copiesKept >= copiesNeeded && answer();
+        durableCopies++;
+        return durableCopies >= copiesNeeded && markAnswered();
     }
 
     /**
@@ -80,10 +80,10 @@
      */
     public Outcome giveUp(boolean mayBeRecorded) {
         answered = true;
-        return mayBeRecorded || copiesAsked ? Outcome.MAY_HAVE_RUN : Outcome.NOT_RUN;
+        return mayBeRecorded || copiesRequested ? Outcome.MAY_HAVE_RUN : Outcome.NOT_RUN;
     }
 
-    private boolean answer() {
+    private boolean markAnswered() {
         boolean first = !answered;
         answered = true;
         return first;
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchRecord.java
@@ -65,8 +65,8 @@
 
     /** Returns a copy of this record with one more committed chunk of the given number of results. */
     public BatchRecord withChunk(int results) {
-        List<Integer> more = new ArrayList<>(chunks);
-        more.add(listed);
+        List<Integer> newChunks = new ArrayList<>(chunks);
+        newChunks.add(listed);
         return new BatchRecord(
                 host,
                 target,
@@ -77,7 +77,7 @@
                 bodyParts,
                 items,
                 ended,
-                List.copyOf(more),
+                List.copyOf(newChunks),
                 listed + results);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/DueItem.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/DueItem.java
@@ -5,13 +5,13 @@
  *
  * @param batch the batch of the item
  * @param item the item
- * @param leftMillis the time until the batch is due; negative if that time has passed
- * @param runMillis the expected run time until the item is done
+ * @param untilDueMillis the time until the batch is due; negative if that time has passed
+ * @param remainingRunMillis the expected run time until the item is done
  */
-public record DueItem(OwnedBatch batch, ItemProgress item, long leftMillis, double runMillis) {
+public record DueItem(OwnedBatch batch, ItemProgress item, long untilDueMillis, double remainingRunMillis) {
     /** Returns how long the item can still wait and be done in time; negative if it can't be done in time. */
     public double slackMillis() {
-        return leftMillis - runMillis;
+        return untilDueMillis - remainingRunMillis;
     }
 
     /** Returns whether the item is expected to be done in time if it starts now. */
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/FeasibleFirstOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/FeasibleFirstOrder.java
@@ -16,11 +16,11 @@
             Comparator.comparing((DueItem due) -> !due.isFeasible()).thenComparing(FeasibleFirstOrder::rank);
 
     @Override
-    public List<DueItem> inOrder(List<DueItem> items) {
+    public List<DueItem> sorted(List<DueItem> items) {
         return items.stream().sorted(ORDER).toList();
     }
 
     private static double rank(DueItem due) {
-        return due.isFeasible() ? due.slackMillis() : due.leftMillis();
+        return due.isFeasible() ? due.slackMillis() : due.untilDueMillis();
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
@@ -43,7 +43,7 @@
     private final ItemPlacement placement;
     private final YieldTiming yieldTiming = new YieldTiming();
     private final ItemPause pause = new ItemPause();
-    private final RunForecast forecast = new RunForecast();
+    private final RunTimeEstimator runTimeEstimator = new RunTimeEstimator();
     private final Map<EndpointKey, List<PlacedItem>> placed = new TreeMap<>();
 
     /** Creates a dispatch of the items of one host to the endpoints that this host knows. */
@@ -65,12 +65,13 @@
         List<DueItem> items = new ArrayList<>();
         for (OwnedBatch batch : batches) {
             routes.of(batch).ifPresent(route -> {
-                long leftMillis = BatchRoutes.dueAtMillis(batch, route) - nowMillis;
-                batch.startable(nowNanos)
-                        .forEach(item -> items.add(new DueItem(batch, item, leftMillis, forecast.leftMillis(item))));
+                long untilDueMillis = BatchRoutes.dueAtMillis(batch, route) - nowMillis;
+                batch.startableItems(nowNanos)
+                        .forEach(item -> items.add(
+                                new DueItem(batch, item, untilDueMillis, runTimeEstimator.remainingMillis(item))));
             });
         }
-        return items.isEmpty() ? List.of() : place(order.inOrder(items), nowNanos);
+        return items.isEmpty() ? List.of() : place(order.sorted(items), nowNanos);
     }
 
     /**
@@ -78,15 +79,15 @@
      * as running until {@link #ended} is called.
      */
     public List<PlacedItem> giveWay(long nowNanos, long nowMillis) {
-        List<PlacedItem> leaving = new ArrayList<>();
+        List<PlacedItem> yielding = new ArrayList<>();
         placed.forEach((key, runs) -> fleet.find(key).ifPresent(endpoint -> {
             int share = yieldTiming.due(key, fleet.yieldShare(endpoint, self), nowNanos);
             if (share > 0) {
                 pause.gaveWay(key, nowNanos);
-                leaving.addAll(leastLoss(runs, Math.min(share, runs.size()), nowMillis));
+                yielding.addAll(lastInOrder(runs, Math.min(share, runs.size()), nowMillis));
             }
         }));
-        return leaving;
+        return yielding;
     }
 
     /** Returns the runs of a batch. */
@@ -109,29 +110,31 @@
         }
         fleet.batchEnded(key);
         fleet.observed(key, attemptEnd, nowNanos);
-        forecast.ran(run.newCharacters(), (double) run.ranNanos(nowNanos) / TimeUnit.MILLISECONDS.toNanos(1));
+        runTimeEstimator.runEnded(
+                run.newCharacters(), (double) run.ranNanos(nowNanos) / TimeUnit.MILLISECONDS.toNanos(1));
         if (end == RunEnd.COMPLETED) {
-            forecast.completed(run.item().characters());
+            runTimeEstimator.itemCompleted(run.item().characters());
         }
         int maxAttempts = routes.of(run.batch()).map(Route::maxAttempts).orElse(1);
-        run.batch().ended(run.item(), end, maxAttempts, nowNanos);
+        run.batch().runEnded(run.item(), end, maxAttempts, nowNanos);
     }
 
     private List<PlacedItem> place(List<DueItem> items, long nowNanos) {
         List<PlacedItem> started = new ArrayList<>();
         Map<Route, List<FleetEndpoint>> endpointsByRoute = new IdentityHashMap<>();
-        Set<String> full = new HashSet<>();
+        Set<String> exhausted = new HashSet<>();
         for (DueItem due : items) {
             Route route = routes.of(due.batch()).orElseThrow();
-            boolean urgent = due.isFeasible() && due.slackMillis() < URGENT_SLACK_RUNS * forecast.wholeMillis();
-            String need = route.name() + (urgent ? " urgent" : "");
-            if (full.contains(need)) {
+            boolean urgent =
+                    due.isFeasible() && due.slackMillis() < URGENT_SLACK_RUNS * runTimeEstimator.fullRunMillis();
+            String slotClass = route.name() + (urgent ? " urgent" : "");
+            if (exhausted.contains(slotClass)) {
                 continue;
             }
             List<FleetEndpoint> endpoints = endpointsByRoute.computeIfAbsent(route, key -> endpoints(key, nowNanos));
             Optional<FleetEndpoint> endpoint = placement.choose(endpoints, urgent, nowNanos);
             if (endpoint.isEmpty()) {
-                full.add(need);
+                exhausted.add(slotClass);
             } else {
                 started.add(placeAt(endpoint.get(), due, urgent, nowNanos));
             }
@@ -143,7 +146,7 @@
         PlacedItem run = new PlacedItem(due, endpoint.entry(), urgent, nowNanos);
         placed.computeIfAbsent(endpoint.key(), key -> new ArrayList<>()).add(run);
         fleet.batchStarted(endpoint.key());
-        due.batch().started(due.item());
+        due.batch().runStarted(due.item());
         return run;
     }
 
@@ -163,15 +166,15 @@
      * Returns the runs whose items are last in the order for free slots; among equal ones those that started last,
      * which have the least output to process again when they are resumed.
      */
-    private List<PlacedItem> leastLoss(List<PlacedItem> runs, int number, long nowMillis) {
+    private List<PlacedItem> lastInOrder(List<PlacedItem> runs, int count, long nowMillis) {
         Map<DueItem, PlacedItem> runsByItem = new LinkedHashMap<>();
         for (PlacedItem run : runs) {
-            long leftMillis = routes.dueAtMillis(run.batch()).orElse(nowMillis) - nowMillis;
-            double runMillis = forecast.leftMillis(run.item());
-            runsByItem.put(new DueItem(run.batch(), run.item(), leftMillis, runMillis), run);
+            long untilDueMillis = routes.dueAtMillis(run.batch()).orElse(nowMillis) - nowMillis;
+            double remainingRunMillis = runTimeEstimator.remainingMillis(run.item());
+            runsByItem.put(new DueItem(run.batch(), run.item(), untilDueMillis, remainingRunMillis), run);
         }
-        List<DueItem> ordered = order.inOrder(List.copyOf(runsByItem.keySet()));
-        return ordered.subList(ordered.size() - number, ordered.size()).stream()
+        List<DueItem> ordered = order.sorted(List.copyOf(runsByItem.keySet()));
+        return ordered.subList(ordered.size() - count, ordered.size()).stream()
                 .map(runsByItem::get)
                 .toList();
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemOrder.java
@@ -5,5 +5,5 @@
 /** Determines the order in which the items of all batches of a host get free slots. */
 public interface ItemOrder {
     /** Returns all the items, those that get a slot first at the front. */
-    List<DueItem> inOrder(List<DueItem> items);
+    List<DueItem> sorted(List<DueItem> items);
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
@@ -14,11 +14,11 @@
     private Optional<Long> lastEventId = Optional.empty();
     private Optional<ItemResult> result = Optional.empty();
     private boolean running;
-    private boolean begun;
-    private long events;
+    private boolean hasOutput;
+    private long eventCount;
     private int errorAnswers;
-    private int fruitlessRuns;
-    private boolean runFruitful;
+    private int runsWithoutOutput;
+    private boolean runHasOutput;
     private Optional<Long> notBeforeNanos = Optional.empty();
 
     ItemProgress(BatchItem item) {
@@ -36,8 +36,8 @@
     }
 
     /** Returns whether the item has output, which a run from the beginning would have to generate again. */
-    public boolean isBegun() {
-        return begun;
+    public boolean hasOutput() {
+        return hasOutput;
     }
 
     /** Appends an event of the current run; an event that was received before is ignored. */
@@ -45,13 +45,13 @@
         if (id.isPresent() && lastEventId.isPresent() && id.get() <= lastEventId.get()) {
             return;
         }
-        runFruitful = true;
-        events++;
-        if (begun) {
+        runHasOutput = true;
+        eventCount++;
+        if (hasOutput) {
             text.append('\n');
         }
         text.append(data);
-        begun = true;
+        hasOutput = true;
         if (id.isPresent()) {
             lastEventId = id;
         }
@@ -77,8 +77,8 @@
     }
 
     /** Returns the number of events that this host has received for the item. */
-    long events() {
-        return events;
+    long eventCount() {
+        return eventCount;
     }
 
     Optional<ItemResult> result() {
@@ -90,61 +90,61 @@
         return !running && result.isEmpty() && due;
     }
 
-    void started() {
-        runFruitful = false;
+    void runStarted() {
+        runHasOutput = false;
         running = true;
     }
 
-    void stopped() {
+    void runStopped() {
         running = false;
     }
 
-    void waitUntil(long nanos) {
+    void deferUntil(long nanos) {
         notBeforeNanos = Optional.of(nanos);
     }
 
-    int errorAnswer() {
+    int countErrorAnswer() {
         return ++errorAnswers;
     }
 
-    int fruitlessRun() {
-        return ++fruitlessRuns;
+    int countRunWithoutOutput() {
+        return ++runsWithoutOutput;
     }
 
     /** Returns whether the current run has delivered a new event. */
-    boolean isRunFruitful() {
-        return runFruitful;
+    boolean runHasOutput() {
+        return runHasOutput;
     }
 
     /** Discards output whose events have no ids: it can't be resumed, so the next run starts from the beginning. */
-    void forgetUnlessResumable() {
-        if (begun && lastEventId.isEmpty()) {
+    void discardOutputUnlessResumable() {
+        if (hasOutput && lastEventId.isEmpty()) {
             text.setLength(0);
-            begun = false;
+            hasOutput = false;
         }
     }
 
     /** Returns the output generated so far, if another run can resume after it. */
     Optional<ItemCheckpoint> checkpoint() {
-        if (result.isPresent() || !begun || lastEventId.isEmpty()) {
+        if (result.isPresent() || !hasOutput || lastEventId.isEmpty()) {
             return Optional.empty();
         }
         return Optional.of(new ItemCheckpoint(item.id(), lastEventId.get(), text.toString()));
     }
 
     /** Restores output that an earlier owner generated, unless at least as much is already known. */
-    void restored(ItemCheckpoint checkpoint) {
+    void restore(ItemCheckpoint checkpoint) {
         if (result.isPresent() || lastEventId.orElse(0L) >= checkpoint.lastEventId()) {
             return;
         }
         text.setLength(0);
         text.append(checkpoint.text());
         lastEventId = Optional.of(checkpoint.lastEventId());
-        begun = true;
+        hasOutput = true;
     }
 
     /** Restores a result that an earlier owner committed. */
-    void restored(ItemResult committed) {
+    void restore(ItemResult committed) {
         result = Optional.of(committed);
     }
 
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OutboxTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OutboxTiming.java
@@ -14,13 +14,13 @@
  */
 public final class OutboxTiming {
     /** Longer than a gateway takes to create the record after an outage and to have the copies deleted. */
-    private static final long PATIENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
+    private static final long GATEWAY_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     /** The interval between attempts: outages are either longer or much shorter, and each call has a cost. */
-    private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final long retentionMillis;
-    private final Map<String, Long> dueNanos = new HashMap<>();
+    private final Map<String, Long> nextAttemptNanos = new HashMap<>();
 
     /**
      * Creates a timing without copies.
@@ -33,17 +33,17 @@
 
     /** Adds a copy that was stored, or found on disk at startup. */
     public void kept(String name, long nowNanos) {
-        dueNanos.put(name, nowNanos + PATIENCE_NANOS);
+        nextAttemptNanos.put(name, nowNanos + GATEWAY_GRACE_NANOS);
     }
 
     /** Makes the record of a copy due at once, since this host is being emptied. */
     public void hurry(String name, long nowNanos) {
-        dueNanos.computeIfPresent(name, (key, due) -> due - nowNanos > 0 ? nowNanos : due);
+        nextAttemptNanos.computeIfPresent(name, (key, dueNanos) -> dueNanos - nowNanos > 0 ? nowNanos : dueNanos);
     }
 
     /** Removes a copy that was deleted. */
     public void dropped(String name) {
-        dueNanos.remove(name);
+        nextAttemptNanos.remove(name);
     }
 
     /**
@@ -51,11 +51,11 @@
      * interval.
      */
     public boolean takeTry(String name, long nowNanos) {
-        Long due = dueNanos.get(name);
-        if (due == null || nowNanos - due < 0) {
+        Long dueNanos = nextAttemptNanos.get(name);
+        if (dueNanos == null || nowNanos - dueNanos < 0) {
             return false;
         }
-        dueNanos.put(name, nowNanos + RETRY_NANOS);
+        nextAttemptNanos.put(name, nowNanos + RETRY_INTERVAL_NANOS);
         return true;
     }
 
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
@@ -25,7 +25,7 @@
     private static final long BUSY_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /** The number of runs cut before any output from which on an item is suspected of crashing its endpoints. */
-    private static final int SUSPECT_RUNS = 3;
+    private static final int SUSPECT_RUN_THRESHOLD = 3;
 
     /**
      * The first pause of a suspect item. The pause doubles with each further cut, so that an item that does not crash
@@ -41,9 +41,9 @@
     private final List<ItemResult> uncommitted = new ArrayList<>();
     private BatchRecord record;
     private long recordRevision;
-    private int inCommit;
+    private int commitSize;
     private boolean ending;
-    private long savedEvents;
+    private long savedEventCount;
 
     /**
      * Creates a batch that this host has just come to own.
@@ -70,12 +70,12 @@
 
     /** Returns the number of events that this host has received for all items; it never decreases. */
     public long events() {
-        return items.values().stream().mapToLong(ItemProgress::events).sum();
+        return items.values().stream().mapToLong(ItemProgress::eventCount).sum();
     }
 
     /** Returns whether items have generated output that would be lost with this host. */
     public boolean hasUnsavedProgress() {
-        return !record.ended() && events() > savedEvents;
+        return !record.ended() && events() > savedEventCount;
     }
 
     /**
@@ -84,7 +84,7 @@
      * @param events the value of {@link #events} when the output was saved
      */
     public void progressSaved(long events) {
-        savedEvents = events;
+        savedEventCount = events;
     }
 
     /** Restores the output that the items had generated at an earlier owner. */
@@ -92,7 +92,7 @@
         for (ItemCheckpoint checkpoint : checkpoints) {
             ItemProgress item = items.get(checkpoint.id());
             if (item != null) {
-                item.restored(checkpoint);
+                item.restore(checkpoint);
             }
         }
     }
@@ -126,16 +126,16 @@
     }
 
     /** Returns the items that may start now, those with output first, in order of submission otherwise. */
-    public List<ItemProgress> startable(long nowNanos) {
+    public List<ItemProgress> startableItems(long nowNanos) {
         if (ending || record.ended()) {
             return List.of();
         }
         List<ItemProgress> startable = new ArrayList<>();
         items.values().stream()
-                .filter(item -> item.isBegun() && item.mayStart(nowNanos))
+                .filter(item -> item.hasOutput() && item.mayStart(nowNanos))
                 .forEach(startable::add);
         items.values().stream()
-                .filter(item -> !item.isBegun() && item.mayStart(nowNanos))
+                .filter(item -> !item.hasOutput() && item.mayStart(nowNanos))
                 .forEach(startable::add);
         return startable;
     }
@@ -151,8 +151,8 @@
     }
 
     /** Records the start of a run of an item. */
-    public void started(ItemProgress item) {
-        item.started();
+    public void runStarted(ItemProgress item) {
+        item.runStarted();
     }
 
     /**
@@ -160,8 +160,8 @@
      *
      * @param maxAttempts the number of error answers after which the item is given up
      */
-    public void ended(ItemProgress item, RunEnd end, int maxAttempts, long nowNanos) {
-        item.stopped();
+    public void runEnded(ItemProgress item, RunEnd end, int maxAttempts, long nowNanos) {
+        item.runStopped();
         if (item.result().isPresent()) {
             return;
         }
@@ -169,12 +169,12 @@
             case COMPLETED -> uncommitted.add(item.complete());
             case REJECTED -> uncommitted.add(item.giveUp());
             case YIELDED -> {
-                item.forgetUnlessResumable();
-                item.waitUntil(nowNanos + YIELD_BACKOFF_NANOS);
+                item.discardOutputUnlessResumable();
+                item.deferUntil(nowNanos + YIELD_BACKOFF_NANOS);
             }
-            case NOT_RUN -> item.waitUntil(nowNanos + BUSY_BACKOFF_NANOS);
-            case CUT -> cut(item, nowNanos);
-            case ERROR_ANSWER -> errorAnswer(item, maxAttempts, nowNanos);
+            case NOT_RUN -> item.deferUntil(nowNanos + BUSY_BACKOFF_NANOS);
+            case CUT -> handleCut(item, nowNanos);
+            case ERROR_ANSWER -> handleErrorAnswer(item, maxAttempts, nowNanos);
             default -> throw new IllegalStateException("unknown end " + end);
         }
     }
@@ -201,25 +201,25 @@
      * the same content.
      */
     public List<ItemResult> beginCommit(int maxCharacters) {
-        if (inCommit == 0) {
+        if (commitSize == 0) {
             int characters = 0;
             for (ItemResult result : uncommitted) {
                 characters += result.text().length();
-                if (inCommit > 0 && characters > maxCharacters) {
+                if (commitSize > 0 && characters > maxCharacters) {
                     break;
                 }
-                inCommit++;
+                commitSize++;
             }
         }
-        return List.copyOf(uncommitted.subList(0, inCommit));
+        return List.copyOf(uncommitted.subList(0, commitSize));
     }
 
     /** Records that the commit took effect, with the record that it wrote. */
     public void commitSucceeded(BatchRecord newRecord, long newRevision) {
-        List<ItemResult> done = uncommitted.subList(0, inCommit);
+        List<ItemResult> done = uncommitted.subList(0, commitSize);
         committed.addAll(done);
         done.clear();
-        inCommit = 0;
+        commitSize = 0;
         record = newRecord;
         recordRevision = newRevision;
     }
@@ -254,23 +254,23 @@
         return Optional.ofNullable(items.get(itemId)).filter(item -> !listed).map(ItemProgress::item);
     }
 
-    private void cut(ItemProgress item, long nowNanos) {
-        item.forgetUnlessResumable();
-        if (item.isRunFruitful()) {
+    private void handleCut(ItemProgress item, long nowNanos) {
+        item.discardOutputUnlessResumable();
+        if (item.runHasOutput()) {
             return;
         }
-        int beyond = item.fruitlessRun() - SUSPECT_RUNS;
-        if (beyond >= 0) {
-            long pauseMillis = FIRST_SUSPECT_PAUSE_MILLIS << Math.min(beyond, MAX_PAUSE_DOUBLINGS);
-            item.waitUntil(nowNanos + TimeUnit.MILLISECONDS.toNanos(pauseMillis));
+        int cutsBeyondThreshold = item.countRunWithoutOutput() - SUSPECT_RUN_THRESHOLD;
+        if (cutsBeyondThreshold >= 0) {
+            long pauseMillis = FIRST_SUSPECT_PAUSE_MILLIS << Math.min(cutsBeyondThreshold, MAX_PAUSE_DOUBLINGS);
+            item.deferUntil(nowNanos + TimeUnit.MILLISECONDS.toNanos(pauseMillis));
         }
     }
 
-    private void errorAnswer(ItemProgress item, int maxAttempts, long nowNanos) {
-        if (item.errorAnswer() >= maxAttempts) {
+    private void handleErrorAnswer(ItemProgress item, int maxAttempts, long nowNanos) {
+        if (item.countErrorAnswer() >= maxAttempts) {
             uncommitted.add(item.giveUp());
         } else {
-            item.waitUntil(nowNanos + ERROR_BACKOFF_NANOS);
+            item.deferUntil(nowNanos + ERROR_BACKOFF_NANOS);
         }
     }
 
@@ -278,7 +278,7 @@
         committed.add(result);
         ItemProgress progress = items.get(result.id());
         if (progress != null) {
-            progress.restored(result);
+            progress.restore(result);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerWatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerWatch.java
@@ -31,18 +31,18 @@
      * The delay for an earlier process of a restarted host: the host takes over its own batches, others only if it does
      * not.
      */
-    private static final long RESTARTED_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(6000);
+    private static final long RESTARTED_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(6000);
 
     /**
      * Processes that are missing for longer are forgotten: their batches have long been taken over, or the process is
      * tracked again as one that was never seen alive.
      */
-    private static final long FORGET_NANOS = TimeUnit.MINUTES.toNanos(1);
+    private static final long FORGET_AFTER_NANOS = TimeUnit.MINUTES.toNanos(1);
 
     private final String self;
-    private final Map<String, Missing> missing = new HashMap<>();
-    private final Set<String> toldLost = new HashSet<>();
-    private Map<String, String> live = Map.of();
+    private final Map<String, MissingProcess> missing = new HashMap<>();
+    private final Set<String> reportedLost = new HashSet<>();
+    private Map<String, String> liveStartByHost = Map.of();
 
     /**
      * Creates a watch without any known owners.
@@ -60,15 +60,16 @@
      * @return whether a process that was seen alive has become lost since the last call
      */
     public boolean observe(Map<String, String> liveStarts, long nowNanos) {
-        live.forEach((host, start) -> missing.putIfAbsent(process(host, start), new Missing(host, nowNanos, true)));
-        liveStarts.forEach((host, start) -> missing.remove(process(host, start)));
-        live = Map.copyOf(liveStarts);
-        missing.values().removeIf(since -> nowNanos - since.sinceNanos >= FORGET_NANOS);
-        toldLost.retainAll(missing.keySet());
+        liveStartByHost.forEach((host, start) ->
+                missing.putIfAbsent(processKey(host, start), new MissingProcess(host, nowNanos, true)));
+        liveStarts.forEach((host, start) -> missing.remove(processKey(host, start)));
+        liveStartByHost = Map.copyOf(liveStarts);
+        missing.values().removeIf(process -> nowNanos - process.missingSinceNanos >= FORGET_AFTER_NANOS);
+        reportedLost.retainAll(missing.keySet());
         boolean newlyLost = false;
-        for (Map.Entry<String, Missing> entry : missing.entrySet()) {
-            boolean lost = entry.getValue().seenAlive && isPatienceOver(entry.getValue(), nowNanos);
-            newlyLost |= lost && toldLost.add(entry.getKey());
+        for (Map.Entry<String, MissingProcess> entry : missing.entrySet()) {
+            boolean lost = entry.getValue().seenAlive && isMissingTooLong(entry.getValue(), nowNanos);
+            newlyLost |= lost && reportedLost.add(entry.getKey());
         }
         return newlyLost;
     }
@@ -86,28 +87,28 @@
         if (owner.equals(self)) {
             return true;
         }
-        String process = process(owner, ownerStart);
-        Missing since = missing.computeIfAbsent(process, key -> new Missing(owner, nowNanos, false));
-        return isPatienceOver(since, nowNanos);
+        String key = processKey(owner, ownerStart);
+        MissingProcess process = missing.computeIfAbsent(key, absent -> new MissingProcess(owner, nowNanos, false));
+        return isMissingTooLong(process, nowNanos);
     }
 
     /** Returns whether a process is known to be alive now. */
     public boolean isLive(String host, String start) {
-        return start.equals(live.get(host));
+        return start.equals(liveStartByHost.get(host));
     }
 
-    private boolean isPatienceOver(Missing since, long nowNanos) {
-        long patienceNanos = since.seenAlive ? KNOWN_LOST_AFTER_NANOS : UNKNOWN_LOST_AFTER_NANOS;
-        if (live.containsKey(since.host)) {
-            patienceNanos = RESTARTED_AFTER_NANOS;
+    private boolean isMissingTooLong(MissingProcess process, long nowNanos) {
+        long lostAfterNanos = process.seenAlive ? KNOWN_LOST_AFTER_NANOS : UNKNOWN_LOST_AFTER_NANOS;
+        if (liveStartByHost.containsKey(process.host)) {
+            lostAfterNanos = RESTARTED_LOST_AFTER_NANOS;
         }
-        return nowNanos - since.sinceNanos >= patienceNanos;
+        return nowNanos - process.missingSinceNanos >= lostAfterNanos;
     }
 
-    private static String process(String host, String start) {
+    private static String processKey(String host, String start) {
         return host + " " + start;
     }
 
     /** A missing process of a host: since when it is missing, and whether it was seen alive before. */
-    private record Missing(String host, long sinceNanos, boolean seenAlive) {}
+    private record MissingProcess(String host, long missingSinceNanos, boolean seenAlive) {}
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/RunForecast.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/RunTimeEstimator.java
@@ -9,7 +9,7 @@
  * <p>Length and speed are estimated separately, since most items yield several times: a single run is too short to show
  * the length of an item, and the pauses between runs are too long to derive the speed from its total time.
  */
-public final class RunForecast {
+public final class RunTimeEstimator {
     /** The initial estimate of the length of an item: some seconds of output with a few words per event. */
     private static final double INITIAL_CHARACTERS = 8_000;
 
@@ -19,12 +19,12 @@
     private static final double NEWEST_WEIGHT = 1.0 / 16;
 
     /** The time to connect, wait for a slot and process the prompt, before the first event of a run. */
-    private static final double START_MILLIS = 100;
+    private static final double STARTUP_MILLIS = 100;
 
     /** Runs that generated fewer characters are too short to measure the speed. */
-    private static final int MIN_CHARACTERS = 500;
+    private static final int MIN_MEASURED_CHARACTERS = 500;
 
-    private final MovingMean characters = new MovingMean(INITIAL_CHARACTERS, NEWEST_WEIGHT);
+    private final MovingMean charactersPerItem = new MovingMean(INITIAL_CHARACTERS, NEWEST_WEIGHT);
     private final MovingMean millisPerCharacter = new MovingMean(INITIAL_MILLIS_PER_CHARACTER, NEWEST_WEIGHT);
 
     /**
@@ -33,25 +33,25 @@
      * @param newCharacters the number of characters that the run generated
      * @param millis the duration of the run
      */
-    public void ran(int newCharacters, double millis) {
-        if (newCharacters >= MIN_CHARACTERS) {
+    public void runEnded(int newCharacters, double millis) {
+        if (newCharacters >= MIN_MEASURED_CHARACTERS) {
             millisPerCharacter.add(millis / newCharacters);
         }
     }
 
     /** Records that an item is done, with the length of its whole output. */
-    public void completed(int allCharacters) {
-        characters.add(allCharacters);
+    public void itemCompleted(int allCharacters) {
+        charactersPerItem.add(allCharacters);
     }
 
     /** Returns the expected run time of a whole item. */
-    public double wholeMillis() {
-        return START_MILLIS + characters.value() * millisPerCharacter.value();
+    public double fullRunMillis() {
+        return STARTUP_MILLIS + charactersPerItem.value() * millisPerCharacter.value();
     }
 
     /** Returns the expected remaining run time of an item. */
-    public double leftMillis(ItemProgress item) {
-        double left = Math.max(0, characters.value() - item.characters());
-        return START_MILLIS + left * millisPerCharacter.value();
+    public double remainingMillis(ItemProgress item) {
+        double remainingCharacters = Math.max(0, charactersPerItem.value() - item.characters());
+        return STARTUP_MILLIS + remainingCharacters * millisPerCharacter.value();
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/SaveTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/SaveTiming.java
@@ -14,7 +14,7 @@
  */
 public final class SaveTiming {
     /** The delay of a commit of results: callers read them when the batch is due, many seconds later. */
-    private static final long RESULTS_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
+    private static final long RESULTS_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     /**
      * Results are committed without delay this close to the due time, before or after it: callers also read late
@@ -27,7 +27,7 @@
      * loss of a host costs an item about an eighth of its run instead of half of it, at the cost of one write per host
      * and interval.
      */
-    private static final long PROGRESS_NANOS = TimeUnit.MILLISECONDS.toNanos(2000);
+    private static final long PROGRESS_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(2000);
 
     private final Map<String, Long> uncommittedSinceNanos = new HashMap<>();
     private final Map<String, Long> unsavedSinceNanos = new HashMap<>();
@@ -37,17 +37,17 @@
      *
      * @param stopping whether the host is stopping: results are written at once, and progress is handed over by other
      *     means
-     * @param leftMillis the time until the batch is due; empty if that is not known
+     * @param untilDueMillis the time until the batch is due; empty if that is not known
      */
-    public boolean isDue(OwnedBatch batch, boolean stopping, OptionalLong leftMillis, long nowNanos) {
+    public boolean isDue(OwnedBatch batch, boolean stopping, OptionalLong untilDueMillis, long nowNanos) {
         boolean resultsDue = batch.hasUncommitted()
                 && (stopping
                         || batch.isLastCommitDue()
-                        || isNear(leftMillis)
-                        || isOver(uncommittedSinceNanos, batch.id(), RESULTS_NANOS, nowNanos));
+                        || isNearDue(untilDueMillis)
+                        || hasElapsed(uncommittedSinceNanos, batch.id(), RESULTS_DELAY_NANOS, nowNanos));
         boolean progressDue = !stopping
                 && batch.hasUnsavedProgress()
-                && isOver(unsavedSinceNanos, batch.id(), PROGRESS_NANOS, nowNanos);
+                && hasElapsed(unsavedSinceNanos, batch.id(), PROGRESS_INTERVAL_NANOS, nowNanos);
         return resultsDue || progressDue;
     }
 
@@ -60,11 +60,11 @@
         unsavedSinceNanos.remove(batchId);
     }
 
-    private static boolean isNear(OptionalLong leftMillis) {
-        return leftMillis.isPresent() && Math.abs(leftMillis.getAsLong()) < NEAR_DUE_MILLIS;
+    private static boolean isNearDue(OptionalLong untilDueMillis) {
+        return untilDueMillis.isPresent() && Math.abs(untilDueMillis.getAsLong()) < NEAR_DUE_MILLIS;
     }
 
-    private static boolean isOver(Map<String, Long> sinceNanos, String batchId, long nanos, long nowNanos) {
-        return nowNanos - sinceNanos.computeIfAbsent(batchId, id -> nowNanos) >= nanos;
+    private static boolean hasElapsed(Map<String, Long> sinceNanos, String batchId, long durationNanos, long nowNanos) {
+        return nowNanos - sinceNanos.computeIfAbsent(batchId, id -> nowNanos) >= durationNanos;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/SubmissionOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/SubmissionOrder.java
@@ -5,11 +5,11 @@
 
 /** The baseline order: items of the batch that is due first, and among those the ones that have output. Stateless. */
 public final class SubmissionOrder implements ItemOrder {
-    private static final Comparator<DueItem> ORDER = Comparator.comparingLong(DueItem::leftMillis)
-            .thenComparing(due -> !due.item().isBegun());
+    private static final Comparator<DueItem> ORDER = Comparator.comparingLong(DueItem::untilDueMillis)
+            .thenComparing(due -> !due.item().hasOutput());
 
     @Override
-    public List<DueItem> inOrder(List<DueItem> items) {
+    public List<DueItem> sorted(List<DueItem> items) {
         return items.stream().sorted(ORDER).toList();
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/lease/LeaseGuardTest.java
+++ b/src/test/java/org/gooseberryhill/decision/lease/LeaseGuardTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class LeaseGuardTest {
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final LeaseGuard guard = new LeaseGuard(1000);
 
@@ -14,35 +14,35 @@
      * A host is paused beyond its lease. When it resumes, its own clock shows the expiry before any message arrives.
      */
     @Test
-    void aPausedHolderMayNotActWhenItWakes() {
+    void leaseIsNotUsableAfterAPauseBeyondItsExpiry() {
         guard.renewed(7, 0, 5000);
 
-        assertThat(guard.usable(3900 * MILLI)).contains(7L);
-        assertThat(guard.usable(4100 * MILLI)).isEmpty();
+        assertThat(guard.usable(3900 * NANOS_PER_MILLI)).contains(7L);
+        assertThat(guard.usable(4100 * NANOS_PER_MILLI)).isEmpty();
     }
 
     /**
      * The service counts the time to live from the receipt of a renewal, this host from the sending, which is earlier.
      */
     @Test
-    void theTimeCountsFromTheSendingOfTheRenewal() {
+    void validityCountsFromTheSendingOfTheRenewal() {
         guard.renewed(7, 0, 5000);
-        guard.renewed(7, 2000 * MILLI, 5000);
+        guard.renewed(7, 2000 * NANOS_PER_MILLI, 5000);
 
-        assertThat(guard.usable(5900 * MILLI)).isPresent();
-        assertThat(guard.usable(6100 * MILLI)).isEmpty();
+        assertThat(guard.usable(5900 * NANOS_PER_MILLI)).isPresent();
+        assertThat(guard.usable(6100 * NANOS_PER_MILLI)).isEmpty();
     }
 
     @Test
-    void anAnswerThatWasOvertakenDoesNotShortenTheLease() {
-        guard.renewed(7, 2000 * MILLI, 5000);
+    void lateAnswerToAnEarlierRenewalDoesNotShortenTheLease() {
+        guard.renewed(7, 2000 * NANOS_PER_MILLI, 5000);
         guard.renewed(7, 0, 5000);
 
-        assertThat(guard.usable(5900 * MILLI)).isPresent();
+        assertThat(guard.usable(5900 * NANOS_PER_MILLI)).isPresent();
     }
 
     @Test
-    void aLostLeaseIsNotUsable() {
+    void lostLeaseIsNotUsable() {
         guard.renewed(7, 0, 5000);
         guard.lost();
 
--- a/src/test/java/org/gooseberryhill/decision/ownership/OwnershipTest.java
+++ b/src/test/java/org/gooseberryhill/decision/ownership/OwnershipTest.java
@@ -20,7 +20,7 @@
     private final List<Host> hosts = hosts(9);
 
     @Test
-    void allHostsNameTheSameOwnerWhateverTheOrderOfTheirViews() {
+    void ownerDoesNotDependOnTheOrderOfTheHosts() {
         List<Host> shuffled = new ArrayList<>(hosts);
         Collections.shuffle(shuffled, new Random(1));
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aLostHostMovesOnlyWhatItOwned() {
+    void lossOfAHostMovesOnlyTheKeysThatItOwned() {
         List<Host> fewer = hosts.subList(1, hosts.size());
         for (int i = 0; i < 500; i++) {
             Host before = Ownership.owner("key" + i, Optional.empty(), hosts).orElseThrow();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void ownersAreSpreadEvenly() {
+    void keysAreSpreadEvenlyOverTheHosts() {
         Map<HostId, Integer> owned = new HashMap<>();
         for (int i = 0; i < 9000; i++) {
             Host owner = Ownership.owner("key" + i, Optional.empty(), hosts).orElseThrow();
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void anEndpointIsStewardedInItsOwnZoneWhileAHostIsThere() {
+    void endpointIsOwnedByAStewardOfItsZoneIfThereIsOne() {
         AvailabilityZone zone = new AvailabilityZone("b");
 
         assertThat(Ownership.ownerOfEndpoint("e", zone, hosts).orElseThrow().zone())
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aLeavingHostOwnsNothingWhileAnotherIsThere() {
+    void leavingHostOwnsNothingIfAnotherHostIsPresent() {
         Host owner = Ownership.owner("key", Optional.empty(), hosts).orElseThrow();
         List<Host> view = hosts.stream()
                 .map(host -> host.equals(owner) ? host.asLeaving() : host)
@@ -82,9 +82,9 @@
         assertThat(Ownership.copies("segment", 2, hosts.subList(0, 1))).hasSize(1);
     }
 
-    private static List<Host> hosts(int number) {
+    private static List<Host> hosts(int count) {
         List<Host> hosts = new ArrayList<>();
-        for (int i = 0; i < number; i++) {
+        for (int i = 0; i < count; i++) {
             AvailabilityZone zone = new AvailabilityZone(String.valueOf((char) ('a' + i % 3)));
             Address address = new Address("10.0.0.1", 1000 + i);
             hosts.add(new Host(new HostId("h" + i), Role.STEWARD, zone, address, false));
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
@@ -20,7 +20,7 @@
     }
 
     @Property
-    void theCallerGetsOneAnswerAndAConfirmationOnlyForSomethingDurable(
+    void callerGetsOneAnswerAndAConfirmationOnlyForADurableBatch(
             @ForAll @Size(max = 12) List<Step> steps,
             @ForAll @IntRange(min = 1, max = 3) int needed,
             @ForAll @IntRange(max = 4) int hosts) {
@@ -56,7 +56,7 @@
 
     /** With too few hosts to survive the tolerated losses, no copy is made, so the batch is known not to have run. */
     @Example
-    void withTooFewHostsNoCopyIsAskedForAndNothingHasRun() {
+    void withTooFewHostsNoCopyIsRequestedAndNothingHasRun() {
         BatchAcceptance acceptance = new BatchAcceptance(2);
 
         assertThat(acceptance.askCopies(1)).isFalse();
@@ -67,7 +67,7 @@
      * A host that holds a copy may create the record later, so the caller must not be told that the batch never runs.
      */
     @Example
-    void onceCopiesAreAskedForNothingIsDenied() {
+    void batchMayHaveRunOnceCopiesAreRequested() {
         BatchAcceptance acceptance = new BatchAcceptance(2);
         acceptance.askCopies(3);
         acceptance.copyKept();
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchExpiryTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchExpiryTest.java
@@ -10,7 +10,7 @@
     private final BatchExpiry expiry = new BatchExpiry(1000);
 
     @Test
-    void aBatchIsKeptForItsWholeTimeAfterItWasSeenFinished() {
+    void batchIsKeptForTheRetentionPeriodAfterItWasSeenFinished() {
         assertThat(expiry.observe(Set.of("a"), at(0))).isEmpty();
         assertThat(expiry.observe(Set.of("a", "b"), at(999))).isEmpty();
         assertThat(expiry.observe(Set.of("a", "b"), at(1000))).containsExactly("a");
@@ -22,7 +22,7 @@
      * early.
      */
     @Test
-    void aBatchThatIsSeenOpenAgainBeginsAnew() {
+    void retentionPeriodRestartsIfABatchIsSeenOpenAgain() {
         expiry.observe(Set.of("a"), at(0));
         expiry.observe(Set.of(), at(500));
 
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchFixture.java
@@ -13,9 +13,9 @@
         return new BatchRecord("h", "/b/1", "hash", owner, start, 0, 1, items, false, List.of(), 0);
     }
 
-    static List<BatchItem> items(int number) {
+    static List<BatchItem> items(int count) {
         List<BatchItem> items = new ArrayList<>();
-        for (int i = 0; i < number; i++) {
+        for (int i = 0; i < count; i++) {
             items.add(new BatchItem("i" + i, "/b/1/" + i, Map.of(), new byte[0], 100));
         }
         return items;
@@ -27,15 +27,15 @@
 
     /** Completes an item in one run with a number of events after its last one. */
     static void run(OwnedBatch batch, ItemProgress item, int events) {
-        batch.started(item);
+        batch.runStarted(item);
         events(item, events);
-        batch.ended(item, RunEnd.COMPLETED, 3, 0);
+        batch.runEnded(item, RunEnd.COMPLETED, 3, 0);
     }
 
     /** Appends events with consecutive ids after the last event of the item. */
-    static void events(ItemProgress item, int number) {
-        long from = item.lastEventId().orElse(0L) + 1;
-        for (long id = from; id < from + number; id++) {
+    static void events(ItemProgress item, int count) {
+        long firstId = item.lastEventId().orElse(0L) + 1;
+        for (long id = firstId; id < firstId + count; id++) {
             item.event(Optional.of(id), "w" + id);
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
@@ -37,7 +37,7 @@
     private static final long TICK_MILLIS = 25;
     private static final double EVENT_MILLIS = 28.6;
     private static final int EVENT_CHARACTERS = 70;
-    private static final long START_MILLIS = 60;
+    private static final long STARTUP_MILLIS = 60;
     private static final long DUE_MILLIS = 18_000;
     private static final long READ_GRACE_MILLIS = 700;
     private static final HostId CALLERS = new HostId("callers");
@@ -47,13 +47,13 @@
     private final Fleet fleet = new Fleet();
     private final List<EndpointKey> endpoints = new ArrayList<>();
     private final List<OwnedBatch> batches = new ArrayList<>();
-    private final Map<PlacedItem, Double> generated = new HashMap<>();
-    private final Map<String, Integer> lengths = new HashMap<>();
-    private final Map<String, ItemCheckpoint> saved = new HashMap<>();
+    private final Map<PlacedItem, Double> eventFractions = new HashMap<>();
+    private final Map<String, Integer> eventsByItem = new HashMap<>();
+    private final Map<String, ItemCheckpoint> savedCheckpoints = new HashMap<>();
     private long nowMillis = 1_000_000;
-    private int onTime;
-    private int done;
-    private int all;
+    private int onTimeItems;
+    private int doneItems;
+    private int submittedItems;
 
     BatchLoadReplay(ItemOrder order, long seed) {
         random = new Random(seed);
@@ -78,7 +78,7 @@
             if (random.nextDouble() < batchesPerSecond * TICK_MILLIS / 1000) {
                 submit(4 + random.nextInt(13));
             }
-            online(onlineMeanSlots);
+            reportOnlineLoad(onlineMeanSlots);
             tick();
         }
     }
@@ -89,30 +89,30 @@
             end(run, RunEnd.CUT);
         }
         // All batches get a new owner, which does not know output that was not saved.
-        batches.replaceAll(batch -> reowned(batch, progressIsSaved));
+        batches.replaceAll(batch -> withNewOwner(batch, progressIsSaved));
         nowMillis += millis;
     }
 
     /** Advances the time without online load until all items are done, for at most 5 minutes. */
     void finish() {
         long untilMillis = nowMillis + TimeUnit.MINUTES.toMillis(5);
-        while (done < all && nowMillis < untilMillis) {
-            online(0);
+        while (doneItems < submittedItems && nowMillis < untilMillis) {
+            reportOnlineLoad(0);
             tick();
         }
     }
 
-    int all() {
-        return all;
+    int submittedItems() {
+        return submittedItems;
     }
 
-    int done() {
-        return done;
+    int doneItems() {
+        return doneItems;
     }
 
     /** Returns the share of all items that were done in time. */
     double onTimeShare() {
-        return (double) onTime / all;
+        return (double) onTimeItems / submittedItems;
     }
 
     private void submit(int items) {
@@ -122,12 +122,12 @@
         OwnedBatch batch = new OwnedBatch(id, record, 1, BatchFixture.items(items), List.of());
         batches.add(batch);
         for (int item = 0; item < items; item++) {
-            lengths.put(id + "/i" + item, 130 + random.nextInt(87));
+            eventsByItem.put(id + "/i" + item, 130 + random.nextInt(87));
         }
-        all += items;
+        submittedItems += items;
     }
 
-    private OwnedBatch reowned(OwnedBatch batch, boolean progressIsSaved) {
+    private OwnedBatch withNewOwner(OwnedBatch batch, boolean progressIsSaved) {
         if (batch.openItems() == 0) {
             return batch;
         }
@@ -138,7 +138,7 @@
         OwnedBatch next = new OwnedBatch(
                 batch.id(), batch.record(), 1, BatchFixture.items(batch.record().items()), committed);
         if (progressIsSaved) {
-            next.restore(saved.entrySet().stream()
+            next.restore(savedCheckpoints.entrySet().stream()
                     .filter(entry -> entry.getKey().startsWith(batch.id() + "/"))
                     .map(Map.Entry::getValue)
                     .toList());
@@ -146,14 +146,14 @@
         return next;
     }
 
-    private void online(double meanSlots) {
-        boolean wave = nowMillis % 6000 >= 3600;
-        double slots = meanSlots * (wave ? 1.9 : 0.4);
+    private void reportOnlineLoad(double meanSlots) {
+        boolean burst = nowMillis % 6000 >= 3600;
+        double slots = meanSlots * (burst ? 1.9 : 0.4);
         Map<EndpointKey, InFlight> inFlight = new HashMap<>();
         for (int i = 0; i < ENDPOINTS; i++) {
             double share = slots / ENDPOINTS;
-            int here = (int) share + (random.nextDouble() < share - (int) share ? 1 : 0);
-            inFlight.put(endpoints.get(i), new InFlight(Math.min(SLOTS, here), 0));
+            int requests = (int) share + (random.nextDouble() < share - (int) share ? 1 : 0);
+            inFlight.put(endpoints.get(i), new InFlight(Math.min(SLOTS, requests), 0));
         }
         fleet.reported(CALLERS, inFlight, nowNanos());
     }
@@ -166,40 +166,40 @@
         dispatch.giveWay(nowNanos(), nowMillis).forEach(run -> end(run, RunEnd.YIELDED));
         List<OwnedBatch> open =
                 batches.stream().filter(batch -> batch.openItems() > 0).toList();
-        dispatch.start(open, nowNanos(), nowMillis).forEach(run -> generated.put(run, 0.0));
+        dispatch.start(open, nowNanos(), nowMillis).forEach(run -> eventFractions.put(run, 0.0));
         if (nowMillis % 2000 == 0) {
-            save(open);
+            saveCheckpoints(open);
         }
     }
 
-    private void save(List<OwnedBatch> open) {
+    private void saveCheckpoints(List<OwnedBatch> open) {
         for (OwnedBatch batch : open) {
-            batch.checkpoints().forEach(item -> saved.put(batch.id() + "/" + item.id(), item));
+            batch.checkpoints().forEach(item -> savedCheckpoints.put(batch.id() + "/" + item.id(), item));
         }
     }
 
     private void advance(PlacedItem run) {
-        if (run.ranNanos(nowNanos()) < TimeUnit.MILLISECONDS.toNanos(START_MILLIS)) {
+        if (run.ranNanos(nowNanos()) < TimeUnit.MILLISECONDS.toNanos(STARTUP_MILLIS)) {
             return;
         }
-        double events = generated.get(run) + TICK_MILLIS / EVENT_MILLIS;
-        int length = lengths.get(key(run));
+        double events = eventFractions.get(run) + TICK_MILLIS / EVENT_MILLIS;
+        int length = eventsByItem.get(key(run));
         while (events >= 1 && run.item().lastEventId().orElse(0L) < length) {
             long next = run.item().lastEventId().orElse(0L) + 1;
             run.item().event(Optional.of(next), "w".repeat(EVENT_CHARACTERS));
             events--;
         }
-        generated.put(run, events);
+        eventFractions.put(run, events);
         if (run.item().lastEventId().orElse(0L) >= length) {
-            done++;
+            doneItems++;
             long lateMillis = nowMillis - run.batch().record().acceptedAtMillis() - DUE_MILLIS;
-            onTime += lateMillis <= READ_GRACE_MILLIS ? 1 : 0;
+            onTimeItems += lateMillis <= READ_GRACE_MILLIS ? 1 : 0;
             end(run, RunEnd.COMPLETED);
         }
     }
 
     private void end(PlacedItem run, RunEnd end) {
-        generated.remove(run);
+        eventFractions.remove(run);
         dispatch.ended(run, end, AttemptEnd.ABANDONED, nowNanos());
     }
 
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplayTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplayTest.java
@@ -16,7 +16,7 @@
     private static final int SEEDS = 5;
 
     @Test
-    void onACalmDayAllItemsAreDoneWhenTheyAreDue() {
+    void nearlyAllItemsAreDoneInTimeUnderNormalLoad() {
         double share = mean(FeasibleFirstOrder::new, replay -> replay.load(60_000, BATCHES_PER_SECOND, ONLINE_SLOTS));
 
         assertThat(share).isGreaterThan(0.99);
@@ -27,19 +27,19 @@
      * little time left, and other items wait for their slots; saved progress keeps more of both on time.
      */
     @Test
-    void afterALossOfAllHostsSavedProgressKeepsItemsOnTime() {
-        double anew = mean(FeasibleFirstOrder::new, replay -> lossOfAllHosts(replay, false));
+    void savedProgressKeepsMoreItemsOnTimeAfterALossOfAllHosts() {
+        double restarted = mean(FeasibleFirstOrder::new, replay -> lossOfAllHosts(replay, false));
         double saved = mean(FeasibleFirstOrder::new, replay -> lossOfAllHosts(replay, true));
-        System.out.printf("loss of all hosts: begun anew %.3f, saved %.3f on time%n", anew, saved);
+        System.out.printf("loss of all hosts: begun anew %.3f, saved %.3f on time%n", restarted, saved);
 
-        assertThat(saved).isGreaterThan(anew + 0.02);
+        assertThat(saved).isGreaterThan(restarted + 0.02);
     }
 
     /** A burst exceeds what the slots can do in time: items that can no longer be in time must not make others late. */
     @Test
-    void inARushItemsThatCanBeOnTimeGoBeforeThoseThatCanNot() {
-        double bySubmission = mean(SubmissionOrder::new, BatchLoadReplayTest::rush);
-        double feasibleFirst = mean(FeasibleFirstOrder::new, BatchLoadReplayTest::rush);
+    void feasibleFirstOrderKeepsMoreItemsOnTimeInABurst() {
+        double bySubmission = mean(SubmissionOrder::new, BatchLoadReplayTest::burst);
+        double feasibleFirst = mean(FeasibleFirstOrder::new, BatchLoadReplayTest::burst);
         System.out.printf("rush: by submission %.3f, feasible first %.3f on time%n", bySubmission, feasibleFirst);
 
         assertThat(feasibleFirst).isGreaterThan(bySubmission + 0.02);
@@ -53,7 +53,7 @@
         replay.load(30_000, BATCHES_PER_SECOND, ONLINE_SLOTS);
     }
 
-    private static void rush(BatchLoadReplay replay) {
+    private static void burst(BatchLoadReplay replay) {
         replay.load(10_000, BATCHES_PER_SECOND, ONLINE_SLOTS);
         replay.load(3_000, 6 * BATCHES_PER_SECOND, ONLINE_SLOTS);
         replay.load(40_000, BATCHES_PER_SECOND, ONLINE_SLOTS);
@@ -63,9 +63,9 @@
         return LongStream.range(0, SEEDS)
                 .mapToDouble(seed -> {
                     BatchLoadReplay replay = new BatchLoadReplay(order.get(), seed);
-                    scenario.play(replay);
+                    scenario.run(replay);
                     replay.finish();
-                    assertThat(replay.done()).isEqualTo(replay.all());
+                    assertThat(replay.doneItems()).isEqualTo(replay.submittedItems());
                     return replay.onTimeShare();
                 })
                 .average()
@@ -74,6 +74,6 @@
 
     @FunctionalInterface
     private interface Scenario {
-        void play(BatchLoadReplay replay);
+        void run(BatchLoadReplay replay);
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
@@ -20,12 +20,12 @@
 final class BatchOwnershipModel {
     private static final String RECORD = "record";
     private static final int ITEMS = 6;
-    private static final int MANY = 1_000_000;
+    private static final int NO_LIMIT = 1_000_000;
 
     private final FakeKeyValue<Object> store;
     private final Random random;
-    private final List<HostView> hosts = List.of(new HostView("a"), new HostView("b"));
-    private final Map<Integer, String> shown = new HashMap<>();
+    private final List<SimulatedHost> hosts = List.of(new SimulatedHost("a"), new SimulatedHost("b"));
+    private final Map<Integer, String> shownIdsByPosition = new HashMap<>();
 
     BatchOwnershipModel(Random random, int faultPercent) {
         this.random = random;
@@ -37,10 +37,10 @@
     }
 
     void step() {
-        HostView host = hosts.get(random.nextInt(hosts.size()));
+        SimulatedHost host = hosts.get(random.nextInt(hosts.size()));
         switch (random.nextInt(8)) {
             case 0 -> host.takeOver();
-            case 1, 2, 3 -> host.runAnItem();
+            case 1, 2, 3 -> host.runItem();
             case 4, 5 -> host.commit();
             case 6 -> store.arriveDelayed();
             default -> host.show();
@@ -51,7 +51,7 @@
     void finish() {
         for (int i = 0; i < 200 && !record().isFinished(); i++) {
             hosts.get(0).takeOver();
-            hosts.get(0).runAnItem();
+            hosts.get(0).runItem();
             hosts.get(0).commit();
             store.arriveDelayed();
         }
@@ -62,8 +62,8 @@
         return (BatchRecord) store.now(RECORD).orElseThrow().value();
     }
 
-    Map<Integer, String> shown() {
-        return shown;
+    Map<Integer, String> shownIdsByPosition() {
+        return shownIdsByPosition;
     }
 
     @SuppressWarnings("unchecked")
@@ -77,17 +77,17 @@
     }
 
     /** The state of the batch as one host sees it. */
-    private final class HostView {
+    private final class SimulatedHost {
         private final String name;
         private int process;
         private Optional<OwnedBatch> batch = Optional.empty();
         private Optional<RecordWrite> writing = Optional.empty();
         private BatchRecord intended;
         private List<ItemResult> results = List.of();
-        private boolean commit;
+        private boolean writesResults;
         private long expectedRevision;
 
-        HostView(String name) {
+        SimulatedHost(String name) {
             this.name = name;
         }
 
@@ -101,49 +101,55 @@
             }
             Stored<Object> stored = read.get().orElseThrow();
             process++;
-            begin(((BatchRecord) stored.value()).ownedBy(name, "p" + process), stored.modified(), List.of(), false);
+            beginWrite(
+                    ((BatchRecord) stored.value()).ownedBy(name, "p" + process), stored.modified(), List.of(), false);
         }
 
-        void runAnItem() {
-            batch.ifPresent(owned -> owned.startable(0).stream().findFirst().ifPresent(item -> {
-                // Runs of the same item on another host produce the same events.
-                BatchFixture.run(owned, item, 2);
-            }));
+        void runItem() {
+            batch.ifPresent(
+                    owned -> owned.startableItems(0).stream().findFirst().ifPresent(item -> {
+                        // Runs of the same item on another host produce the same events.
+                        BatchFixture.run(owned, item, 2);
+                    }));
         }
 
         void commit() {
             if (writing.isPresent()) {
-                goOn();
+                sendWrite();
             } else if (batch.isPresent() && batch.get().hasUncommitted()) {
-                List<ItemResult> chunk = batch.get().beginCommit(MANY);
-                begin(batch.get().record().withChunk(chunk.size()), batch.get().recordRevision(), chunk, true);
+                List<ItemResult> chunk = batch.get().beginCommit(NO_LIMIT);
+                beginWrite(
+                        batch.get().record().withChunk(chunk.size()),
+                        batch.get().recordRevision(),
+                        chunk,
+                        true);
             }
         }
 
         void show() {
             batch.ifPresent(owned -> {
-                List<ItemResult> page = owned.page(0, MANY).results();
+                List<ItemResult> page = owned.page(0, NO_LIMIT).results();
                 for (int position = 0; position < page.size(); position++) {
-                    String before =
-                            shown.putIfAbsent(position, page.get(position).id());
+                    String before = shownIdsByPosition.putIfAbsent(
+                            position, page.get(position).id());
                     assertThat(before).isIn(null, page.get(position).id());
                 }
             });
         }
 
-        private void begin(BatchRecord record, long revision, List<ItemResult> chunk, boolean isCommit) {
+        private void beginWrite(BatchRecord record, long revision, List<ItemResult> chunk, boolean isCommit) {
             intended = record;
             results = chunk;
-            commit = isCommit;
+            writesResults = isCommit;
             expectedRevision = revision;
             writing = Optional.of(new RecordWrite(record));
-            goOn();
+            sendWrite();
         }
 
-        private void goOn() {
+        private void sendWrite() {
             Map<String, Object> writes = new HashMap<>();
             writes.put(RECORD, intended);
-            if (commit) {
+            if (writesResults) {
                 writes.put("results/" + batch.orElseThrow().record().listed(), results);
             }
             Optional<Boolean> answer = store.write(List.of(Condition.modifiedAt(RECORD, expectedRevision)), writes);
@@ -152,7 +158,7 @@
                 return;
             }
             if (writing.orElseThrow().written(answer.get()) == RecordWrite.Step.DONE) {
-                done();
+                finishWrite();
                 return;
             }
             Optional<Optional<Stored<Object>>> read = store.read(RECORD);
@@ -161,24 +167,24 @@
             }
             Optional<BatchRecord> found = read.get().map(stored -> (BatchRecord) stored.value());
             if (writing.orElseThrow().read(found) == RecordWrite.Step.DONE) {
-                done();
+                finishWrite();
             } else {
                 writing = Optional.empty();
                 batch = Optional.empty();
             }
         }
 
-        private void done() {
+        private void finishWrite() {
             writing = Optional.empty();
             long revision = store.now(RECORD).orElseThrow().modified();
-            boolean overtaken = !record().equals(intended);
-            if (overtaken) {
+            boolean superseded = !record().equals(intended);
+            if (superseded) {
                 // Another host has taken the batch over since; this host learns of it at its next write.
                 revision = expectedRevision;
             }
-            if (commit) {
+            if (writesResults) {
                 batch.orElseThrow().commitSucceeded(intended, revision);
-            } else if (!overtaken) {
+            } else if (!superseded) {
                 batch = Optional.of(
                         new OwnedBatch("batch", intended, revision, BatchFixture.items(ITEMS), committed(intended)));
             }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipProperties.java
@@ -15,7 +15,7 @@
      * in the end.
      */
     @Property
-    void positionsAreGivenOnceHoweverOftenTheOwnerChanges(
+    void positionsAreAssignedOnceHoweverOftenTheOwnerChanges(
             @ForAll Random random, @ForAll @IntRange(min = 0, max = 60) int faultPercent) {
         BatchOwnershipModel model = new BatchOwnershipModel(random, faultPercent);
         for (int i = 0; i < 120; i++) {
@@ -23,8 +23,8 @@
         }
         model.finish();
 
-        assertThat(new HashSet<>(model.shown().values()))
-                .hasSameSizeAs(model.shown().values());
+        assertThat(new HashSet<>(model.shownIdsByPosition().values()))
+                .hasSameSizeAs(model.shownIdsByPosition().values());
         if (faultPercent == 0) {
             assertThat(model.record().listed()).isEqualTo(6);
         }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
@@ -9,7 +9,7 @@
     private final OutboxTiming timing = new OutboxTiming(240_000);
 
     @Test
-    void theGatewayThatTookItInHasSomeTimeToDoSo() {
+    void gatewayGetsTimeToCreateTheRecordFirst() {
         timing.kept("a", at(0));
 
         assertThat(timing.takeTry("a", at(1400))).isFalse();
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void aTryIsRepeatedAfterAWhileUntilTheCopyIsGone() {
+    void creationIsRetriedUntilTheCopyIsDeleted() {
         timing.kept("a", at(0));
         timing.takeTry("a", at(2000));
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aHostThatIsToBeEmptiedDoesNotWait() {
+    void hostBeingEmptiedCreatesTheRecordAtOnce() {
         timing.kept("a", at(0));
 
         timing.hurry("a", at(100));
@@ -38,7 +38,7 @@
 
     /** A host comes back after hours: the batch of its copy may have been finished and deleted long ago. */
     @Test
-    void aCopyThatIsOlderThanFinishedBatchesAreKeptIsNotCreated() {
+    void copyOlderThanTheRetentionPeriodIsExpired() {
         assertThat(timing.isExpired(239_000)).isFalse();
         assertThat(timing.isExpired(241_000)).isTrue();
     }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
@@ -9,23 +9,23 @@
 
 class OwnedBatchTest {
     private static final int MAX_ATTEMPTS = 3;
-    private static final int MANY = 1_000_000;
+    private static final int NO_LIMIT = 1_000_000;
 
     private final OwnedBatch batch = BatchFixture.batch(3);
     private long nowNanos = TimeUnit.SECONDS.toNanos(50);
 
     @Test
-    void aResultIsShownOnlyAfterItsCommitAndKeepsItsPosition() {
+    void resultIsVisibleOnlyAfterItsCommitAndKeepsItsPosition() {
         BatchFixture.run(batch, first(), 2);
-        assertThat(batch.page(0, MANY).results()).isEmpty();
+        assertThat(batch.page(0, NO_LIMIT).results()).isEmpty();
 
         commit();
         BatchFixture.run(batch, first(), 1);
         commit();
 
-        assertThat(batch.page(0, MANY).results()).extracting(ItemResult::id).containsExactly("i0", "i1");
-        assertThat(batch.page(1, MANY).results()).extracting(ItemResult::id).containsExactly("i1");
-        assertThat(batch.page(0, MANY).total()).isEqualTo(3);
+        assertThat(batch.page(0, NO_LIMIT).results()).extracting(ItemResult::id).containsExactly("i0", "i1");
+        assertThat(batch.page(1, NO_LIMIT).results()).extracting(ItemResult::id).containsExactly("i1");
+        assertThat(batch.page(0, NO_LIMIT).total()).isEqualTo(3);
     }
 
     /**
@@ -33,56 +33,56 @@
      * once.
      */
     @Test
-    void aRunThatIsCutGoesOnAfterItsLastEvent() {
+    void cutRunIsResumedAfterItsLastEvent() {
         ItemProgress item = first();
-        batch.started(item);
+        batch.runStarted(item);
         BatchFixture.events(item, 2);
-        batch.ended(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
+        batch.runEnded(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
         assertThat(item.lastEventId()).contains(2L);
 
-        batch.started(item);
+        batch.runStarted(item);
         item.event(Optional.of(2L), "w2");
         item.event(Optional.of(3L), "w3");
-        batch.ended(item, RunEnd.COMPLETED, MAX_ATTEMPTS, nowNanos);
+        batch.runEnded(item, RunEnd.COMPLETED, MAX_ATTEMPTS, nowNanos);
         commit();
 
-        assertThat(batch.page(0, MANY).results().get(0).text()).isEqualTo("w1\nw2\nw3");
+        assertThat(batch.page(0, NO_LIMIT).results().get(0).text()).isEqualTo("w1\nw2\nw3");
     }
 
     /**
      * Output without event ids can't be resumed: that of a cut run is discarded, or it would be in the result twice.
      */
     @Test
-    void eventsWithoutIdsBeginAnew() {
+    void cutRunWithoutEventIdsStartsFromTheBeginning() {
         ItemProgress item = first();
-        batch.started(item);
+        batch.runStarted(item);
         item.event(Optional.empty(), "a");
-        batch.ended(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
+        batch.runEnded(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
 
-        batch.started(item);
+        batch.runStarted(item);
         item.event(Optional.empty(), "a");
-        batch.ended(item, RunEnd.COMPLETED, MAX_ATTEMPTS, nowNanos);
+        batch.runEnded(item, RunEnd.COMPLETED, MAX_ATTEMPTS, nowNanos);
         commit();
 
-        assertThat(batch.page(0, MANY).results().get(0).text()).isEqualTo("a");
+        assertThat(batch.page(0, NO_LIMIT).results().get(0).text()).isEqualTo("a");
     }
 
     @Test
-    void anItemIsGivenUpAfterAsManyErrorAnswersAsItsRouteAllowsAndNotBefore() {
+    void itemIsGivenUpAfterAsManyErrorAnswersAsItsRouteAllowsAndNotBefore() {
         ItemProgress item = first();
         for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
             assertThat(item.result()).isEmpty();
-            batch.started(item);
-            batch.ended(item, RunEnd.ERROR_ANSWER, MAX_ATTEMPTS, nowNanos);
+            batch.runStarted(item);
+            batch.runEnded(item, RunEnd.ERROR_ANSWER, MAX_ATTEMPTS, nowNanos);
         }
         assertThat(item.result().map(ItemResult::state)).contains(ItemState.GIVEN_UP);
     }
 
     @Test
-    void anItemThatCanNeverBeDoneIsGivenUpAtOnce() {
+    void rejectedItemIsGivenUpAtOnce() {
         ItemProgress item = first();
-        batch.started(item);
-        batch.ended(item, RunEnd.REJECTED, MAX_ATTEMPTS, nowNanos);
+        batch.runStarted(item);
+        batch.runEnded(item, RunEnd.REJECTED, MAX_ATTEMPTS, nowNanos);
 
         assertThat(item.result().map(ItemResult::state)).contains(ItemState.GIVEN_UP);
     }
@@ -92,11 +92,11 @@
      * them.
      */
     @Test
-    void cutsRefusalsAndYieldsNeverGiveAnItemUp() {
+    void itemIsNeverGivenUpForCutsRefusalsOrYields() {
         ItemProgress item = first();
         for (int i = 0; i < 50; i++) {
-            batch.started(item);
-            batch.ended(
+            batch.runStarted(item);
+            batch.runEnded(
                     item, List.of(RunEnd.CUT, RunEnd.NOT_RUN, RunEnd.YIELDED).get(i % 3), MAX_ATTEMPTS, nowNanos);
         }
         assertThat(item.result()).isEmpty();
@@ -108,14 +108,14 @@
      * does not crash endpoints still gets to run.
      */
     @Test
-    void anItemWhoseRunsBringNothingGetsLongerAndLongerPauses() {
+    void itemWhoseRunsProduceNoOutputGetsIncreasingPauses() {
         ItemProgress item = first();
         int starts = 0;
         long endNanos = nowNanos + TimeUnit.SECONDS.toNanos(30);
         while (nowNanos < endNanos) {
-            if (batch.startable(nowNanos).contains(item)) {
-                batch.started(item);
-                batch.ended(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
+            if (batch.startableItems(nowNanos).contains(item)) {
+                batch.runStarted(item);
+                batch.runEnded(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
                 starts++;
             }
             nowNanos += TimeUnit.MILLISECONDS.toNanos(50);
@@ -124,24 +124,24 @@
     }
 
     @Test
-    void afterItsEndHasBegunNoItemStarts() {
+    void noItemStartsOnceTheCallerEndsTheBatch() {
         batch.beginEnding();
 
-        assertThat(batch.startable(nowNanos)).isEmpty();
+        assertThat(batch.startableItems(nowNanos)).isEmpty();
     }
 
     /** A write was not answered, and more results were added meanwhile: its repetition must have the same content. */
     @Test
-    void aCommitOnItsWayStaysTheSameWhateverCompletesMeanwhile() {
+    void pendingCommitDoesNotChangeWhenMoreItemsComplete() {
         BatchFixture.run(batch, first(), 1);
-        List<ItemResult> once = batch.beginCommit(MANY);
+        List<ItemResult> once = batch.beginCommit(NO_LIMIT);
         BatchFixture.run(batch, first(), 1);
 
-        assertThat(batch.beginCommit(MANY)).isEqualTo(once);
+        assertThat(batch.beginCommit(NO_LIMIT)).isEqualTo(once);
     }
 
     @Test
-    void aCommitHoldsNoMoreCharactersThanAskedForButAtLeastOneResult() {
+    void commitIsLimitedInCharactersButHasAtLeastOneResult() {
         BatchFixture.run(batch, first(), 2);
         BatchFixture.run(batch, first(), 2);
 
@@ -149,25 +149,25 @@
     }
 
     @Test
-    void anotherOwnerGoesOnFromWhatTheItemsHadGenerated() {
+    void nextOwnerResumesItemsFromTheirCheckpoints() {
         ItemProgress item = first();
-        batch.started(item);
+        batch.runStarted(item);
         BatchFixture.events(item, 4);
-        batch.ended(item, RunEnd.YIELDED, MAX_ATTEMPTS, nowNanos);
+        batch.runEnded(item, RunEnd.YIELDED, MAX_ATTEMPTS, nowNanos);
 
         OwnedBatch next = BatchFixture.batch(3);
         next.restore(batch.checkpoints());
 
-        ItemProgress restored = next.startable(nowNanos).get(0);
+        ItemProgress restored = next.startableItems(nowNanos).get(0);
         assertThat(restored.item().id()).isEqualTo(item.item().id());
         assertThat(restored.lastEventId()).contains(4L);
     }
 
     @Test
-    void whatItemsGenerateIsUnsavedUntilItIsWrittenDown() {
+    void outputIsUnsavedProgressUntilItIsSaved() {
         assertThat(batch.hasUnsavedProgress()).isFalse();
         ItemProgress item = first();
-        batch.started(item);
+        batch.runStarted(item);
         BatchFixture.events(item, 2);
         assertThat(batch.hasUnsavedProgress()).isTrue();
 
@@ -184,18 +184,18 @@
      * Progress may come both from the store, seconds old, and from the last owner as it stops: the later one counts.
      */
     @Test
-    void ofTwoCheckpointsOfAnItemTheLaterOneHolds() {
+    void latestOfSeveralCheckpointsOfAnItemIsUsed() {
         OwnedBatch next = BatchFixture.batch(3);
         next.restore(List.of(new ItemCheckpoint("i0", 2, "w1\nw2")));
         next.restore(List.of(new ItemCheckpoint("i0", 3, "w1\nw2\nw3")));
         next.restore(List.of(new ItemCheckpoint("i0", 1, "w1")));
 
-        assertThat(next.startable(nowNanos).get(0).lastEventId()).contains(3L);
+        assertThat(next.startableItems(nowNanos).get(0).lastEventId()).contains(3L);
         assertThat(next.checkpoints().get(0).text()).isEqualTo("w1\nw2\nw3");
     }
 
     @Test
-    void aPageHoldsAtLeastOneResultHoweverLargeItIs() {
+    void pageHasAtLeastOneResultHoweverLargeItIs() {
         BatchFixture.run(batch, first(), 500);
         commit();
 
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void theBodyOfAnItemIsThereUntilItIsListed() {
+    void itemIsAvailableUntilItsResultIsCommitted() {
         assertThat(batch.unlistedItem("i0")).isPresent();
         BatchFixture.run(batch, first(), 1);
         assertThat(batch.unlistedItem("i0")).isPresent();
@@ -212,11 +212,11 @@
     }
 
     private ItemProgress first() {
-        return batch.startable(nowNanos).get(0);
+        return batch.startableItems(nowNanos).get(0);
     }
 
     private void commit() {
-        int results = batch.beginCommit(MANY).size();
+        int results = batch.beginCommit(NO_LIMIT).size();
         batch.commitSucceeded(batch.record().withChunk(results), batch.recordRevision() + 1);
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OwnerWatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OwnerWatchTest.java
@@ -7,15 +7,15 @@
 import org.junit.jupiter.api.Test;
 
 class OwnerWatchTest {
-    private static final Map<String, String> NOBODY_ELSE = Map.of("self", "s1");
-    private static final Map<String, String> OTHER_LIVES = Map.of("self", "s1", "other", "p1");
+    private static final Map<String, String> SELF_ONLY = Map.of("self", "s1");
+    private static final Map<String, String> OTHER_ALIVE = Map.of("self", "s1", "other", "p1");
     private static final Map<String, String> OTHER_RESTARTED = Map.of("self", "s1", "other", "p2");
 
     private final OwnerWatch watch = new OwnerWatch("self");
 
     @Test
-    void anOwnerThatLivesIsNotLost() {
-        watch.observe(OTHER_LIVES, at(0));
+    void liveOwnerIsNotLost() {
+        watch.observe(OTHER_ALIVE, at(0));
 
         assertThat(watch.isLost("other", "p1", at(0))).isFalse();
     }
@@ -24,19 +24,19 @@
      * The list of live hosts is seconds old and does not contain an owner that has just started: it keeps its batches.
      */
     @Test
-    void anOwnerThatWasNeverSeenAliveIsNotLostAtOnce() {
-        watch.observe(NOBODY_ELSE, at(0));
+    void ownerNeverSeenAliveIsNotLostAtOnce() {
+        watch.observe(SELF_ONLY, at(0));
 
         assertThat(watch.isLost("other", "p1", at(0))).isFalse();
         assertThat(watch.isLost("other", "p1", at(2400))).isFalse();
-        watch.observe(OTHER_LIVES, at(2450));
+        watch.observe(OTHER_ALIVE, at(2450));
         assertThat(watch.isLost("other", "p1", at(2450))).isFalse();
-        watch.observe(NOBODY_ELSE, at(2500));
+        watch.observe(SELF_ONLY, at(2500));
         assertThat(watch.isLost("other", "p1", at(3600))).isFalse();
     }
 
     @Test
-    void anOwnerThatWasNeverSeenAliveAndStaysMissingIsLost() {
+    void ownerNeverSeenAliveThatStaysMissingIsLost() {
         watch.isLost("other", "p1", at(0));
 
         assertThat(watch.isLost("other", "p1", at(2600))).isTrue();
@@ -48,14 +48,14 @@
      * the takeover.
      */
     @Test
-    void anOwnerThatWasSeenAliveIsLostAfterOneMoreWordOfItIsMissing() {
-        watch.observe(OTHER_LIVES, at(0));
+    void ownerSeenAliveIsLostAfterOneMoreMissingHeartbeat() {
+        watch.observe(OTHER_ALIVE, at(0));
 
-        assertThat(watch.observe(NOBODY_ELSE, at(100))).isFalse();
+        assertThat(watch.observe(SELF_ONLY, at(100))).isFalse();
         assertThat(watch.isLost("other", "p1", at(1200))).isFalse();
-        assertThat(watch.observe(NOBODY_ELSE, at(1300))).isTrue();
+        assertThat(watch.observe(SELF_ONLY, at(1300))).isTrue();
         assertThat(watch.isLost("other", "p1", at(1300))).isTrue();
-        assertThat(watch.observe(NOBODY_ELSE, at(1325))).isFalse();
+        assertThat(watch.observe(SELF_ONLY, at(1325))).isFalse();
     }
 
     /**
@@ -63,19 +63,19 @@
      * second.
      */
     @Test
-    void anOwnerThatIsMissingForAMomentIsNotLost() {
-        watch.observe(OTHER_LIVES, at(0));
-        watch.observe(NOBODY_ELSE, at(100));
-        watch.observe(OTHER_LIVES, at(1100));
+    void ownerMissingForAShortTimeIsNotLost() {
+        watch.observe(OTHER_ALIVE, at(0));
+        watch.observe(SELF_ONLY, at(100));
+        watch.observe(OTHER_ALIVE, at(1100));
 
-        assertThat(watch.observe(NOBODY_ELSE, at(2000))).isFalse();
+        assertThat(watch.observe(SELF_ONLY, at(2000))).isFalse();
         assertThat(watch.isLost("other", "p1", at(2500))).isFalse();
     }
 
     /** A restarted host takes over the batches of its earlier process; other hosts do so only if it does not. */
     @Test
-    void aHostThatCameBackIsGivenTimeToTakeItsOwnBatches() {
-        watch.observe(OTHER_LIVES, at(0));
+    void restartedHostGetsTimeToTakeOverItsOwnBatches() {
+        watch.observe(OTHER_ALIVE, at(0));
         watch.observe(OTHER_RESTARTED, at(100));
 
         assertThat(watch.isLost("other", "p1", at(4000))).isFalse();
@@ -83,8 +83,8 @@
     }
 
     @Test
-    void whatAnEarlierProcessOfThisHostLeftIsTakenAtOnce() {
-        watch.observe(NOBODY_ELSE, at(0));
+    void earlierProcessOfThisHostIsLostAtOnce() {
+        watch.observe(SELF_ONLY, at(0));
 
         assertThat(watch.isLost("self", "s0", at(0))).isTrue();
         assertThat(watch.isLost("self", "s1", at(0))).isFalse();
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
@@ -7,26 +7,26 @@
 import org.junit.jupiter.api.Test;
 
 class SaveTimingTest {
-    private static final OptionalLong FAR = OptionalLong.of(10_000);
+    private static final OptionalLong FAR_FROM_DUE = OptionalLong.of(10_000);
 
     private final SaveTiming timing = new SaveTiming();
     private final OwnedBatch batch = BatchFixture.batch(3);
 
     @Test
-    void nothingIsDueBeforeAnItemHasGeneratedSomething() {
-        batch.started(first());
+    void nothingIsDueBeforeAnItemHasOutput() {
+        batch.runStarted(first());
 
-        assertThat(timing.isDue(batch, false, FAR, at(0))).isFalse();
-        assertThat(timing.isDue(batch, false, FAR, at(60_000))).isFalse();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isFalse();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(60_000))).isFalse();
     }
 
     @Test
-    void resultsWaitAWhileForOthersAndThenGo() {
+    void resultsAreWrittenAfterADelay() {
         BatchFixture.run(batch, first(), 1);
 
-        assertThat(timing.isDue(batch, false, FAR, at(0))).isFalse();
-        assertThat(timing.isDue(batch, false, FAR, at(1400))).isFalse();
-        assertThat(timing.isDue(batch, false, FAR, at(1500))).isTrue();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isFalse();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(1400))).isFalse();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(1500))).isTrue();
     }
 
     /**
@@ -34,7 +34,7 @@
      * delayed.
      */
     @Test
-    void resultsThatComeJustBeforeTheyAreDueGoAtOnce() {
+    void resultsAreWrittenAtOnceNearTheDueTime() {
         BatchFixture.run(batch, first(), 1);
 
         assertThat(timing.isDue(batch, false, OptionalLong.of(2600), at(0))).isFalse();
@@ -44,24 +44,24 @@
     }
 
     @Test
-    void theLastResultsOfABatchGoAtOnce() {
+    void lastResultsOfABatchAreWrittenAtOnce() {
         for (int item = 0; item < 3; item++) {
             BatchFixture.run(batch, first(), 1);
         }
 
-        assertThat(timing.isDue(batch, false, FAR, at(0))).isTrue();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isTrue();
     }
 
     @Test
-    void aHostThatStopsWritesItsResultsAtOnceAndHandsItsProgressOverInstead() {
+    void stoppingHostWritesResultsAtOnceAndNoProgress() {
         ItemProgress item = first();
-        batch.started(item);
+        batch.runStarted(item);
         BatchFixture.events(item, 3);
-        assertThat(timing.isDue(batch, true, FAR, at(0))).isFalse();
-        assertThat(timing.isDue(batch, true, FAR, at(9000))).isFalse();
+        assertThat(timing.isDue(batch, true, FAR_FROM_DUE, at(0))).isFalse();
+        assertThat(timing.isDue(batch, true, FAR_FROM_DUE, at(9000))).isFalse();
 
-        batch.ended(item, RunEnd.COMPLETED, 1, 0);
-        assertThat(timing.isDue(batch, true, FAR, at(9000))).isTrue();
+        batch.runEnded(item, RunEnd.COMPLETED, 1, 0);
+        assertThat(timing.isDue(batch, true, FAR_FROM_DUE, at(9000))).isTrue();
     }
 
     /**
@@ -69,13 +69,13 @@
      * however many events followed and however long the item runs.
      */
     @Test
-    void whatItemsGenerateIsWrittenDownEachTwoSeconds() {
+    void progressIsWrittenEveryTwoSeconds() {
         ItemProgress item = first();
-        batch.started(item);
+        batch.runStarted(item);
         int saves = 0;
         for (int millis = 0; millis < 10_000; millis += 25) {
             BatchFixture.events(item, 1);
-            if (timing.isDue(batch, false, FAR, at(millis))) {
+            if (timing.isDue(batch, false, FAR_FROM_DUE, at(millis))) {
                 saves++;
                 timing.sent(batch.id());
                 batch.progressSaved(batch.events());
@@ -86,7 +86,7 @@
     }
 
     private ItemProgress first() {
-        return batch.startable(0).get(0);
+        return batch.startableItems(0).get(0);
     }
 
     private static long at(long millis) {
