--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
@@ -23,13 +23,17 @@
 import org.gooseberryhill.route.RouteTarget;
 
 /**
- * Decides which items of a host's batches start, where, and which of them give way to online requests. Not thread-safe.
+ * Decides which items of a host's batches start, on which endpoints, and which running items yield to online requests.
+ * Not thread-safe.
  *
- * <p>Invariants: an item runs once at a time; each run that was begun here ends here, so the count of what is in flight
- * holds.
+ * <p>Invariants: an item has at most one run at a time; each run that is started here is also ended here, so the count
+ * of runs in flight stays correct.
  */
 public final class ItemDispatch {
-    /** With less time to spare than this many whole runs an item no longer waits for a slot beyond the reserve. */
+    /**
+     * Items with less slack than this many whole runs are urgent: they may take a slot of the reserve for online
+     * requests.
+     */
     private static final double URGENT_SLACK_RUNS = 1;
 
     private final HostId self;
@@ -39,10 +43,10 @@
     private final ItemPlacement placement;
     private final YieldTiming yieldTiming = new YieldTiming();
     private final ItemPause pause = new ItemPause();
-    private final RunForecast forecast = new RunForecast();
+    private final RunTimeEstimator runTimeEstimator = new RunTimeEstimator();
     private final Map<EndpointKey, List<PlacedItem>> placed = new TreeMap<>();
 
-    /** A dispatch of one host's items over the endpoints that it knows. */
+    /** Creates a dispatch of the items of one host to the endpoints that this host knows. */
     public ItemDispatch(HostId self, Fleet fleet, BatchRoutes routes, ItemOrder order, ItemPlacement placement) {
         this.self = self;
         this.fleet = fleet;
@@ -51,48 +55,52 @@
         this.placement = placement;
     }
 
-    /** How many items run. */
+    /** Returns the number of running items. */
     public int running() {
         return placed.values().stream().mapToInt(List::size).sum();
     }
 
-    /** The runs that start now; they count as started. */
+    /** Starts runs on free slots and returns them, already counted as in flight. */
     public List<PlacedItem> start(Collection<OwnedBatch> batches, long nowNanos, long nowMillis) {
         List<DueItem> items = new ArrayList<>();
         for (OwnedBatch batch : batches) {
             routes.of(batch).ifPresent(route -> {
-                long leftMillis = BatchRoutes.dueAtMillis(batch, route) - nowMillis;
-                batch.startable(nowNanos)
-                        .forEach(item -> items.add(new DueItem(batch, item, leftMillis, forecast.leftMillis(item))));
+                long untilDueMillis = BatchRoutes.dueAtMillis(batch, route) - nowMillis;
+                batch.startableItems(nowNanos)
+                        .forEach(item -> items.add(
+                                new DueItem(batch, item, untilDueMillis, runTimeEstimator.remainingMillis(item))));
             });
         }
-        return items.isEmpty() ? List.of() : place(order.inOrder(items), nowNanos);
+        return items.isEmpty() ? List.of() : place(order.sorted(items), nowNanos);
     }
 
-    /** The runs that give way now, where more is in flight than an endpoint has slots; they count as running until they end. */
+    /**
+     * Returns the runs that have to yield now because their endpoint has more requests in flight than slots. They count
+     * as running until {@link #ended} is called.
+     */
     public List<PlacedItem> giveWay(long nowNanos, long nowMillis) {
-        List<PlacedItem> leaving = new ArrayList<>();
+        List<PlacedItem> yielding = new ArrayList<>();
         placed.forEach((key, runs) -> fleet.find(key).ifPresent(endpoint -> {
             int share = yieldTiming.due(key, fleet.yieldShare(endpoint, self), nowNanos);
             if (share > 0) {
                 pause.gaveWay(key, nowNanos);
-                leaving.addAll(leastLoss(runs, Math.min(share, runs.size()), nowMillis));
+                yielding.addAll(lastInOrder(runs, Math.min(share, runs.size()), nowMillis));
             }
         }));
-        return leaving;
+        return yielding;
     }
 
-    /** The runs of a batch. */
+    /** Returns the runs of a batch. */
     public List<PlacedItem> runsOf(String batchId) {
         return all().stream().filter(run -> run.batch().id().equals(batchId)).toList();
     }
 
-    /** All runs. */
+    /** Returns all runs. */
     public List<PlacedItem> all() {
         return placed.values().stream().flatMap(List::stream).toList();
     }
 
-    /** A run ended. */
+    /** Records the end of a run. */
     public void ended(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, long nowNanos) {
         EndpointKey key = run.endpoint().key();
         List<PlacedItem> runs = placed.get(key);
@@ -102,29 +110,31 @@
         }
         fleet.batchEnded(key);
         fleet.observed(key, attemptEnd, nowNanos);
-        forecast.ran(run.newCharacters(), (double) run.ranNanos(nowNanos) / TimeUnit.MILLISECONDS.toNanos(1));
+        runTimeEstimator.runEnded(
+                run.newCharacters(), (double) run.ranNanos(nowNanos) / TimeUnit.MILLISECONDS.toNanos(1));
         if (end == RunEnd.COMPLETED) {
-            forecast.completed(run.item().characters());
+            runTimeEstimator.itemCompleted(run.item().characters());
         }
         int maxAttempts = routes.of(run.batch()).map(Route::maxAttempts).orElse(1);
-        run.batch().ended(run.item(), end, maxAttempts, nowNanos);
+        run.batch().runEnded(run.item(), end, maxAttempts, nowNanos);
     }
 
     private List<PlacedItem> place(List<DueItem> items, long nowNanos) {
         List<PlacedItem> started = new ArrayList<>();
         Map<Route, List<FleetEndpoint>> endpointsByRoute = new IdentityHashMap<>();
-        Set<String> full = new HashSet<>();
+        Set<String> exhausted = new HashSet<>();
         for (DueItem due : items) {
             Route route = routes.of(due.batch()).orElseThrow();
-            boolean urgent = due.isFeasible() && due.slackMillis() < URGENT_SLACK_RUNS * forecast.wholeMillis();
-            String need = route.name() + (urgent ? " urgent" : "");
-            if (full.contains(need)) {
+            boolean urgent =
+                    due.isFeasible() && due.slackMillis() < URGENT_SLACK_RUNS * runTimeEstimator.fullRunMillis();
+            String slotClass = route.name() + (urgent ? " urgent" : "");
+            if (exhausted.contains(slotClass)) {
                 continue;
             }
             List<FleetEndpoint> endpoints = endpointsByRoute.computeIfAbsent(route, key -> endpoints(key, nowNanos));
             Optional<FleetEndpoint> endpoint = placement.choose(endpoints, urgent, nowNanos);
             if (endpoint.isEmpty()) {
-                full.add(need);
+                exhausted.add(slotClass);
             } else {
                 started.add(placeAt(endpoint.get(), due, urgent, nowNanos));
             }
@@ -136,7 +146,7 @@
         PlacedItem run = new PlacedItem(due, endpoint.entry(), urgent, nowNanos);
         placed.computeIfAbsent(endpoint.key(), key -> new ArrayList<>()).add(run);
         fleet.batchStarted(endpoint.key());
-        due.batch().started(due.item());
+        due.batch().runStarted(due.item());
         return run;
     }
 
@@ -152,16 +162,19 @@
         return endpoints;
     }
 
-    /** Those that would get a free slot last; of equals the one that started last, which has the least to read again. */
-    private List<PlacedItem> leastLoss(List<PlacedItem> runs, int number, long nowMillis) {
+    /**
+     * Returns the runs whose items are last in the order for free slots; among equal ones those that started last,
+     * which have the least output to process again when they are resumed.
+     */
+    private List<PlacedItem> lastInOrder(List<PlacedItem> runs, int count, long nowMillis) {
         Map<DueItem, PlacedItem> runsByItem = new LinkedHashMap<>();
         for (PlacedItem run : runs) {
-            long leftMillis = routes.dueAtMillis(run.batch()).orElse(nowMillis) - nowMillis;
-            double runMillis = forecast.leftMillis(run.item());
-            runsByItem.put(new DueItem(run.batch(), run.item(), leftMillis, runMillis), run);
+            long untilDueMillis = routes.dueAtMillis(run.batch()).orElse(nowMillis) - nowMillis;
+            double remainingRunMillis = runTimeEstimator.remainingMillis(run.item());
+            runsByItem.put(new DueItem(run.batch(), run.item(), untilDueMillis, remainingRunMillis), run);
         }
-        List<DueItem> ordered = order.inOrder(List.copyOf(runsByItem.keySet()));
-        return ordered.subList(ordered.size() - number, ordered.size()).stream()
+        List<DueItem> ordered = order.sorted(List.copyOf(runsByItem.keySet()));
+        return ordered.subList(ordered.size() - count, ordered.size()).stream()
                 .map(runsByItem::get)
                 .toList();
     }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchExpiryTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchExpiryTest.java
@@ -10,16 +10,19 @@
     private final BatchExpiry expiry = new BatchExpiry(1000);
 
     @Test
-    void aBatchIsKeptForItsWholeTimeAfterItWasSeenFinished() {
+    void batchIsKeptForTheRetentionPeriodAfterItWasSeenFinished() {
         assertThat(expiry.observe(Set.of("a"), at(0))).isEmpty();
         assertThat(expiry.observe(Set.of("a", "b"), at(999))).isEmpty();
         assertThat(expiry.observe(Set.of("a", "b"), at(1000))).containsExactly("a");
         assertThat(expiry.observe(Set.of("b"), at(1999))).containsExactly("b");
     }
 
-    /** A stale listing lacks the end of a batch, or shows it open again: its time begins anew, which deletes nothing early. */
+    /**
+     * A stale listing shows a finished batch as open again: its retention period starts again, so it is not deleted
+     * early.
+     */
     @Test
-    void aBatchThatIsSeenOpenAgainBeginsAnew() {
+    void retentionPeriodRestartsIfABatchIsSeenOpenAgain() {
         expiry.observe(Set.of("a"), at(0));
         expiry.observe(Set.of(), at(500));
 
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipProperties.java
@@ -10,11 +10,12 @@
 
 class BatchOwnershipProperties {
     /**
-     * Two hosts take a batch from each other while answers of the store are lost and writes arrive late. Whatever a reader
-     * was shown at a position stays there, no item stands twice, and in the end each item has its place.
+     * Two hosts take a batch over from each other while answers of the store are lost and writes arrive late. A result
+     * that was shown at a position stays there, no item has two positions, and without faults every item has a position
+     * in the end.
      */
     @Property
-    void positionsAreGivenOnceHoweverOftenTheOwnerChanges(
+    void positionsAreAssignedOnceHoweverOftenTheOwnerChanges(
             @ForAll Random random, @ForAll @IntRange(min = 0, max = 60) int faultPercent) {
         BatchOwnershipModel model = new BatchOwnershipModel(random, faultPercent);
         for (int i = 0; i < 120; i++) {
@@ -22,8 +23,8 @@
         }
         model.finish();
 
-        assertThat(new HashSet<>(model.shown().values()))
-                .hasSameSizeAs(model.shown().values());
+        assertThat(new HashSet<>(model.shownIdsByPosition().values()))
+                .hasSameSizeAs(model.shownIdsByPosition().values());
         if (faultPercent == 0) {
             assertThat(model.record().listed()).isEqualTo(6);
         }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
@@ -5,12 +5,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** When a host creates the record of a submission that it keeps. */
 class OutboxTimingTest {
     private final OutboxTiming timing = new OutboxTiming(240_000);
 
     @Test
-    void theGatewayThatTookItInHasSomeTimeToDoSo() {
+    void gatewayGetsTimeToCreateTheRecordFirst() {
         timing.kept("a", at(0));
 
         assertThat(timing.takeTry("a", at(1400))).isFalse();
@@ -18,7 +17,7 @@
     }
 
     @Test
-    void aTryIsRepeatedAfterAWhileUntilTheCopyIsGone() {
+    void creationIsRetriedUntilTheCopyIsDeleted() {
         timing.kept("a", at(0));
         timing.takeTry("a", at(2000));
 
@@ -29,7 +28,7 @@
     }
 
     @Test
-    void aHostThatIsToBeEmptiedDoesNotWait() {
+    void hostBeingEmptiedCreatesTheRecordAtOnce() {
         timing.kept("a", at(0));
 
         timing.hurry("a", at(100));
@@ -37,9 +36,9 @@
         assertThat(timing.takeTry("a", at(100))).isTrue();
     }
 
-    /** A host was away for hours and comes back: the batch may have been done and deleted long since. */
+    /** A host comes back after hours: the batch of its copy may have been finished and deleted long ago. */
     @Test
-    void aCopyThatIsOlderThanFinishedBatchesAreKeptIsNotCreated() {
+    void copyOlderThanTheRetentionPeriodIsExpired() {
         assertThat(timing.isExpired(239_000)).isFalse();
         assertThat(timing.isExpired(241_000)).isTrue();
     }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
@@ -7,31 +7,34 @@
 import org.junit.jupiter.api.Test;
 
 class SaveTimingTest {
-    private static final OptionalLong FAR = OptionalLong.of(10_000);
+    private static final OptionalLong FAR_FROM_DUE = OptionalLong.of(10_000);
 
     private final SaveTiming timing = new SaveTiming();
     private final OwnedBatch batch = BatchFixture.batch(3);
 
     @Test
-    void nothingIsDueBeforeAnItemHasGeneratedSomething() {
-        batch.started(first());
+    void nothingIsDueBeforeAnItemHasOutput() {
+        batch.runStarted(first());
 
-        assertThat(timing.isDue(batch, false, FAR, at(0))).isFalse();
-        assertThat(timing.isDue(batch, false, FAR, at(60_000))).isFalse();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isFalse();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(60_000))).isFalse();
     }
 
     @Test
-    void resultsWaitAWhileForOthersAndThenGo() {
+    void resultsAreWrittenAfterADelay() {
         BatchFixture.run(batch, first(), 1);
 
-        assertThat(timing.isDue(batch, false, FAR, at(0))).isFalse();
-        assertThat(timing.isDue(batch, false, FAR, at(1400))).isFalse();
-        assertThat(timing.isDue(batch, false, FAR, at(1500))).isTrue();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isFalse();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(1400))).isFalse();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(1500))).isTrue();
     }
 
-    /** An item is done a second before its batch is due; its caller asks for results at that time, not when others are done. */
+    /**
+     * An item is done a second before its batch is due; the caller reads results at the due time, so they must not be
+     * delayed.
+     */
     @Test
-    void resultsThatComeJustBeforeTheyAreDueGoAtOnce() {
+    void resultsAreWrittenAtOnceNearTheDueTime() {
         BatchFixture.run(batch, first(), 1);
 
         assertThat(timing.isDue(batch, false, OptionalLong.of(2600), at(0))).isFalse();
@@ -41,38 +44,38 @@
     }
 
     @Test
-    void theLastResultsOfABatchGoAtOnce() {
+    void lastResultsOfABatchAreWrittenAtOnce() {
         for (int item = 0; item < 3; item++) {
             BatchFixture.run(batch, first(), 1);
         }
 
-        assertThat(timing.isDue(batch, false, FAR, at(0))).isTrue();
+        assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isTrue();
     }
 
     @Test
-    void aHostThatStopsWritesItsResultsAtOnceAndHandsItsProgressOverInstead() {
+    void stoppingHostWritesResultsAtOnceAndNoProgress() {
         ItemProgress item = first();
-        batch.started(item);
+        batch.runStarted(item);
         BatchFixture.events(item, 3);
-        assertThat(timing.isDue(batch, true, FAR, at(0))).isFalse();
-        assertThat(timing.isDue(batch, true, FAR, at(9000))).isFalse();
+        assertThat(timing.isDue(batch, true, FAR_FROM_DUE, at(0))).isFalse();
+        assertThat(timing.isDue(batch, true, FAR_FROM_DUE, at(9000))).isFalse();
 
-        batch.ended(item, RunEnd.COMPLETED, 1, 0);
-        assertThat(timing.isDue(batch, true, FAR, at(9000))).isTrue();
+        batch.runEnded(item, RunEnd.COMPLETED, 1, 0);
+        assertThat(timing.isDue(batch, true, FAR_FROM_DUE, at(9000))).isTrue();
     }
 
     /**
-     * All hosts lose power while items run. What an item had generated two seconds before is known then, however many
-     * events came since and however long the item takes.
+     * All hosts lose power while items run. The output that an item had generated two seconds earlier is saved by then,
+     * however many events followed and however long the item runs.
      */
     @Test
-    void whatItemsGenerateIsWrittenDownEachTwoSeconds() {
+    void progressIsWrittenEveryTwoSeconds() {
         ItemProgress item = first();
-        batch.started(item);
+        batch.runStarted(item);
         int saves = 0;
         for (int millis = 0; millis < 10_000; millis += 25) {
             BatchFixture.events(item, 1);
-            if (timing.isDue(batch, false, FAR, at(millis))) {
+            if (timing.isDue(batch, false, FAR_FROM_DUE, at(millis))) {
                 saves++;
                 timing.sent(batch.id());
                 batch.progressSaved(batch.events());
@@ -83,7 +86,7 @@
     }
 
     private ItemProgress first() {
-        return batch.startable(0).get(0);
+        return batch.startableItems(0).get(0);
     }
 
     private static long at(long millis) {
