--- a/src/main/java/org/gooseberryhill/gateway/BatchBoard.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchBoard.java
@@ -13,13 +13,17 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * The batches that this host owns, who waits for their results, and who owns others. For the control thread.
+ * Registry of the batches that this host owns, of the callers that wait for their results, and of the known owners of
+ * other batches. Confined to the control thread.
  *
- * <p>Invariant: a batch stands here once from its adding to its dropping. A second copy would list again what the first one
- * has committed.
+ * <p>Invariant: an owned batch has exactly one entry from {@link #add} to {@link #drop}. A second copy would list again
+ * the results that the first copy has committed.
  */
 final class BatchBoard {
-    /** Callers read results twice a second until they have all; each has some kilobytes, and a host owns many batches a day. */
+    /**
+     * How long a finished batch stays in memory. Callers poll twice a second until they have all results; a result
+     * takes several kilobytes, and a host owns many batches a day.
+     */
     private static final long FREE_AFTER_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final Map<String, OwnedBatch> owned = new LinkedHashMap<>();
@@ -27,7 +31,7 @@
     private final Map<String, HostId> owners = new HashMap<>();
     private final Map<String, Long> finishedSinceNanos = new HashMap<>();
 
-    /** Adds a batch that this host owns from now on; false if it has it already. */
+    /** Adds a batch that this host now owns; returns false if the batch already has an entry. */
     boolean add(OwnedBatch batch) {
         if (owned.putIfAbsent(batch.id(), batch) != null) {
             return false;
@@ -36,7 +40,7 @@
         return true;
     }
 
-    /** Another process owns the batch now. */
+    /** Removes a batch that this host no longer owns or holds in memory, and notifies its waiters. */
     void drop(String id) {
         owned.remove(id);
         wake(id);
@@ -46,7 +50,7 @@
         return Optional.ofNullable(owned.get(id));
     }
 
-    /** Whether this host owns the batch by a write of its record that is later than a revision. */
+    /** Returns whether this host owns the batch and last wrote its record at a later revision than the given one. */
     boolean hasWritten(String id, long revision) {
         return find(id).filter(batch -> batch.recordRevision() > revision).isPresent();
     }
@@ -55,12 +59,15 @@
         return List.copyOf(owned.values());
     }
 
-    /** The owned batches that have something left to do. */
+    /** Returns the owned batches that are not finished. */
     Collection<OwnedBatch> openBatches() {
         return owned.values().stream().filter(batch -> !batch.isFinished()).toList();
     }
 
-    /** Batches that have been finished for a while are read from the store, like those of other hosts. */
+    /**
+     * Removes batches that have been finished for a while; from then on they are read from the store, like those of
+     * other hosts.
+     */
     void freeFinished(long nowNanos) {
         for (OwnedBatch batch : List.copyOf(owned.values())) {
             if (!batch.isFinished()) {
@@ -71,7 +78,7 @@
         }
     }
 
-    /** Batches that there are no more have no owner. */
+    /** Forgets the owners of batches that no longer exist, and the finish times of batches that are no longer owned. */
     void forgetAllBut(Set<String> known) {
         owners.keySet().retainAll(known);
         finishedSinceNanos.keySet().retainAll(owned.keySet());
@@ -87,12 +94,14 @@
         return Optional.ofNullable(owners.get(id));
     }
 
-    /** Calls back once when results of the batch are committed, or it is ended or dropped. */
+    /**
+     * Registers a callback that runs once, when results of the batch are committed or the batch is ended or dropped.
+     */
     void await(String id, Runnable waiter) {
         waiters.computeIfAbsent(id, key -> new ArrayList<>()).add(waiter);
     }
 
-    /** Calls back all who wait for the batch. */
+    /** Runs and removes the callbacks that wait for the batch. */
     void wake(String id) {
         List<Runnable> waiting = waiters.remove(id);
         if (waiting != null) {
--- a/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
@@ -11,10 +11,10 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Deletes batches of which nothing is owed any more, and frees the memory of those that are finished. For the control
- * thread.
+ * Deletes finished batches whose retention period is over, and frees the memory of finished batches. Confined to the
+ * control thread.
  *
- * <p>Invariant: results go before their record, so that a deletion that is cut off is found and repeated.
+ * <p>Invariant: results are deleted before their record, so that an interrupted deletion is found and repeated.
  */
 final class BatchCleanup {
     private final GatewayContext context;
@@ -32,7 +32,7 @@
         this.expiry = new BatchExpiry(context.settings().resultRetentionMillis());
     }
 
-    /** Takes in all records as just listed. */
+    /** Processes a complete listing of the batch records. */
     void looked(List<BatchStore.Stored> records) {
         Map<String, BatchStore.Stored> finished = records.stream()
                 .filter(found -> found.record().isFinished())
--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -17,12 +17,12 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Writes results of owned batches into the key-value store and shows them from then on, and writes down how far the open
- * items are. For the control thread.
+ * Commits results of owned batches to the key-value store, which makes them readable, and checkpoints the progress of
+ * open items. Confined to the control thread.
  *
- * <p>Invariants: at most one write for a batch is on its way; a result is shown only after the write that holds it; an
- * unanswered write is repeated word for word until the record tells whether it was done. A commit whose record was changed
- * by another process is not repeated: the batch has another owner, or was ended.
+ * <p>Invariants: at most one write of a batch's record is in flight; a result becomes readable only after the write
+ * that contains it; an unanswered write is repeated unchanged until the record shows whether it took effect. A commit
+ * whose record was changed by another process is not repeated: the batch has another owner, or was ended.
  */
 final class BatchCommitter {
     private final GatewayContext context;
@@ -45,7 +45,7 @@
         this.onLost = onLost;
     }
 
-    /** Writes what is due; called often. */
+    /** Writes results and progress that are due. Called often. */
     void tick(boolean stopping) {
         List<OwnedBatch> idle = new ArrayList<>();
         boolean due = false;
@@ -61,12 +61,16 @@
         }
     }
 
-    /** Whether a batch has a write on its way. */
+    /** Returns whether a write of the batch's record is in flight. */
     boolean isWriting(String id) {
         return writing.contains(id);
     }
 
-    /** Ends a batch for its caller; the receiver gets whether its record says so, or false if another host has it now. */
+    /**
+     * Ends a batch on request of its caller.
+     *
+     * @param receiver gets true once the record is marked as ended, or false if another host owns the batch now
+     */
     void end(OwnedBatch batch, Consumer<Boolean> receiver) {
         if (batch.record().ended()) {
             receiver.accept(true);
@@ -76,7 +80,7 @@
         writeEnding(batch);
     }
 
-    /** The key-value store has the record of a batch that was accepted by copies. */
+    /** Handles the creation of the record of a batch that was accepted by copies on disks. */
     void recorded(OwnedBatch batch, BatchRecord record, long revision) {
         batch.recordChanged(record, revision);
         if (endings.containsKey(batch.id())) {
@@ -84,14 +88,17 @@
         }
     }
 
-    /** Another process has a batch now that this host accepted by copies, or nobody has it. */
+    /**
+     * Handles the loss of a batch that this host accepted by copies on disks: its record names another process, or
+     * there is no record.
+     */
     void recordedElsewhere(String id, Optional<BatchStore.Stored> found) {
         lost(id, found);
     }
 
     /**
-     * A listing shows a later revision of an owned batch than this host wrote: another process ended or took it. While a
-     * write of this host is on its way, that write finds it out.
+     * Handles a listed revision of an owned batch that is later than the one this host wrote: another process ended the
+     * batch or took it over. A write of this host that is in flight detects the change itself.
      */
     void changedElsewhere(BatchStore.Stored found) {
         if (!writing.contains(found.id())) {
@@ -129,8 +136,9 @@
     }
 
     /**
-     * A write of progress was refused, perhaps since another process ended or took this batch: it says nothing of its own
-     * accord, and without a result to commit the items would run on for nobody.
+     * Reads the record of a batch whose progress write was refused. Another process may have ended the batch or taken
+     * it over without notifying this host; as long as no result is to be committed, its items would go on running in
+     * vain.
      */
     private void checkRecord(String id) {
         if (writing.contains(id)) {
@@ -149,7 +157,7 @@
         });
     }
 
-    /** One batch's commit by itself: another one's refusal or an unanswered write must not hold it up. */
+    /** Commits one batch separately, so that neither the refusal of another batch nor an unanswered write delays it. */
     private void commitAlone(BatchStore.Commit commit) {
         writer.write(
                 commit.id(), commit.record(), () -> store.save(List.of(commit), List.of()), new RecordWriter.Result() {
--- a/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
@@ -15,18 +15,18 @@
 import org.gooseberryhill.peer.PeerMessage;
 
 /**
- * Serves the calls about request batches. Entered from traffic threads, decides on the control thread.
+ * Handles API calls that read or end request batches. Entered from traffic threads, decides on the control thread.
  *
- * <p>Invariant: a page holds committed results only, whichever host it is asked of.
+ * <p>Invariant: a page contains only committed results, whichever host answers the call.
  */
 final class BatchDesk {
-    /** What one answer may hold: the interface allows a megabyte. */
+    /** Maximum number of characters in one page; the interface allows a megabyte per answer. */
     static final int MAX_PAGE_CHARACTERS = 700_000;
 
     private static final int OK = 200;
     private static final Map<String, String> JSON = Map.of("content-type", "application/json");
 
-    /** A reply of the owner may be kept waiting; this much more for the way. */
+    /** Added to the time for which the owner may hold back its reply, to allow for the transfer between the hosts. */
     private static final long ASK_MARGIN_MILLIS = 500;
 
     private final GatewayContext context;
@@ -51,7 +51,7 @@
         this.ending = ending;
     }
 
-    /** Answers a call of the system's own interface; from any thread. */
+    /** Answers an API call. Callable from any thread. */
     void answer(HttpCall call, SystemCall systemCall) {
         context.loop().execute(() -> {
             if (systemCall instanceof SystemCall.ReadResults read) {
@@ -64,7 +64,11 @@
         });
     }
 
-    /** Results for another host; empty if this one does not own the batch. */
+    /**
+     * Reads a page of an owned batch, also on behalf of another host. Waits for results if there are none yet.
+     *
+     * @param receiver gets the page, or empty if this host does not own the batch
+     */
     void ownResults(String id, int after, long waitMillis, PageReceiver receiver) {
         Optional<OwnedBatch> batch = board.find(id);
         if (batch.isEmpty()) {
@@ -83,7 +87,7 @@
     }
 
     private void readResults(HttpCall call, SystemCall.ReadResults read) {
-        // A host that stops keeps nobody waiting: its end would be the end of the wait.
+        // A stopping host answers at once: a waiting call would be cut off when the process ends.
         long waitMillis = context.stop().phase() == PlannedStop.Phase.SERVING ? read.waitMillis() : 0;
         if (board.find(read.batch()).isPresent()) {
             ownResults(read.batch(), read.after(), waitMillis, page -> replyPage(call, read, page));
@@ -142,7 +146,7 @@
         });
     }
 
-    /** The body of an owned batch's item that is not listed yet. */
+    /** Returns the body of an item without a committed result, if this host owns the batch and it is not ended. */
     Optional<byte[]> ownItem(String batchId, String item) {
         return board.find(batchId)
                 .filter(batch -> !batch.record().ended())
@@ -168,7 +172,7 @@
         }
     }
 
-    /** Takes a page, or nothing if the batch is not owned. */
+    /** Receives a page, or empty if this host does not own the batch. */
     @FunctionalInterface
     interface PageReceiver {
         void receive(Optional<BatchPage> page);
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnding.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnding.java
@@ -15,19 +15,23 @@
 import org.gooseberryhill.stored.BatchStore;
 
 /**
- * Ends batches for their callers. For the control thread.
+ * Ends batches on request of their callers. Confined to the control thread.
  *
- * <p>Invariant: an end is confirmed only when the record says so. The owner is told first wherever it can be found: one that
- * learns of the end after its caller starts items for nobody in between.
+ * <p>Invariant: the end of a batch is confirmed only once its record is marked as ended. The owner is asked first
+ * whenever it can be found: an owner that learns of the end later than the caller starts items in between whose results
+ * nobody reads.
  */
 final class BatchEnding {
     private static final int OK = 200;
     private static final Map<String, String> JSON = Map.of("content-type", "application/json");
 
-    /** The record of a batch can't be written while the key-value store is out; its caller ends it again. */
+    /**
+     * Time limit for ending an owned batch. Its record can't be written during an outage of the key-value store; the
+     * caller then has to try again.
+     */
     private static final long END_MILLIS = 2500;
 
-    /** An owner that can't be told for two seconds finds the ended record by itself. */
+    /** An owner that can't be notified for two seconds finds the ended record by itself. */
     private static final int TELL_OWNER_TRIES = 10;
 
     private static final long TELL_OWNER_MILLIS = 200;
@@ -60,7 +64,7 @@
         this.stored = stored;
     }
 
-    /** Ends a batch, whoever owns it. */
+    /** Ends a batch, whichever host owns it. */
     void end(HttpCall call, String id) {
         if (board.find(id).isPresent()) {
             Answer answer = new Answer(call, id);
@@ -76,7 +80,7 @@
         }
     }
 
-    /** Ends a batch that this host may own; the receiver gets whether its record says so. */
+    /** Ends a batch if this host owns it; the receiver gets whether its record is marked as ended. */
     void endOwn(String id, Consumer<Boolean> receiver) {
         Optional<OwnedBatch> batch = board.find(id);
         if (batch.isEmpty()) {
@@ -99,9 +103,9 @@
     }
 
     /**
-     * Ends a batch whose owner this host does not know, or that did not end it.
+     * Ends a batch whose owner is unknown to this host or did not end it.
      *
-     * @param asked the host that was asked in vain
+     * @param asked the host that was asked without success
      */
     private void endStored(HttpCall call, String id, Optional<Host> asked) {
         context.onLoop(store.read(id), (found, failure) -> {
@@ -127,7 +131,10 @@
         });
     }
 
-    /** A host that has just started may lack the owner on its list; the key of the owner is in the store. */
+    /**
+     * Finds the owner among the known hosts, otherwise by its key in the store: a host that has just started may not
+     * have the owner on its list yet.
+     */
     private void findOwner(BatchStore.Stored found, Consumer<Optional<Host>> receiver) {
         HostId owner = new HostId(found.record().owner());
         Optional<Host> known = links.find(owner);
@@ -147,14 +154,15 @@
                 confirm(call);
                 tellOwner(found, TELL_OWNER_TRIES);
             } else {
-                // The owner committed meanwhile, or the answer was lost: the caller ends it again.
+                // The owner committed in the meantime, or the answer was lost: the caller has to try again.
                 replies.unavailable(call, found.id(), true);
             }
         });
     }
 
     /**
-     * The record is ended, but its owner learns so only when it next writes: until then it would start further items.
+     * Notifies the owner that the record is ended. It would otherwise notice only at its next write, and start further
+     * items until then.
      */
     private void tellOwner(BatchStore.Stored found, int tries) {
         if (tries == 0) {
@@ -177,7 +185,7 @@
         call.reply(OK, JSON, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The one answer to a caller, whichever comes first: the end, or its time. */
+    /** The single answer to an end call, given when the batch is ended or when the time limit is reached. */
     private final class Answer {
         private final HttpCall call;
         private final String id;
--- a/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
@@ -13,14 +13,15 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Gives the open batches of a host that stops to others, with what their items have generated so far. For the control
- * thread.
+ * Hands the open batches of a stopping host over to other hosts, with the output that their items have generated so
+ * far. Confined to the control thread.
  *
- * <p>Failure: a host is stopped as planned, its batches wait until somebody finds them, and each item begins anew. Results
- * that wait for their commit are committed first; a batch that nobody takes stays, and is found as that of a lost host.
+ * <p>Failure: during the planned stop of a host its batches wait until another host finds them, and each item starts
+ * from the beginning. Pending results are committed before the hand-over; a batch that no host takes stays here, and is
+ * taken over like a batch of a lost host.
  */
 final class BatchHandOver {
-    /** Before a batch that nobody took is offered again. */
+    /** Delay before a batch that was not taken is offered again. */
     private static final long OFFER_AGAIN_MILLIS = 100;
 
     private final GatewayContext context;
@@ -36,7 +37,10 @@
         this.committer = committer;
     }
 
-    /** Offers each open batch that has no write on its way; called again and again until the host has ended. */
+    /**
+     * Offers each open batch that is recorded, has no write in flight and no uncommitted results. Called repeatedly
+     * until the host has ended.
+     */
     void advance() {
         for (OwnedBatch batch : board.batches()) {
             boolean settled = batch.isRecorded() && !committer.isWriting(batch.id()) && !batch.hasUncommitted();
@@ -46,7 +50,7 @@
         }
     }
 
-    /** How many open batches this host still has. */
+    /** Returns how many open batches this host still has. */
     int left() {
         return (int)
                 board.batches().stream().filter(batch -> !batch.isFinished()).count();
@@ -71,7 +75,7 @@
                     .with("taken", taken)
                     .write();
             if (!taken) {
-                // Perhaps it stops as well, or has not heard of this host: a later look chooses among those that stay.
+                // That host may be stopping too, or not know this host yet: the retry picks one of those that stay.
                 context.loop().after(OFFER_AGAIN_MILLIS, () -> offered.remove(batch.id()));
             }
             if (taken) {
--- a/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
@@ -22,16 +22,18 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Takes request batches in. Entered from traffic threads, decides on the control thread.
+ * Accepts submissions of request batches. Entered from traffic threads, decides on the control thread.
  *
- * <p>Invariant: a submission is confirmed only after its record and items are in the key-value store, or on enough disks; a
- * refusal that promises not-run is given only while they certainly are nowhere, and never will be.
+ * <p>Invariant: a submission is confirmed only after its record and items are in the key-value store or on enough
+ * disks; a refusal that promises not-run is given only if they are certainly stored nowhere and never will be.
  */
 final class BatchIntake {
     private static final int ACCEPTED = 202;
     private static final Map<String, String> JSON = Map.of("content-type", "application/json");
 
-    /** How long a submission is tried while its caller waits: the store's outages are longer or much shorter. */
+    /**
+     * How long a submission is tried while its caller waits; outages of the store are either longer or much shorter.
+     */
     private static final long SUBMIT_MILLIS = 2500;
 
     private final GatewayContext context;
@@ -63,7 +65,7 @@
         this.copies = new SubmissionCopies(context, links);
     }
 
-    /** Takes a batch in; from any thread. */
+    /** Accepts or refuses a submitted batch. Callable from any thread. */
     void submit(HttpCall call, String id, Route route, byte[] body, long arrivedNanos) {
         Either<List<String>, List<BatchItem>> items =
                 context.dialects().batches().items(body);
@@ -133,7 +135,7 @@
         runner.balance();
     }
 
-    /** The key-value store does not answer: copies on disks are as good until it does. */
+    /** Requests copies on the disks of other hosts, which replace the record until the key-value store answers. */
     private void askCopies(Submission submission) {
         if (submission.acceptance.askCopies(copies.hosts())) {
             copies.keep(submission.id, submission.record, submission.body, () -> copyKept(submission));
@@ -185,8 +187,8 @@
         }
         boolean untouched = !existing.isFinished() && existing.listed() == 0;
         if (isOwn(existing) && untouched && board.find(submission.id).isEmpty()) {
-            // An earlier submission through this process, whose creation took effect after it was given up; its body
-            // is the same. One that has results is found by the next look through the records instead.
+            // An earlier submission of the same body through this process was given up, but its creation took effect
+            // later. A batch that has results already is found by the next scan of the records instead.
             own(submission, existing, found.get().revision());
         }
         if (firstAnswer) {
@@ -194,7 +196,10 @@
         }
     }
 
-    /** A host that kept a copy created the record, for this process or for another one that took the same batch in. */
+    /**
+     * Handles a record that a host with a copy created, for this process or for another one that accepted the same
+     * batch.
+     */
     private void recordedByAnother(OwnedBatch accepted, Optional<BatchStore.Stored> found) {
         if (found.isPresent() && isOwn(found.get().record())) {
             committer.recorded(accepted, found.get().record(), found.get().revision());
@@ -226,7 +231,7 @@
         submission.call.reply(ACCEPTED, JSON, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A batch on its way in; what is decided about it changes on the control thread only. */
+    /** A submission in progress; its acceptance state changes on the control thread only. */
     private record Submission(
             HttpCall call,
             String id,
--- a/src/main/java/org/gooseberryhill/gateway/BatchReplies.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchReplies.java
@@ -7,7 +7,7 @@
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.timeline.EventKind;
 
-/** The refusals of calls about request batches. Thread-safe. */
+/** Sends refusals of calls about request batches. Thread-safe. */
 final class BatchReplies {
     private static final long RETRY_AFTER_MILLIS = 1000;
 
@@ -19,7 +19,7 @@
         this.traffic = traffic;
     }
 
-    /** The key-value store does not answer. */
+    /** Refuses a call because the key-value store does not answer. */
     void unavailable(HttpCall call, String id, boolean mayHaveRun) {
         refuse(
                 call,
@@ -31,7 +31,7 @@
                         Optional.of(RETRY_AFTER_MILLIS)));
     }
 
-    /** Refuses a call and says so on the time line. */
+    /** Refuses a call and records that on the timeline. */
     void refuse(HttpCall call, String id, Refusal refusal) {
         context.timeline()
                 .event(EventKind.BATCH_REFUSED)
--- a/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
@@ -14,9 +14,12 @@
 import org.gooseberryhill.route.Route;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Carries out what is decided about the items of owned batches. For the control thread. */
+/** Runs items of owned batches at endpoints, as {@link ItemDispatch} decides. Confined to the control thread. */
 final class BatchRunner {
-    /** Without a route a batch waits this long for a configuration that has it again; then nobody can be owed it. */
+    /**
+     * Age at which a batch without a route is given up. Until then a new configuration may contain its route again;
+     * after that no caller is entitled to its results.
+     */
     private static final long ROUTE_GONE_MILLIS = 20_000;
 
     private final GatewayContext context;
@@ -40,7 +43,7 @@
         this.onLoadChange = onLoadChange;
     }
 
-    /** Starts nothing new any more: the host stops. */
+    /** Stops starting items, because the host is stopping. */
     void pause() {
         paused = true;
     }
@@ -49,7 +52,10 @@
         return dispatch.running();
     }
 
-    /** Fits what runs to what is known now: items yield where too much is in flight, others start where slots are free. */
+    /**
+     * Adjusts the running items to the current state: items yield where too much is in flight, others start where slots
+     * are free.
+     */
     void balance() {
         abandon();
         giveWay(dispatch.giveWay(context.nowNanos(), System.currentTimeMillis()));
@@ -59,22 +65,22 @@
         }
     }
 
-    /** Takes in what the items that run have generated since the last call. */
+    /** Processes the output that the running items have generated since the last call. */
     void takeEvents() {
         runs.values().forEach(ItemRun::takeEvents);
     }
 
-    /** Gives up all runs of a batch. */
+    /** Cancels all runs of a batch. */
     void stop(String batchId) {
         giveWay(dispatch.runsOf(batchId));
     }
 
-    /** Gives up all runs. */
+    /** Cancels all runs. */
     void stopAll() {
         giveWay(dispatch.all());
     }
 
-    /** A run ended. */
+    /** Handles the end of a run. */
     void ended(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, String detail) {
         runs.remove(run);
         dispatch.ended(run, end, attemptEnd, context.nowNanos());
@@ -118,7 +124,10 @@
         leaving.forEach(run -> Optional.ofNullable(runs.get(run)).ifPresent(ItemRun::yield));
     }
 
-    /** Gives up what its route no longer keeps: items of batches that are too old, or whose route is gone when they are due. */
+    /**
+     * Gives up the open items of batches that are older than the retention period of their route. Without a route in the
+     * configuration the limit is {@link #ROUTE_GONE_MILLIS}.
+     */
     private void abandon() {
         long nowMillis = System.currentTimeMillis();
         for (OwnedBatch batch : board.openBatches()) {
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -17,16 +17,16 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Takes over batches whose owner is lost. For the control thread.
+ * Takes over batches whose owner is lost. Confined to the control thread.
  *
- * <p>Failure: an owner is killed or its host is lost, and its batches would never be finished. Each gateway looks through
- * the records now and then; those of an owner that is not among the live hosts go to the gateway that rendezvous hashing
- * names. Two that both try are told apart by the record's revision.
+ * <p>Failure: an owner is killed or its host is lost, and its batches are never finished. Each gateway therefore scans
+ * the records periodically; batches whose owner is not among the live hosts go to the gateway that rendezvous hashing
+ * selects. If two gateways try to take the same batch, the record's revision lets only one of them succeed.
  */
 final class BatchTakeover {
     private static final long RETRY_MILLIS = 300;
 
-    /** An owner that is missing when the records are looked through is looked at again after this time. */
+    /** Delay before the records are scanned again after a scan that found an owner missing. */
     private static final long AGAIN_MILLIS = 1000;
 
     private final GatewayContext context;
@@ -61,14 +61,14 @@
         this.onLooked = onLooked;
     }
 
-    /** Takes in which hosts live, and looks through the records as soon as one of them is lost; called often. */
+    /** Updates the set of live hosts, and scans the records as soon as one of them is lost. Called often. */
     void tick() {
         if (owners.observe(links.liveStarts(), context.nowNanos())) {
             look(true);
         }
     }
 
-    /** Looks through the records; one look at a time. */
+    /** Scans the records; only one scan runs at a time. */
     void look(boolean mayBeStale) {
         if (looking) {
             return;
@@ -84,9 +84,11 @@
     }
 
     /**
-     * Takes a batch that its owner gives to this host; the action gets whether that worked. An owner that has not heard of it
-     * in time offers the batch again. A copy from before the offer is no sign that it was taken: its host was suspended while
-     * another one took the batch from it.
+     * Takes over a batch that its owner hands to this host. An owner that gets no reply in time offers the batch again,
+     * so a batch that was already taken is confirmed once more. A copy older than the offer does not show that the
+     * batch was taken: this host may have been suspended while another host took the batch from it.
+     *
+     * @param then gets whether this host has taken the batch
      */
     void takeOver(GatewayMessage.BatchHandOver handOver, Consumer<Boolean> then) {
         BatchStore.Stored offered = new BatchStore.Stored(handOver.batch(), handOver.record(), handOver.revision());
@@ -104,7 +106,10 @@
         take(offered, Optional.of(handOver.progress()), then);
     }
 
-    /** A copy that is not recorded yet is still being written by this host, which learns what became of that by itself. */
+    /**
+     * Drops an owned batch whose record another process has changed. A batch without a record is left alone: its
+     * creation by this host is still in progress and detects the change itself.
+     */
     private void dropIfChangedElsewhere(BatchStore.Stored found) {
         board.find(found.id())
                 .filter(owned -> owned.isRecorded() && found.revision() > owned.recordRevision())
@@ -151,8 +156,8 @@
     }
 
     /**
-     * The record says that this process owns the batch, which knows nothing of it: a write whose answer was lost was done
-     * later. The listing may be older than what this process gave away, so the record is read again.
+     * Loads a batch that this process does not have although the record names it as the owner: a write whose answer was
+     * lost took effect later. The listing may be older than a hand-over by this process, so the record is read again.
      */
     private void adopt(String id) {
         taking.add(id);
@@ -170,7 +175,10 @@
         });
     }
 
-    /** The record as listed may be stale; the write under its revision finds that out. */
+    /**
+     * Makes this process the owner of a batch. The listed record may be stale; the write is conditional on its revision
+     * and fails in that case.
+     */
     private void take(BatchStore.Stored found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
         BatchRecord own = found.record().ownedBy(context.settings().self().id().value(), context.processStart());
         writer.write(
@@ -190,9 +198,9 @@
     }
 
     /**
-     * Reads a batch that is this host's from now on.
+     * Loads a batch that this host now owns.
      *
-     * @param handedOver what its items had generated, if its last owner told; else what it wrote down holds
+     * @param handedOver the progress of its items if the last owner passed it on; otherwise the stored progress is read
      */
     private void load(BatchStore.Stored taken, Optional<List<ItemCheckpoint>> handedOver) {
         CompletableFuture<List<ItemCheckpoint>> progress =
@@ -215,7 +223,7 @@
     private void loaded(BatchStore.Stored taken, Loaded loaded) {
         taking.remove(taken.id());
         if (!board.add(loaded.batch)) {
-            // Its caller has sent it again meanwhile.
+            // The caller has submitted the batch again in the meantime.
             return;
         }
         context.timeline()
@@ -229,6 +237,6 @@
         onTaken.run();
     }
 
-    /** A batch as read, and how far its open items are. */
+    /** A loaded batch and the progress of its open items. */
     private record Loaded(OwnedBatch batch, List<ItemCheckpoint> progress) {}
 }
--- a/src/main/java/org/gooseberryhill/gateway/Evacuations.java
+++ b/src/main/java/org/gooseberryhill/gateway/Evacuations.java
@@ -10,22 +10,23 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Tells operators when a host with a disk may be taken away. For the control thread.
+ * Reports to operators when a host with a disk can be removed. Confined to the control thread.
  *
- * <p>Such a host keeps submissions only while the key-value store lacks them. It is asked how many these are, which has it
- * create their records at once and take no more; when there are none it may go. A host that can't be asked for a while keeps
- * nothing that would not be lost with it: other hosts have copies. The first two gateways in turn do this, the second in case
- * the first is lost meanwhile; saying it twice changes nothing.
+ * <p>Such a host keeps submissions only while the key-value store lacks them. Asking for their number makes the host
+ * create their records at once and accept no more; it can be removed when none are left. A host that can't be reached
+ * for a while is reported as removable too: waiting would not save what it keeps, and other hosts have copies. The
+ * first two gateways by rank do this, the second in case the first is lost in the meantime; reporting twice changes
+ * nothing.
  */
 final class Evacuations {
     private static final int HOSTS_THAT_TELL = 2;
 
-    /** The second in turn waits this long: the first has told by then, or is lost. */
+    /** Delay of the second gateway: by then the first one has reported, or is lost. */
     private static final long TURN_MILLIS = 1000;
 
     private static final long RETRY_MILLIS = 500;
 
-    /** Several tries to ask a host, and a fraction of the time that operators give. */
+    /** Allows for several attempts to ask the host, and is a fraction of the time that operators allow. */
     private static final long UNREACHABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(3000);
 
     private final GatewayContext context;
@@ -37,7 +38,11 @@
         this.links = links;
     }
 
-    /** Operators ask for a host to be emptied; the rank is this gateway's place among the live ones. */
+    /**
+     * Handles a request of operators to evacuate a host.
+     *
+     * @param rank the position of this gateway among the live ones
+     */
     void asked(String host, long revision, int rank) {
         if (rank < HOSTS_THAT_TELL && told.add(host + "@" + revision)) {
             context.loop().after(1 + rank * TURN_MILLIS, () -> ask(new Evacuation(host, context.nowNanos())));
@@ -103,7 +108,7 @@
         });
     }
 
-    /** One host that is to be emptied. */
+    /** The evacuation of one host. */
     private static final class Evacuation {
         private final String host;
         private final long sinceNanos;
--- a/src/main/java/org/gooseberryhill/gateway/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/gateway/ItemRun.java
@@ -22,10 +22,10 @@
 import org.gooseberryhill.http.StreamEvent;
 
 /**
- * One run of an item at an endpoint. Decisions run on the control thread, events come on a traffic thread and wait there
- * until the control thread takes them.
+ * One run of an item at an endpoint. Decisions are made on the control thread; stream events arrive on a traffic thread
+ * and are queued until the control thread processes them.
  *
- * <p>Invariant: the run ends once; events of a run that has ended change nothing.
+ * <p>Invariant: the run ends once; events that arrive after its end have no effect.
  */
 final class ItemRun implements ExchangeListener {
     private static final int OK = 200;
@@ -33,7 +33,7 @@
     private static final int UNPROCESSABLE = 422;
     private static final int SERVER_ERROR = 500;
 
-    /** Longer than any pause of a working endpoint that has many requests before this one. */
+    /** Longer than any pause of a working endpoint that has many requests queued ahead of this one. */
     private static final int SILENCE_MILLIS = 3000;
 
     private static final int CONNECT_MILLIS = 500;
@@ -57,7 +57,7 @@
         this.item = placed.item();
     }
 
-    /** Starts the run. Control thread. */
+    /** Starts the run. Called on the control thread. */
     void start() {
         HttpHeaders request = new DefaultHttpHeaders();
         item.item().headers().forEach(request::set);
@@ -91,7 +91,10 @@
                         this);
     }
 
-    /** Takes in the events that have come: waking the control thread for each of them costs more than they do. */
+    /**
+     * Processes the queued events. Called on the control thread, which polls because waking it for each event costs
+     * more than processing the event.
+     */
     void takeEvents() {
         StreamEvent event = arrived.poll();
         while (event != null) {
@@ -100,7 +103,7 @@
         }
     }
 
-    /** Gives the run up; its item goes on later. Control thread. */
+    /** Cancels the run; its item continues later. Called on the control thread. */
     void yield() {
         if (!over) {
             exchange.cancel();
--- a/src/main/java/org/gooseberryhill/gateway/Once.java
+++ b/src/main/java/org/gooseberryhill/gateway/Once.java
@@ -1,6 +1,6 @@
 package org.gooseberryhill.gateway;
 
-/** Runs an action at the first of several calls. Not thread-safe. */
+/** Runs an action on the first call only. Not thread-safe. */
 final class Once implements Runnable {
     private final Runnable action;
     private boolean done;
--- a/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
@@ -11,17 +11,17 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Carries a {@link RecordWrite} to the key-value store and back. Used by the control thread only.
+ * Executes a {@link RecordWrite} against the key-value store. Confined to the control thread.
  *
- * <p>Failure: the store does a write and its answer is lost, and the caller of a batch waits for the whole time that a call may
- * take. A write that is not answered soon is therefore sent a second time beside the first; the record's revision lets only
- * one of them take effect.
+ * <p>Failure: the store performs a write but its answer is lost, and the caller of a batch waits for the full timeout
+ * of a store call. A write that is not answered soon is therefore sent a second time while the first is still pending;
+ * the record's revision lets only one of them take effect.
  */
 final class RecordWriter {
-    /** Between tries: outages are longer or much shorter, and refused calls have their price. */
+    /** Delay between attempts; outages are either longer or much shorter, and refused calls have a cost too. */
     private static final long RETRY_MILLIS = 250;
 
-    /** Many times what the store takes to answer, and a third of the shortest target latency of a batch in use. */
+    /** Many times the usual answer time of the store, and a third of the shortest target latency of batches in use. */
     private static final long SEND_AGAIN_MILLIS = 150;
 
     private final GatewayContext context;
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Makes a write until it is known what became of it.
+     * Repeats a write until its outcome is known.
      *
-     * @param write sends the write, the same each time
+     * @param write sends the write, with the same content each time
      */
     Pending write(
             String id,
@@ -47,22 +47,22 @@
         return run;
     }
 
-    /** What became of a write. */
+    /** Receives the outcome of a write. */
     interface Result {
-        /** It has taken effect and made a revision. */
+        /** The write took effect and produced the given revision. */
         void done(long revision);
 
-        /** Another process has changed the record; empty if there is no record any more. */
+        /** Another process changed the record; the argument is empty if the record no longer exists. */
         void superseded(Optional<BatchStore.Stored> found);
     }
 
-    /** A write that nobody knows the end of yet. */
+    /** A write whose outcome is not known yet. */
     interface Pending {
-        /** Sends nothing more and tells nothing more; returns whether the write may have taken effect, or may yet. */
+        /** Stops sending and reporting; returns whether the write may have taken effect or may still do so. */
         boolean abandon();
     }
 
-    /** One write on its way. */
+    /** A write in progress. */
     private final class Run implements Pending {
         private final String id;
         private final RecordWrite decision;
--- a/src/main/java/org/gooseberryhill/gateway/RelayedStore.java
+++ b/src/main/java/org/gooseberryhill/gateway/RelayedStore.java
@@ -12,12 +12,12 @@
 import org.gooseberryhill.peer.PeerMessage;
 
 /**
- * The key-value store for a host that it may turn away: a call that fails goes through another host that the store
- * serves. Thread-safe.
+ * Key-value store client for a host whose calls the store may refuse: a call that fails directly is relayed through
+ * another host that reaches the store. Thread-safe.
  *
- * <p>Invariant: what is acknowledged is the store's own acknowledgement, whichever host passed the call on. A write whose
- * answer was lost may be repeated through another host, since it holds only at the revisions that it names; a write
- * without conditions is repeated with the same content.
+ * <p>Invariant: every acknowledgement comes from the store itself, whichever host relayed the call. A write whose
+ * answer was lost may be repeated through another host, because it takes effect only at the revisions that it names; a
+ * write without conditions is repeated with the same content.
  */
 final class RelayedStore implements PollingKeyValueStore {
     private static final long RELAY_TIMEOUT_MILLIS = 900;
@@ -55,12 +55,12 @@
                 GatewayMessage.StoreAnswer::listing);
     }
 
-    /** Not passed on: the hosts that the store serves tell all changes anyway. */
+    /** Not relayed: the hosts that reach the store pass on all changes anyway. */
     @Override
     public CompletableFuture<Changes> changesAfter(String prefix, long revision, long waitMillis) {
         if (!reach.mayTry(System.nanoTime())) {
-            return CompletableFuture.failedFuture(
-                    new ExternalServiceException(Kind.NOT_DONE, "the store turned this host away"));
+            return CompletableFuture.failedFuture(new ExternalServiceException(
+                    Kind.NOT_DONE, "direct calls to the key-value store are suspended after a failed call"));
         }
         return observed(() -> direct.changesAfter(prefix, revision, waitMillis));
     }
@@ -103,7 +103,7 @@
         // The store's connections belong to the client that was passed in.
     }
 
-    /** Makes a call for another host, on this host's own way only. */
+    /** Makes a call on behalf of another host, directly and without relaying it further. */
     CompletableFuture<PeerMessage> serve(GatewayMessage.StoreCall call) {
         if (call.readKey().isPresent()) {
             return answer(
@@ -145,7 +145,11 @@
             GatewayMessage.StoreCall call,
             Function<GatewayMessage.StoreAnswer, Optional<T>> part) {
         if (!reach.mayTry(System.nanoTime())) {
-            return relayed(call, part, new ExternalServiceException(Kind.NOT_DONE, "the store turned this host away"));
+            return relayed(
+                    call,
+                    part,
+                    new ExternalServiceException(
+                            Kind.NOT_DONE, "direct calls to the key-value store are suspended after a failed call"));
         }
         return observed(own)
                 .handle((result, failure) -> {
@@ -177,7 +181,10 @@
         });
     }
 
-    /** The first failure tells whether a write may have been done, whatever the relay's own failure says. */
+    /**
+     * Relays a call whose direct attempt failed. If the direct attempt may have done a write, the failure says so
+     * whatever the failure of the relayed call is.
+     */
     private <T> CompletableFuture<T> relayed(
             GatewayMessage.StoreCall call,
             Function<GatewayMessage.StoreAnswer, Optional<T>> part,
@@ -225,13 +232,16 @@
                 Optional.empty(), Optional.empty(), false, Optional.empty(), grantMillis, renew);
     }
 
-    /** Told when the store stops or begins to answer this host. From any thread. */
+    /** Notified when the store stops or starts answering this host. Called from any thread. */
     @FunctionalInterface
     interface ReachListener {
         void changed(boolean reached, String reason);
     }
 
-    /** Asks a host that the store serves; fails with kind NOT_DONE if there is none. From any thread. */
+    /**
+     * Sends a call through a host that reaches the store; fails with kind NOT_DONE if there is none. Called from any
+     * thread.
+     */
     @FunctionalInterface
     interface Relay {
         CompletableFuture<PeerMessage> ask(GatewayMessage.StoreCall call, long timeoutMillis);
--- a/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
+++ b/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
@@ -12,12 +12,12 @@
 import org.gooseberryhill.stored.BatchStore;
 
 /**
- * What goes into one write of results and progress of several batches. Not thread-safe.
+ * Collects results and progress of several batches for one write. Not thread-safe.
  *
- * <p>Invariant: it stays within what the key-value store takes in one write; the first batch always fits.
+ * <p>Invariant: the bundle stays within the limits of the key-value store for one write; the first batch always fits.
  */
 final class SaveBundle {
-    /** What the store takes in one write: conditions, written and removed keys together. */
+    /** The store's limit for one write: conditions plus written and deleted keys. */
     private static final int MAX_ENTRIES = 32;
 
     private static final int MAX_CHARACTERS = 700_000;
@@ -30,7 +30,7 @@
     private int entries;
     private int characters;
 
-    /** Results of as many batches as fit, then progress of as many as fit. */
+    /** Returns a bundle with the results of as many batches as fit, then the progress of as many as fit. */
     static SaveBundle of(Collection<OwnedBatch> batches, boolean withProgress) {
         SaveBundle bundle = new SaveBundle();
         batches.stream().filter(OwnedBatch::hasUncommitted).forEach(bundle::addResults);
@@ -40,7 +40,7 @@
         return bundle;
     }
 
-    /** The commit of one batch's results. */
+    /** Begins a commit of a batch's pending results. */
     static BatchStore.Commit commitOf(OwnedBatch batch) {
         List<ItemResult> results = batch.beginCommit(MAX_CHARACTERS);
         BatchRecord record = batch.record();
@@ -56,7 +56,7 @@
         return progress;
     }
 
-    /** The batches whose progress it holds are safe up to there. */
+    /** Marks the progress in this bundle as saved. */
     void progressSaved() {
         eventsByBatch.forEach(OwnedBatch::progressSaved);
     }
--- a/src/main/java/org/gooseberryhill/gateway/StoreHelpers.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreHelpers.java
@@ -9,7 +9,7 @@
 import org.gooseberryhill.peer.GatewayMessage;
 import org.gooseberryhill.peer.PeerMessage;
 
-/** Has other hosts call the key-value store that turned this one away. Thread-safe. */
+/** Relays calls to the key-value store through other hosts while this host can't reach it. Thread-safe. */
 final class StoreHelpers {
     private final GatewayContext context;
     private final PeerLinks links;
@@ -21,14 +21,14 @@
         this.random = random;
     }
 
-    /** The answer that a host got which the store serves; fails as not done if there is none. */
+    /** Sends a call through a gateway that reaches the store; fails with kind {@code NOT_DONE} if there is none. */
     CompletableFuture<PeerMessage> ask(GatewayMessage.StoreCall call, long timeoutMillis) {
         CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
         context.loop().execute(() -> {
             List<Host> helpers = links.reachingStore();
             if (helpers.isEmpty()) {
                 answer.completeExceptionally(
-                        new ExternalServiceException(Kind.NOT_DONE, "no other host reaches the store"));
+                        new ExternalServiceException(Kind.NOT_DONE, "no other gateway reaches the key-value store"));
                 return;
             }
             Host helper = helpers.get(random.nextInt(helpers.size()));
--- a/src/main/java/org/gooseberryhill/gateway/StoreReach.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreReach.java
@@ -3,33 +3,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether this host's own calls reach the key-value store. Thread-safe.
+ * Tracks whether direct calls of this host reach the key-value store. Thread-safe.
  *
- * <p>Failure: the store turns some hosts away and serves the others; a host that goes on calling pays for each refusal and
- * gets nothing done. After a failed call the host asks others to call for it, and tries itself again after a while.
+ * <p>Failure: the store refuses calls of some hosts and serves the others; a host that keeps calling pays for each
+ * refusal and gets nothing done. After a failed call the host relays its calls through others, and retries directly
+ * after an interval.
  *
- * <p>Invariant: calls count in the order of their sending. A call that hung through an outage fails seconds after others
- * have been answered again; it says nothing of the store as it is now.
+ * <p>Invariant: calls are ordered by the time at which they were sent. A call that hung during an outage fails seconds
+ * after later calls were answered; it says nothing about the current state of the store.
  */
 final class StoreReach {
-    /** Between own calls while the store turns this host away: each is priced, and the others help meanwhile. */
+    /**
+     * Interval between direct calls while the store is unreachable: each has a cost, and other hosts relay calls
+     * meanwhile.
+     */
     private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1000);
 
     private boolean direct = true;
     private long failedNanos;
     private long answeredSentNanos = Long.MIN_VALUE;
 
-    /** Whether the latest own call was answered. */
+    /** Returns whether the latest direct call was answered. */
     synchronized boolean isDirect() {
         return direct;
     }
 
-    /** Whether an own call is worth its price now. */
+    /** Returns whether a direct call may be made now. */
     synchronized boolean mayTry(long nowNanos) {
         return direct || nowNanos - failedNanos >= PAUSE_NANOS;
     }
 
-    /** An own call that was sent at a time was answered; returns whether the store had counted as lost. */
+    /**
+     * Records that a direct call sent at the given time was answered; returns whether the store counted as lost before.
+     */
     synchronized boolean answered(long sentNanos) {
         if (answeredSentNanos == Long.MIN_VALUE || sentNanos - answeredSentNanos > 0) {
             answeredSentNanos = sentNanos;
@@ -39,7 +45,9 @@
         return regained;
     }
 
-    /** An own call that was sent at a time was not answered; returns whether the store counts as lost since now. */
+    /**
+     * Records that a direct call sent at the given time failed; returns whether the store counts as lost from now on.
+     */
     synchronized boolean failed(long sentNanos, long nowNanos) {
         if (answeredSentNanos != Long.MIN_VALUE && sentNanos - answeredSentNanos < 0) {
             return false;
--- a/src/main/java/org/gooseberryhill/gateway/StoredResults.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoredResults.java
@@ -13,14 +13,14 @@
 import org.gooseberryhill.stored.BatchStore;
 
 /**
- * Reads batches whose owner can't be asked from the key-value store. For the control thread, but futures complete on
- * others.
+ * Reads batches whose owner can't be asked from the key-value store. Called on the control thread; the futures may
+ * complete on other threads.
  *
- * <p>Committed results never change, so those read once are kept for a while: readers come twice a second, and each call
- * of the store has its price.
+ * <p>Committed results never change, so they are cached: callers poll twice a second, and each call to the store has a
+ * cost.
  */
 final class StoredResults {
-    /** Batches whose results are kept; each is some hundred kilobytes. */
+    /** Maximum number of batches whose results are cached; each takes some hundred kilobytes. */
     private static final int MAX_KEPT = 60;
 
     private final GatewayContext context;
@@ -32,7 +32,7 @@
         this.store = store;
     }
 
-    /** The committed results from a position on; empty if there is no such batch. */
+    /** Reads the committed results from a position on; empty if there is no such batch. */
     CompletableFuture<Optional<BatchPage>> page(String id, int after) {
         Kept known = kept.get(id);
         if (known != null && (known.record.isFinished() || known.results.size() > after)) {
@@ -51,7 +51,7 @@
         });
     }
 
-    /** The body of an item that has no committed result; empty if there is none, or its batch is ended. */
+    /** Reads the body of an item without a committed result; empty if there is no such item, or its batch is ended. */
     CompletableFuture<Optional<byte[]>> item(String id, String itemId) {
         return store.read(id).thenCompose(found -> {
             if (found.isEmpty() || found.get().record().ended()) {
@@ -63,7 +63,7 @@
         });
     }
 
-    /** The batch has changed. */
+    /** Drops the cached results of a batch that has changed. */
     void forget(String id) {
         kept.remove(id);
     }
@@ -87,7 +87,7 @@
                 .map(BatchItem::body);
     }
 
-    /** What was read of a batch. */
+    /** The cached record and results of a batch. */
     private record Kept(BatchRecord record, List<ItemResult> results) {
         BatchPage page(int after) {
             List<ItemResult> found = new ArrayList<>();
--- a/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
+++ b/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
@@ -7,12 +7,15 @@
 import org.gooseberryhill.peer.OutboxMessage;
 import org.gooseberryhill.peer.PeerLane;
 
-/** Has hosts with a disk keep copies of submissions while the key-value store does not answer. For the control thread. */
+/**
+ * Stores copies of submissions on hosts with a disk while the key-value store does not answer. Confined to the control
+ * thread.
+ */
 final class SubmissionCopies {
-    /** One copy more than is needed: a host may be lost that nobody misses yet. */
+    /** One copy more than needed: a host may be lost without the loss having been detected yet. */
     private static final int SPARE_COPIES = 1;
 
-    /** Some syncs of a disk, in less than a caller waits. */
+    /** Allows for several disk syncs, and is shorter than a caller waits. */
     private static final long KEEP_MILLIS = 1000;
 
     private final GatewayContext context;
@@ -23,12 +26,12 @@
         this.links = links;
     }
 
-    /** How many hosts may keep copies. */
+    /** Returns how many hosts can keep copies. */
     int hosts() {
         return links.stores().size();
     }
 
-    /** Has copies made; the action runs for each that is on a disk. */
+    /** Requests copies; the action runs for each copy that is on a disk. */
     void keep(String batch, BatchRecord record, byte[] body, Runnable onKept) {
         OutboxMessage.Put put = new OutboxMessage.Put(batch, record, body);
         for (Host host : keepers(batch)) {
@@ -40,7 +43,10 @@
         }
     }
 
-    /** The copies are needed no longer; a host that does not hear it finds out when it creates the record. */
+    /**
+     * Tells the hosts to drop their copies; a host that misses the message finds out when it tries to create the
+     * record.
+     */
     void drop(String batch, BatchRecord record) {
         OutboxMessage.Drop drop = new OutboxMessage.Drop(batch, record);
         keepers(batch).forEach(host -> context.peers().post(host.address(), PeerLane.CONTROL, drop));
--- a/src/test/java/org/gooseberryhill/gateway/BatchBoardTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/BatchBoardTest.java
@@ -13,7 +13,9 @@
 
     private final BatchBoard board = new BatchBoard();
 
-    /** Guards against results that stand twice since a batch comes again while its host is taking it over. */
+    /**
+     * Guards against results that are listed twice because a batch is submitted again while its host is taking it over.
+     */
     @Test
     void aBatchThatIsThereStaysWhenItIsAddedAgain() {
         OwnedBatch first = batch();
--- a/src/test/java/org/gooseberryhill/gateway/StoreReachTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/StoreReachTest.java
@@ -27,8 +27,9 @@
     }
 
     /**
-     * The store is silent and then back. A long poll that was sent in the outage times out seconds after newer calls were
-     * answered: counted as a new loss, it keeps the host from calling for another second, and its view of endpoints old.
+     * Guards against a late failure that counts as a new loss. A long poll sent during an outage times out seconds
+     * after newer calls were answered; the host would make no direct call for another second, and its view of endpoints
+     * would be stale.
      */
     @Test
     void aCallThatHungThroughAnOutageDoesNotLoseTheStoreAgain() {
