--- a/src/main/java/org/gooseberryhill/gateway/BatchBoard.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchBoard.java
@@ -16,15 +16,15 @@
  * Registry of the batches that this host owns, of the callers that wait for their results, and of the known owners of
  * other batches. Confined to the control thread.
  *
- * <p>Invariant: an owned batch has exactly one entry from {@link #add} to {@link #drop}. A second copy would list again
- * the results that the first copy has committed.
+ * <p>Invariant: an owned batch has exactly one entry from {@link #add} to {@link #remove}. A second copy would list
+ * again the results that the first copy has committed.
  */
 final class BatchBoard {
     /**
      * How long a finished batch stays in memory. Callers poll twice a second until they have all results; a result
      * takes several kilobytes, and a host owns many batches a day.
      */
-    private static final long FREE_AFTER_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long EVICT_FINISHED_AFTER_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final Map<String, OwnedBatch> owned = new LinkedHashMap<>();
     private final Map<String, List<Runnable>> waiters = new HashMap<>();
@@ -41,9 +41,9 @@
     }
 
     /** Removes a batch that this host no longer owns or holds in memory, and notifies its waiters. */
-    void drop(String id) {
+    void remove(String id) {
         owned.remove(id);
-        wake(id);
+        notifyWaiters(id);
     }
 
     Optional<OwnedBatch> find(String id) {
@@ -68,18 +68,19 @@
      * Removes batches that have been finished for a while; from then on they are read from the store, like those of
      * other hosts.
      */
-    void freeFinished(long nowNanos) {
+    void evictFinished(long nowNanos) {
         for (OwnedBatch batch : List.copyOf(owned.values())) {
             if (!batch.isFinished()) {
                 finishedSinceNanos.remove(batch.id());
-            } else if (nowNanos - finishedSinceNanos.computeIfAbsent(batch.id(), id -> nowNanos) >= FREE_AFTER_NANOS) {
-                drop(batch.id());
+            } else if (nowNanos - finishedSinceNanos.computeIfAbsent(batch.id(), id -> nowNanos)
+                    >= EVICT_FINISHED_AFTER_NANOS) {
+                remove(batch.id());
             }
         }
     }
 
     /** Forgets the owners of batches that no longer exist, and the finish times of batches that are no longer owned. */
-    void forgetAllBut(Set<String> known) {
+    void retainKnown(Set<String> known) {
         owners.keySet().retainAll(known);
         finishedSinceNanos.keySet().retainAll(owned.keySet());
     }
@@ -95,14 +96,14 @@
     }
 
     /**
-     * Registers a callback that runs once, when results of the batch are committed or the batch is ended or dropped.
+     * Registers a callback that runs once, when results of the batch are committed or the batch is ended or removed.
      */
-    void await(String id, Runnable waiter) {
+    void addWaiter(String id, Runnable waiter) {
         waiters.computeIfAbsent(id, key -> new ArrayList<>()).add(waiter);
     }
 
     /** Runs and removes the callbacks that wait for the batch. */
-    void wake(String id) {
+    void notifyWaiters(String id) {
         List<Runnable> waiting = waiters.remove(id);
         if (waiting != null) {
             waiting.forEach(Runnable::run);
--- a/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
@@ -37,8 +37,8 @@
         Map<String, BatchStore.Stored> finished = records.stream()
                 .filter(found -> found.record().isFinished())
                 .collect(Collectors.toMap(BatchStore.Stored::id, Function.identity()));
-        board.freeFinished(context.nowNanos());
-        board.forgetAllBut(records.stream().map(BatchStore.Stored::id).collect(Collectors.toSet()));
+        board.evictFinished(context.nowNanos());
+        board.retainKnown(records.stream().map(BatchStore.Stored::id).collect(Collectors.toSet()));
         for (String id : expiry.observe(finished.keySet(), context.nowNanos())) {
             if (links.isChosen("batch/" + id) && deleting.add(id)) {
                 delete(finished.get(id));
@@ -50,7 +50,7 @@
         context.onLoop(store.delete(found), (deleted, failure) -> {
             deleting.remove(found.id());
             if (failure == null && deleted) {
-                board.drop(found.id());
+                board.remove(found.id());
                 context.timeline()
                         .event(EventKind.BATCH_DELETED)
                         .job(found.id())
--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -31,9 +31,9 @@
     private final BatchBoard board;
     private final BatchRoutes routes;
     private final Consumer<String> onLost;
-    private final SaveTiming timing = new SaveTiming();
-    private final Map<String, List<Consumer<Boolean>>> endings = new HashMap<>();
-    private final Set<String> writing = new HashSet<>();
+    private final SaveTiming saveTiming = new SaveTiming();
+    private final Map<String, List<Consumer<Boolean>>> endReceivers = new HashMap<>();
+    private final Set<String> writesInFlight = new HashSet<>();
 
     BatchCommitter(
             GatewayContext context, BatchStore store, BatchBoard board, BatchRoutes routes, Consumer<String> onLost) {
@@ -50,11 +50,11 @@
         List<OwnedBatch> idle = new ArrayList<>();
         boolean due = false;
         for (OwnedBatch batch : board.batches()) {
-            if (writing.contains(batch.id()) || batch.isFinished() || !batch.isRecorded()) {
+            if (writesInFlight.contains(batch.id()) || batch.isFinished() || !batch.isRecorded()) {
                 continue;
             }
             idle.add(batch);
-            due |= timing.isDue(batch, stopping, leftMillis(batch), context.nowNanos());
+            due |= saveTiming.isDue(batch, stopping, leftMillis(batch), context.nowNanos());
         }
         if (due) {
             save(SaveBundle.of(idle, !stopping));
@@ -62,8 +62,8 @@
     }
 
     /** Returns whether a write of the batch's record is in flight. */
-    boolean isWriting(String id) {
-        return writing.contains(id);
+    boolean hasWriteInFlight(String id) {
+        return writesInFlight.contains(id);
     }
 
     /**
@@ -76,15 +76,15 @@
             receiver.accept(true);
             return;
         }
-        endings.computeIfAbsent(batch.id(), key -> new ArrayList<>()).add(receiver);
-        writeEnding(batch);
+        endReceivers.computeIfAbsent(batch.id(), key -> new ArrayList<>()).add(receiver);
+        writeEndedRecord(batch);
     }
 
     /** Handles the creation of the record of a batch that was accepted by copies on disks. */
-    void recorded(OwnedBatch batch, BatchRecord record, long revision) {
+    void onRecordCreated(OwnedBatch batch, BatchRecord record, long revision) {
         batch.recordChanged(record, revision);
-        if (endings.containsKey(batch.id())) {
-            writeEnding(batch);
+        if (endReceivers.containsKey(batch.id())) {
+            writeEndedRecord(batch);
         }
     }
 
@@ -92,8 +92,8 @@
      * Handles the loss of a batch that this host accepted by copies on disks: its record names another process, or
      * there is no record.
      */
-    void recordedElsewhere(String id, Optional<BatchStore.Stored> found) {
-        lost(id, found);
+    void onRecordedElsewhere(String id, Optional<BatchStore.Stored> found) {
+        onOwnershipLost(id, found);
     }
 
     /**
@@ -101,8 +101,8 @@
      * batch or took it over. A write of this host that is in flight detects the change itself.
      */
     void changedElsewhere(BatchStore.Stored found) {
-        if (!writing.contains(found.id())) {
-            lost(found.id(), Optional.of(found));
+        if (!writesInFlight.contains(found.id())) {
+            onOwnershipLost(found.id(), Optional.of(found));
         }
     }
 
@@ -114,19 +114,19 @@
     }
 
     private void save(SaveBundle bundle) {
-        bundle.commits().forEach(commit -> writing.add(commit.id()));
-        bundle.commits().forEach(commit -> timing.sent(commit.id()));
-        bundle.progress().forEach(progress -> timing.sent(progress.id()));
+        bundle.commits().forEach(commit -> writesInFlight.add(commit.id()));
+        bundle.commits().forEach(commit -> saveTiming.sent(commit.id()));
+        bundle.progress().forEach(progress -> saveTiming.sent(progress.id()));
         context.onLoop(store.save(bundle.commits(), bundle.progress()), (result, failure) -> {
             boolean done = failure == null && result.succeeded();
             if (done) {
-                bundle.progressSaved();
+                bundle.markProgressSaved();
             }
             for (BatchStore.Commit commit : bundle.commits()) {
                 if (done) {
-                    committed(commit, result.revision());
+                    onCommitted(commit, result.revision());
                 } else {
-                    commitAlone(commit);
+                    commitSeparately(commit);
                 }
             }
             if (failure == null && !result.succeeded()) {
@@ -141,7 +141,7 @@
      * vain.
      */
     private void checkRecord(String id) {
-        if (writing.contains(id)) {
+        if (writesInFlight.contains(id)) {
             return;
         }
         context.onLoop(store.read(id), (found, failure) -> {
@@ -151,30 +151,33 @@
             }
             boolean changed =
                     found.isEmpty() || found.get().revision() > owned.get().recordRevision();
-            if (changed && !writing.contains(id)) {
-                lost(id, found);
+            if (changed && !writesInFlight.contains(id)) {
+                onOwnershipLost(id, found);
             }
         });
     }
 
     /** Commits one batch separately, so that neither the refusal of another batch nor an unanswered write delays it. */
-    private void commitAlone(BatchStore.Commit commit) {
+    private void commitSeparately(BatchStore.Commit commit) {
         writer.write(
-                commit.id(), commit.record(), () -> store.save(List.of(commit), List.of()), new RecordWriter.Result() {
+                commit.id(),
+                commit.record(),
+                () -> store.save(List.of(commit), List.of()),
+                new RecordWriter.WriteListener() {
                     @Override
-                    public void done(long revision) {
-                        committed(commit, revision);
+                    public void onWritten(long revision) {
+                        onCommitted(commit, revision);
                     }
 
                     @Override
-                    public void superseded(Optional<BatchStore.Stored> found) {
-                        lost(commit.id(), found);
+                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                        onOwnershipLost(commit.id(), found);
                     }
                 });
     }
 
-    private void committed(BatchStore.Commit commit, long revision) {
-        writing.remove(commit.id());
+    private void onCommitted(BatchStore.Commit commit, long revision) {
+        writesInFlight.remove(commit.id());
         board.find(commit.id()).ifPresent(batch -> {
             batch.commitSucceeded(commit.record(), revision);
             context.timeline()
@@ -184,15 +187,15 @@
                     .with("items", commit.record().items())
                     .with("leftMillis", leftMillis(batch).orElse(0))
                     .write();
-            board.wake(commit.id());
-            if (endings.containsKey(commit.id())) {
-                writeEnding(batch);
+            board.notifyWaiters(commit.id());
+            if (endReceivers.containsKey(commit.id())) {
+                writeEndedRecord(batch);
             }
         });
     }
 
-    private void writeEnding(OwnedBatch batch) {
-        if (!batch.isRecorded() || !writing.add(batch.id())) {
+    private void writeEndedRecord(OwnedBatch batch) {
+        if (!batch.isRecorded() || !writesInFlight.add(batch.id())) {
             return;
         }
         BatchRecord ended = batch.record().asEnded();
@@ -200,29 +203,29 @@
                 batch.id(),
                 ended,
                 () -> store.replace(batch.id(), batch.recordRevision(), ended),
-                new RecordWriter.Result() {
+                new RecordWriter.WriteListener() {
                     @Override
-                    public void done(long revision) {
-                        ended(batch, ended, revision);
+                    public void onWritten(long revision) {
+                        onEnded(batch, ended, revision);
                     }
 
                     @Override
-                    public void superseded(Optional<BatchStore.Stored> found) {
-                        lost(batch.id(), found);
+                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                        onOwnershipLost(batch.id(), found);
                     }
                 });
     }
 
-    private void ended(OwnedBatch batch, BatchRecord ended, long revision) {
-        writing.remove(batch.id());
+    private void onEnded(OwnedBatch batch, BatchRecord ended, long revision) {
+        writesInFlight.remove(batch.id());
         batch.recordChanged(ended, revision);
         context.timeline().event(EventKind.BATCH_ENDED).job(batch.id()).write();
-        board.wake(batch.id());
-        answerEndings(batch.id(), true);
+        board.notifyWaiters(batch.id());
+        notifyEndReceivers(batch.id(), true);
     }
 
-    private void lost(String id, Optional<BatchStore.Stored> found) {
-        writing.remove(id);
+    private void onOwnershipLost(String id, Optional<BatchStore.Stored> found) {
+        writesInFlight.remove(id);
         boolean ended = found.map(stored -> stored.record().ended()).orElse(true);
         context.timeline()
                 .event(EventKind.BATCH_LOST)
@@ -230,14 +233,14 @@
                 .with("ended", ended)
                 .with("owner", found.map(stored -> stored.record().owner()).orElse(""))
                 .write();
-        timing.sent(id);
-        board.drop(id);
+        saveTiming.sent(id);
+        board.remove(id);
         onLost.accept(id);
-        answerEndings(id, ended);
+        notifyEndReceivers(id, ended);
     }
 
-    private void answerEndings(String id, boolean ended) {
-        List<Consumer<Boolean>> receivers = endings.remove(id);
+    private void notifyEndReceivers(String id, boolean ended) {
+        List<Consumer<Boolean>> receivers = endReceivers.remove(id);
         if (receivers != null) {
             receivers.forEach(receiver -> receiver.accept(ended));
         }
--- a/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
@@ -24,10 +24,10 @@
     static final int MAX_PAGE_CHARACTERS = 700_000;
 
     private static final int OK = 200;
-    private static final Map<String, String> JSON = Map.of("content-type", "application/json");
+    private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
     /** Added to the time for which the owner may hold back its reply, to allow for the transfer between the hosts. */
-    private static final long ASK_MARGIN_MILLIS = 500;
+    private static final long REPLY_MARGIN_MILLIS = 500;
 
     private final GatewayContext context;
     private final BatchReplies replies;
@@ -80,10 +80,10 @@
             receiver.receive(Optional.of(page));
             return;
         }
-        Once answerNow =
-                new Once(() -> receiver.receive(board.find(id).map(found -> found.page(after, MAX_PAGE_CHARACTERS))));
-        board.await(id, answerNow);
-        context.loop().after(waitMillis, answerNow);
+        RunOnce answerOnce = new RunOnce(
+                () -> receiver.receive(board.find(id).map(found -> found.page(after, MAX_PAGE_CHARACTERS))));
+        board.addWaiter(id, answerOnce);
+        context.loop().after(waitMillis, answerOnce);
     }
 
     private void readResults(HttpCall call, SystemCall.ReadResults read) {
@@ -99,28 +99,28 @@
             return;
         }
         PeerMessage question = new GatewayMessage.ResultsAsk(read.batch(), read.after(), waitMillis);
-        context.onLoop(links.ask(owner.get(), question, waitMillis + ASK_MARGIN_MILLIS), (reply, failure) -> {
-            boolean known = reply instanceof GatewayMessage.Results;
-            replyPage(call, read, known ? ((GatewayMessage.Results) reply).page() : Optional.empty());
+        context.onLoop(links.ask(owner.get(), question, waitMillis + REPLY_MARGIN_MILLIS), (reply, failure) -> {
+            boolean hasOwnerAnswer = reply instanceof GatewayMessage.Results;
+            replyPage(call, read, hasOwnerAnswer ? ((GatewayMessage.Results) reply).page() : Optional.empty());
         });
     }
 
     private void replyPage(HttpCall call, SystemCall.ReadResults read, Optional<BatchPage> page) {
         if (page.isPresent()) {
-            call.reply(OK, JSON, context.dialects().batches().page(page.get()));
+            call.reply(OK, JSON_HEADERS, context.dialects().batches().page(page.get()));
         } else {
             readStoredResults(call, read);
         }
     }
 
     private void readStoredResults(HttpCall call, SystemCall.ReadResults read) {
-        context.onLoop(stored.page(read.batch(), read.after()), (page, failure) -> {
+        context.onLoop(stored.readPage(read.batch(), read.after()), (page, failure) -> {
             if (failure != null) {
                 replies.unavailable(call, read.batch(), false);
             } else if (page.isEmpty()) {
                 replies.refuse(call, read.batch(), Refusal.notRun(ErrorCode.NOT_FOUND, "there is no such batch"));
             } else {
-                call.reply(OK, JSON, context.dialects().batches().page(page.get()));
+                call.reply(OK, JSON_HEADERS, context.dialects().batches().page(page.get()));
             }
         });
     }
@@ -155,7 +155,7 @@
     }
 
     private void readStoredItem(HttpCall call, SystemCall.ReadItem read) {
-        context.onLoop(stored.item(read.batch(), read.item()), (body, failure) -> {
+        context.onLoop(stored.readItemBody(read.batch(), read.item()), (body, failure) -> {
             if (failure != null) {
                 replies.unavailable(call, read.batch(), false);
             } else {
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnding.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnding.java
@@ -23,18 +23,18 @@
  */
 final class BatchEnding {
     private static final int OK = 200;
-    private static final Map<String, String> JSON = Map.of("content-type", "application/json");
+    private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
     /**
      * Time limit for ending an owned batch. Its record can't be written during an outage of the key-value store; the
      * caller then has to try again.
      */
-    private static final long END_MILLIS = 2500;
+    private static final long END_TIMEOUT_MILLIS = 2500;
 
     /** An owner that can't be notified for two seconds finds the ended record by itself. */
-    private static final int TELL_OWNER_TRIES = 10;
+    private static final int NOTIFY_OWNER_ATTEMPTS = 10;
 
-    private static final long TELL_OWNER_MILLIS = 200;
+    private static final long NOTIFY_OWNER_INTERVAL_MILLIS = 200;
 
     private final GatewayContext context;
     private final BatchReplies replies;
@@ -67,9 +67,9 @@
     /** Ends a batch, whichever host owns it. */
     void end(HttpCall call, String id) {
         if (board.find(id).isPresent()) {
-            Answer answer = new Answer(call, id);
-            endOwn(id, answer::give);
-            context.loop().after(END_MILLIS, () -> answer.give(false));
+            EndReply reply = new EndReply(call, id);
+            endOwn(id, reply::send);
+            context.loop().after(END_TIMEOUT_MILLIS, () -> reply.send(false));
             return;
         }
         Optional<Host> owner = board.owner(id).flatMap(links::find);
@@ -92,12 +92,12 @@
         committer.end(batch.get(), receiver);
     }
 
-    private void endAtOwner(String id, Host owner, Runnable done, Runnable otherwise) {
+    private void endAtOwner(String id, Host owner, Runnable onEnded, Runnable onNotEnded) {
         context.onLoop(links.ask(owner, new GatewayMessage.BatchEndAsk(id)), (reply, failure) -> {
             if (reply instanceof GatewayMessage.BatchEnded answer && answer.ended()) {
-                done.run();
+                onEnded.run();
             } else {
-                otherwise.run();
+                onNotEnded.run();
             }
         });
     }
@@ -124,9 +124,9 @@
     private void endRecord(HttpCall call, BatchStore.Stored found, Optional<Host> asked) {
         findOwner(found, owner -> {
             if (owner.isPresent() && !owner.equals(asked)) {
-                endAtOwner(found.id(), owner.get(), () -> confirm(call), () -> writeEnd(call, found));
+                endAtOwner(found.id(), owner.get(), () -> confirm(call), () -> writeEndedRecord(call, found));
             } else {
-                writeEnd(call, found);
+                writeEndedRecord(call, found);
             }
         });
     }
@@ -146,13 +146,13 @@
                 store.host(owner), (host, failure) -> receiver.accept(failure == null ? host : Optional.empty()));
     }
 
-    private void writeEnd(HttpCall call, BatchStore.Stored found) {
+    private void writeEndedRecord(HttpCall call, BatchStore.Stored found) {
         BatchRecord ended = found.record().asEnded();
         context.onLoop(store.replace(found.id(), found.revision(), ended), (result, failure) -> {
             if (failure == null && result.succeeded()) {
-                stored.forget(found.id());
+                stored.evict(found.id());
                 confirm(call);
-                tellOwner(found, TELL_OWNER_TRIES);
+                notifyOwner(found, NOTIFY_OWNER_ATTEMPTS);
             } else {
                 // The owner committed in the meantime, or the answer was lost: the caller has to try again.
                 replies.unavailable(call, found.id(), true);
@@ -164,43 +164,44 @@
      * Notifies the owner that the record is ended. It would otherwise notice only at its next write, and start further
      * items until then.
      */
-    private void tellOwner(BatchStore.Stored found, int tries) {
-        if (tries == 0) {
+    private void notifyOwner(BatchStore.Stored found, int attempts) {
+        if (attempts == 0) {
             return;
         }
-        Runnable again = () -> context.loop().after(TELL_OWNER_MILLIS, () -> tellOwner(found, tries - 1));
+        Runnable retry =
+                () -> context.loop().after(NOTIFY_OWNER_INTERVAL_MILLIS, () -> notifyOwner(found, attempts - 1));
         Optional<Host> host = links.find(new HostId(found.record().owner()));
         if (host.isEmpty()) {
-            again.run();
+            retry.run();
             return;
         }
         context.onLoop(links.ask(host.get(), new GatewayMessage.BatchEndAsk(found.id())), (reply, failure) -> {
             if (failure != null) {
-                again.run();
+                retry.run();
             }
         });
     }
 
     private static void confirm(HttpCall call) {
-        call.reply(OK, JSON, "{}".getBytes(StandardCharsets.UTF_8));
+        call.reply(OK, JSON_HEADERS, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
     /** The single answer to an end call, given when the batch is ended or when the time limit is reached. */
-    private final class Answer {
+    private final class EndReply {
         private final HttpCall call;
         private final String id;
-        private boolean given;
+        private boolean sent;
 
-        Answer(HttpCall call, String id) {
+        EndReply(HttpCall call, String id) {
             this.call = call;
             this.id = id;
         }
 
-        void give(boolean ended) {
-            if (given) {
+        void send(boolean ended) {
+            if (sent) {
                 return;
             }
-            given = true;
+            sent = true;
             if (ended) {
                 confirm(call);
             } else {
--- a/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
@@ -22,7 +22,7 @@
  */
 final class BatchHandOver {
     /** Delay before a batch that was not taken is offered again. */
-    private static final long OFFER_AGAIN_MILLIS = 100;
+    private static final long OFFER_RETRY_MILLIS = 100;
 
     private final GatewayContext context;
     private final PeerLinks links;
@@ -43,7 +43,7 @@
      */
     void advance() {
         for (OwnedBatch batch : board.batches()) {
-            boolean settled = batch.isRecorded() && !committer.isWriting(batch.id()) && !batch.hasUncommitted();
+            boolean settled = batch.isRecorded() && !committer.hasWriteInFlight(batch.id()) && !batch.hasUncommitted();
             if (!batch.isFinished() && settled && !offered.contains(batch.id())) {
                 offer(batch);
             }
@@ -76,10 +76,10 @@
                     .write();
             if (!taken) {
                 // That host may be stopping too, or not know this host yet: the retry picks one of those that stay.
-                context.loop().after(OFFER_AGAIN_MILLIS, () -> offered.remove(batch.id()));
+                context.loop().after(OFFER_RETRY_MILLIS, () -> offered.remove(batch.id()));
             }
             if (taken) {
-                board.drop(batch.id());
+                board.remove(batch.id());
                 board.ownedBy(batch.id(), chosen.get().id());
             }
         });
--- a/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
@@ -29,12 +29,12 @@
  */
 final class BatchIntake {
     private static final int ACCEPTED = 202;
-    private static final Map<String, String> JSON = Map.of("content-type", "application/json");
+    private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
     /**
      * How long a submission is tried while its caller waits; outages of the store are either longer or much shorter.
      */
-    private static final long SUBMIT_MILLIS = 2500;
+    private static final long SUBMIT_TIMEOUT_MILLIS = 2500;
 
     private final GatewayContext context;
     private final BatchReplies replies;
@@ -96,38 +96,38 @@
             confirm(submission);
             return;
         }
-        if (!context.stop().takes(SUBMIT_MILLIS, context.nowNanos())) {
+        if (!context.stop().takes(SUBMIT_TIMEOUT_MILLIS, context.nowNanos())) {
             replies.refuse(submission.call, submission.id, GatewayTraffic.STOPPING);
             return;
         }
-        RecordWriter.Pending pending = writer.write(
+        RecordWriter.PendingWrite pending = writer.write(
                 submission.id,
                 submission.record,
                 () -> store.create(submission.id, submission.record, submission.body),
-                new RecordWriter.Result() {
+                new RecordWriter.WriteListener() {
                     @Override
-                    public void done(long revision) {
-                        recorded(submission, revision);
+                    public void onWritten(long revision) {
+                        onRecorded(submission, revision);
                     }
 
                     @Override
-                    public void superseded(Optional<BatchStore.Stored> found) {
-                        takenAlready(submission, found);
+                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                        onIdTaken(submission, found);
                     }
                 });
         long spentMillis = TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - submission.arrivedNanos);
         long copiesAfterMillis = BatchAcceptance.copiesAfterMillis(submission.route.targetLatencyMillis());
-        context.loop().after(Math.max(0, copiesAfterMillis - spentMillis), () -> askCopies(submission));
-        context.loop().after(Math.max(0, SUBMIT_MILLIS - spentMillis), () -> giveUp(submission, pending));
+        context.loop().after(Math.max(0, copiesAfterMillis - spentMillis), () -> requestCopies(submission));
+        context.loop().after(Math.max(0, SUBMIT_TIMEOUT_MILLIS - spentMillis), () -> giveUp(submission, pending));
     }
 
-    private void recorded(Submission submission, long revision) {
+    private void onRecorded(Submission submission, long revision) {
         Optional<OwnedBatch> accepted = board.find(submission.id);
         dropCopies(submission);
         if (accepted.isPresent()) {
-            committer.recorded(accepted.get(), submission.record, revision);
+            committer.onRecordCreated(accepted.get(), submission.record, revision);
         } else {
-            own(submission, submission.record, revision);
+            takeOwnership(submission, submission.record, revision);
         }
         if (submission.acceptance.recorded()) {
             confirm(submission);
@@ -136,15 +136,15 @@
     }
 
     /** Requests copies on the disks of other hosts, which replace the record until the key-value store answers. */
-    private void askCopies(Submission submission) {
-        if (submission.acceptance.askCopies(copies.hosts())) {
-            copies.keep(submission.id, submission.record, submission.body, () -> copyKept(submission));
+    private void requestCopies(Submission submission) {
+        if (submission.acceptance.askCopies(copies.hostCount())) {
+            copies.requestCopies(submission.id, submission.record, submission.body, () -> onCopyKept(submission));
         }
     }
 
-    private void copyKept(Submission submission) {
+    private void onCopyKept(Submission submission) {
         if (submission.acceptance.copyKept()) {
-            own(submission, submission.record, 0);
+            takeOwnership(submission, submission.record, 0);
             confirm(submission);
             runner.balance();
         }
@@ -152,11 +152,11 @@
 
     private void dropCopies(Submission submission) {
         if (submission.acceptance.mayBeCopied()) {
-            copies.drop(submission.id, submission.record);
+            copies.dropCopies(submission.id, submission.record);
         }
     }
 
-    private void giveUp(Submission submission, RecordWriter.Pending pending) {
+    private void giveUp(Submission submission, RecordWriter.PendingWrite pending) {
         if (submission.acceptance.isAnswered()) {
             return;
         }
@@ -165,14 +165,14 @@
         replies.unavailable(submission.call, submission.id, outcome == Outcome.MAY_HAVE_RUN);
     }
 
-    private void takenAlready(Submission submission, Optional<BatchStore.Stored> found) {
+    private void onIdTaken(Submission submission, Optional<BatchStore.Stored> found) {
         dropCopies(submission);
         Optional<OwnedBatch> accepted = board.find(submission.id).filter(batch -> !batch.isRecorded());
         if (accepted.isPresent()) {
-            recordedByAnother(accepted.get(), found);
+            onRecordedByAnother(accepted.get(), found);
             return;
         }
-        boolean firstAnswer = submission.acceptance.recorded();
+        boolean answerDue = submission.acceptance.recorded();
         if (found.isEmpty()) {
             replies.unavailable(submission.call, submission.id, true);
             return;
@@ -185,13 +185,15 @@
                     Refusal.notRun(ErrorCode.CONFLICT, "another batch was accepted under this id"));
             return;
         }
-        boolean untouched = !existing.isFinished() && existing.listed() == 0;
-        if (isOwn(existing) && untouched && board.find(submission.id).isEmpty()) {
+        boolean hasNoResults = !existing.isFinished() && existing.listed() == 0;
+        if (isOwnedByThisProcess(existing)
+                && hasNoResults
+                && board.find(submission.id).isEmpty()) {
             // An earlier submission of the same body through this process was given up, but its creation took effect
             // later. A batch that has results already is found by the next scan of the records instead.
-            own(submission, existing, found.get().revision());
+            takeOwnership(submission, existing, found.get().revision());
         }
-        if (firstAnswer) {
+        if (answerDue) {
             confirm(submission);
         }
     }
@@ -200,20 +202,21 @@
      * Handles a record that a host with a copy created, for this process or for another one that accepted the same
      * batch.
      */
-    private void recordedByAnother(OwnedBatch accepted, Optional<BatchStore.Stored> found) {
-        if (found.isPresent() && isOwn(found.get().record())) {
-            committer.recorded(accepted, found.get().record(), found.get().revision());
+    private void onRecordedByAnother(OwnedBatch accepted, Optional<BatchStore.Stored> found) {
+        if (found.isPresent() && isOwnedByThisProcess(found.get().record())) {
+            committer.onRecordCreated(
+                    accepted, found.get().record(), found.get().revision());
         } else {
-            committer.recordedElsewhere(accepted.id(), found);
+            committer.onRecordedElsewhere(accepted.id(), found);
         }
     }
 
-    private boolean isOwn(BatchRecord record) {
+    private boolean isOwnedByThisProcess(BatchRecord record) {
         return record.owner().equals(context.settings().self().id().value())
                 && record.ownerStart().equals(context.processStart());
     }
 
-    private void own(Submission submission, BatchRecord record, long revision) {
+    private void takeOwnership(Submission submission, BatchRecord record, long revision) {
         if (!board.add(new OwnedBatch(submission.id, record, revision, submission.items, List.of()))) {
             return;
         }
@@ -228,7 +231,7 @@
     }
 
     private void confirm(Submission submission) {
-        submission.call.reply(ACCEPTED, JSON, "{}".getBytes(StandardCharsets.UTF_8));
+        submission.call.reply(ACCEPTED, JSON_HEADERS, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
     /** A submission in progress; its acceptance state changes on the control thread only. */
--- a/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
@@ -20,7 +20,7 @@
      * Age at which a batch without a route is given up. Until then a new configuration may contain its route again;
      * after that no caller is entitled to its results.
      */
-    private static final long ROUTE_GONE_MILLIS = 20_000;
+    private static final long MISSING_ROUTE_RETENTION_MILLIS = 20_000;
 
     private final GatewayContext context;
     private final BatchBoard board;
@@ -28,7 +28,7 @@
     private final ItemDispatch dispatch;
     private final Runnable onLoadChange;
     private final Map<PlacedItem, ItemRun> runs = new IdentityHashMap<>();
-    private boolean paused;
+    private boolean stopping;
 
     BatchRunner(
             GatewayContext context,
@@ -45,7 +45,7 @@
 
     /** Stops starting items, because the host is stopping. */
     void pause() {
-        paused = true;
+        stopping = true;
     }
 
     int running() {
@@ -57,9 +57,9 @@
      * are free.
      */
     void balance() {
-        abandon();
-        giveWay(dispatch.giveWay(context.nowNanos(), System.currentTimeMillis()));
-        if (!paused) {
+        giveUpExpired();
+        cancelRuns(dispatch.giveWay(context.nowNanos(), System.currentTimeMillis()));
+        if (!stopping) {
             dispatch.start(board.openBatches(), context.nowNanos(), System.currentTimeMillis())
                     .forEach(this::start);
         }
@@ -67,21 +67,21 @@
 
     /** Processes the output that the running items have generated since the last call. */
     void takeEvents() {
-        runs.values().forEach(ItemRun::takeEvents);
+        runs.values().forEach(ItemRun::processQueuedEvents);
     }
 
     /** Cancels all runs of a batch. */
     void stop(String batchId) {
-        giveWay(dispatch.runsOf(batchId));
+        cancelRuns(dispatch.runsOf(batchId));
     }
 
     /** Cancels all runs. */
     void stopAll() {
-        giveWay(dispatch.all());
+        cancelRuns(dispatch.all());
     }
 
     /** Handles the end of a run. */
-    void ended(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, String detail) {
+    void onRunEnded(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, String detail) {
         runs.remove(run);
         dispatch.ended(run, end, attemptEnd, context.nowNanos());
         context.metrics().itemRunEnded(end);
@@ -120,21 +120,21 @@
         onLoadChange.run();
     }
 
-    private void giveWay(List<PlacedItem> leaving) {
-        leaving.forEach(run -> Optional.ofNullable(runs.get(run)).ifPresent(ItemRun::yield));
+    private void cancelRuns(List<PlacedItem> runsToCancel) {
+        runsToCancel.forEach(run -> Optional.ofNullable(runs.get(run)).ifPresent(ItemRun::cancel));
     }
 
     /**
      * Gives up the open items of batches that are older than the retention period of their route. Without a route in the
-     * configuration the limit is {@link #ROUTE_GONE_MILLIS}.
+     * configuration the limit is {@link #MISSING_ROUTE_RETENTION_MILLIS}.
      */
-    private void abandon() {
+    private void giveUpExpired() {
         long nowMillis = System.currentTimeMillis();
         for (OwnedBatch batch : board.openBatches()) {
             Optional<Route> route = routes.of(batch);
             long ageMillis = nowMillis - batch.record().acceptedAtMillis();
             boolean tooOld = route.map(found -> found.retentionMillis() > 0 && ageMillis > found.retentionMillis())
-                    .orElse(ageMillis > ROUTE_GONE_MILLIS);
+                    .orElse(ageMillis > MISSING_ROUTE_RETENTION_MILLIS);
             if (tooOld && batch.openItems() > 0) {
                 context.timeline()
                         .event(EventKind.ITEM_GIVEN_UP)
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -24,23 +24,23 @@
  * selects. If two gateways try to take the same batch, the record's revision lets only one of them succeed.
  */
 final class BatchTakeover {
-    private static final long RETRY_MILLIS = 300;
+    private static final long LOAD_RETRY_MILLIS = 300;
 
     /** Delay before the records are scanned again after a scan that found an owner missing. */
-    private static final long AGAIN_MILLIS = 1000;
+    private static final long MISSING_OWNER_RESCAN_MILLIS = 1000;
 
     private final GatewayContext context;
     private final PeerLinks links;
     private final BatchBoard board;
     private final BatchStore store;
     private final RecordWriter writer;
-    private final OwnerWatch owners;
+    private final OwnerWatch ownerWatch;
     private final Runnable onTaken;
     private final Consumer<BatchStore.Stored> onChangedElsewhere;
-    private final Consumer<List<BatchStore.Stored>> onLooked;
-    private final Set<String> taking = new HashSet<>();
-    private boolean looking;
-    private boolean lookPlanned;
+    private final Consumer<List<BatchStore.Stored>> onRecordsListed;
+    private final Set<String> takeoversInProgress = new HashSet<>();
+    private boolean scanning;
+    private boolean rescanScheduled;
 
     BatchTakeover(
             GatewayContext context,
@@ -49,36 +49,36 @@
             BatchStore store,
             Runnable onTaken,
             Consumer<BatchStore.Stored> onChangedElsewhere,
-            Consumer<List<BatchStore.Stored>> onLooked) {
+            Consumer<List<BatchStore.Stored>> onRecordsListed) {
         this.context = context;
         this.links = links;
         this.board = board;
         this.store = store;
         this.writer = new RecordWriter(context, store);
-        this.owners = new OwnerWatch(context.settings().self().id().value());
+        this.ownerWatch = new OwnerWatch(context.settings().self().id().value());
         this.onTaken = onTaken;
         this.onChangedElsewhere = onChangedElsewhere;
-        this.onLooked = onLooked;
+        this.onRecordsListed = onRecordsListed;
     }
 
     /** Updates the set of live hosts, and scans the records as soon as one of them is lost. Called often. */
     void tick() {
-        if (owners.observe(links.liveStarts(), context.nowNanos())) {
+        if (ownerWatch.observe(links.liveStarts(), context.nowNanos())) {
             look(true);
         }
     }
 
     /** Scans the records; only one scan runs at a time. */
     void look(boolean mayBeStale) {
-        if (looking) {
+        if (scanning) {
             return;
         }
-        looking = true;
+        scanning = true;
         context.onLoop(store.list(mayBeStale), (records, failure) -> {
-            looking = false;
+            scanning = false;
             if (failure == null) {
-                records.forEach(this::consider);
-                onLooked.accept(records);
+                records.forEach(this::checkOwner);
+                onRecordsListed.accept(records);
             }
         });
     }
@@ -99,11 +99,11 @@
         dropIfChangedElsewhere(offered);
         boolean mayTake = context.stop().phase() == PlannedStop.Phase.SERVING
                 && board.find(offered.id()).isEmpty();
-        if (!mayTake || !taking.add(offered.id())) {
+        if (!mayTake || !takeoversInProgress.add(offered.id())) {
             then.accept(false);
             return;
         }
-        take(offered, Optional.of(handOver.progress()), then);
+        claim(offered, Optional.of(handOver.progress()), then);
     }
 
     /**
@@ -116,41 +116,41 @@
                 .ifPresent(owned -> onChangedElsewhere.accept(found));
     }
 
-    private void consider(BatchStore.Stored found) {
+    private void checkOwner(BatchStore.Stored found) {
         BatchRecord record = found.record();
         dropIfChangedElsewhere(found);
-        if (record.isFinished() || board.find(found.id()).isPresent() || taking.contains(found.id())) {
+        if (record.isFinished() || board.find(found.id()).isPresent() || takeoversInProgress.contains(found.id())) {
             return;
         }
-        if (isOwn(record)) {
-            adopt(found.id());
+        if (isOwnedByThisProcess(record)) {
+            loadIfOwned(found.id());
             return;
         }
-        if (!owners.isLost(record.owner(), record.ownerStart(), context.nowNanos())) {
+        if (!ownerWatch.isLost(record.owner(), record.ownerStart(), context.nowNanos())) {
             board.ownedBy(found.id(), new HostId(record.owner()));
-            lookAgainIfMissing(record);
+            rescanIfOwnerMissing(record);
             return;
         }
-        boolean ownEarlier =
+        boolean ownedByEarlierProcess =
                 record.owner().equals(context.settings().self().id().value());
-        if (ownEarlier || links.isChosen("batch/" + found.id())) {
-            taking.add(found.id());
-            take(found, Optional.empty(), taken -> {});
+        if (ownedByEarlierProcess || links.isChosen("batch/" + found.id())) {
+            takeoversInProgress.add(found.id());
+            claim(found, Optional.empty(), taken -> {});
         }
     }
 
-    private void lookAgainIfMissing(BatchRecord record) {
-        if (lookPlanned || owners.isLive(record.owner(), record.ownerStart())) {
+    private void rescanIfOwnerMissing(BatchRecord record) {
+        if (rescanScheduled || ownerWatch.isLive(record.owner(), record.ownerStart())) {
             return;
         }
-        lookPlanned = true;
-        context.loop().after(AGAIN_MILLIS, () -> {
-            lookPlanned = false;
+        rescanScheduled = true;
+        context.loop().after(MISSING_OWNER_RESCAN_MILLIS, () -> {
+            rescanScheduled = false;
             look(true);
         });
     }
 
-    private boolean isOwn(BatchRecord record) {
+    private boolean isOwnedByThisProcess(BatchRecord record) {
         return record.owner().equals(context.settings().self().id().value())
                 && record.ownerStart().equals(context.processStart());
     }
@@ -159,18 +159,18 @@
      * Loads a batch that this process does not have although the record names it as the owner: a write whose answer was
      * lost took effect later. The listing may be older than a hand-over by this process, so the record is read again.
      */
-    private void adopt(String id) {
-        taking.add(id);
+    private void loadIfOwned(String id) {
+        takeoversInProgress.add(id);
         context.onLoop(store.read(id), (found, failure) -> {
             boolean own = failure == null
                     && found.isPresent()
-                    && isOwn(found.get().record())
+                    && isOwnedByThisProcess(found.get().record())
                     && !found.get().record().isFinished()
                     && board.find(id).isEmpty();
             if (own) {
                 load(found.get(), Optional.empty());
             } else {
-                taking.remove(id);
+                takeoversInProgress.remove(id);
             }
         });
     }
@@ -179,19 +179,23 @@
      * Makes this process the owner of a batch. The listed record may be stale; the write is conditional on its revision
      * and fails in that case.
      */
-    private void take(BatchStore.Stored found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
-        BatchRecord own = found.record().ownedBy(context.settings().self().id().value(), context.processStart());
+    private void claim(BatchStore.Stored found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
+        BatchRecord claimed =
+                found.record().ownedBy(context.settings().self().id().value(), context.processStart());
         writer.write(
-                found.id(), own, () -> store.replace(found.id(), found.revision(), own), new RecordWriter.Result() {
+                found.id(),
+                claimed,
+                () -> store.replace(found.id(), found.revision(), claimed),
+                new RecordWriter.WriteListener() {
                     @Override
-                    public void done(long revision) {
+                    public void onWritten(long revision) {
                         then.accept(true);
-                        load(new BatchStore.Stored(found.id(), own, revision), progress);
+                        load(new BatchStore.Stored(found.id(), claimed, revision), progress);
                     }
 
                     @Override
-                    public void superseded(Optional<BatchStore.Stored> other) {
-                        taking.remove(found.id());
+                    public void onSuperseded(Optional<BatchStore.Stored> other) {
+                        takeoversInProgress.remove(found.id());
                         then.accept(false);
                     }
                 });
@@ -205,23 +209,23 @@
     private void load(BatchStore.Stored taken, Optional<List<ItemCheckpoint>> handedOver) {
         CompletableFuture<List<ItemCheckpoint>> progress =
                 handedOver.map(CompletableFuture::completedFuture).orElseGet(() -> store.progress(taken.id()));
-        context.onLoop(store.load(taken).thenCombine(progress, Loaded::new), (loaded, failure) -> {
+        context.onLoop(store.load(taken).thenCombine(progress, LoadedBatch::new), (loaded, failure) -> {
             if (failure != null) {
                 context.timeline()
                         .event(EventKind.BATCH_LOAD_FAILED)
                         .job(taken.id())
                         .with("reason", String.valueOf(failure.getMessage()))
                         .write();
-                context.loop().after(RETRY_MILLIS, () -> load(taken, handedOver));
+                context.loop().after(LOAD_RETRY_MILLIS, () -> load(taken, handedOver));
                 return;
             }
             loaded.batch.restore(loaded.progress);
-            loaded(taken, loaded);
+            onLoaded(taken, loaded);
         });
     }
 
-    private void loaded(BatchStore.Stored taken, Loaded loaded) {
-        taking.remove(taken.id());
+    private void onLoaded(BatchStore.Stored taken, LoadedBatch loaded) {
+        takeoversInProgress.remove(taken.id());
         if (!board.add(loaded.batch)) {
             // The caller has submitted the batch again in the meantime.
             return;
@@ -238,5 +242,5 @@
     }
 
     /** A loaded batch and the progress of its open items. */
-    private record Loaded(OwnedBatch batch, List<ItemCheckpoint> progress) {}
+    private record LoadedBatch(OwnedBatch batch, List<ItemCheckpoint> progress) {}
 }
--- a/src/main/java/org/gooseberryhill/gateway/Evacuations.java
+++ b/src/main/java/org/gooseberryhill/gateway/Evacuations.java
@@ -19,10 +19,10 @@
  * nothing.
  */
 final class Evacuations {
-    private static final int HOSTS_THAT_TELL = 2;
+    private static final int REPORTING_GATEWAYS = 2;
 
     /** Delay of the second gateway: by then the first one has reported, or is lost. */
-    private static final long TURN_MILLIS = 1000;
+    private static final long REPORT_DELAY_MILLIS = 1000;
 
     private static final long RETRY_MILLIS = 500;
 
@@ -31,7 +31,7 @@
 
     private final GatewayContext context;
     private final PeerLinks links;
-    private final Set<String> told = new HashSet<>();
+    private final Set<String> handledRequests = new HashSet<>();
 
     Evacuations(GatewayContext context, PeerLinks links) {
         this.context = context;
@@ -44,51 +44,54 @@
      * @param rank the position of this gateway among the live ones
      */
     void asked(String host, long revision, int rank) {
-        if (rank < HOSTS_THAT_TELL && told.add(host + "@" + revision)) {
-            context.loop().after(1 + rank * TURN_MILLIS, () -> ask(new Evacuation(host, context.nowNanos())));
+        if (rank < REPORTING_GATEWAYS && handledRequests.add(host + "@" + revision)) {
+            context.loop()
+                    .after(
+                            1 + rank * REPORT_DELAY_MILLIS,
+                            () -> checkSubmissions(new Evacuation(host, context.nowNanos())));
         }
     }
 
-    private void ask(Evacuation evacuation) {
+    private void checkSubmissions(Evacuation evacuation) {
         Optional<Host> host = links.stores().stream()
                 .filter(store -> store.id().value().equals(evacuation.host))
                 .findFirst();
         if (host.isEmpty()) {
-            unanswered(evacuation);
+            onUnreachable(evacuation);
             return;
         }
         context.onLoop(links.ask(host.get(), new OutboxMessage.StateAsk()), (reply, failure) -> {
             if (!(reply instanceof OutboxMessage.State state)) {
-                unanswered(evacuation);
+                onUnreachable(evacuation);
             } else if (state.submissions() == 0) {
-                tell(evacuation.host, true);
+                writeStatus(evacuation.host, true);
             } else {
-                tellRunning(evacuation);
-                again(evacuation);
+                reportRunningOnce(evacuation);
+                scheduleCheck(evacuation);
             }
         });
     }
 
-    private void unanswered(Evacuation evacuation) {
+    private void onUnreachable(Evacuation evacuation) {
         if (context.nowNanos() - evacuation.sinceNanos >= UNREACHABLE_NANOS) {
-            tell(evacuation.host, true);
+            writeStatus(evacuation.host, true);
         } else {
-            again(evacuation);
+            scheduleCheck(evacuation);
         }
     }
 
-    private void again(Evacuation evacuation) {
-        context.loop().after(RETRY_MILLIS, () -> ask(evacuation));
+    private void scheduleCheck(Evacuation evacuation) {
+        context.loop().after(RETRY_MILLIS, () -> checkSubmissions(evacuation));
     }
 
-    private void tellRunning(Evacuation evacuation) {
-        if (!evacuation.runningTold) {
-            evacuation.runningTold = true;
-            tell(evacuation.host, false);
+    private void reportRunningOnce(Evacuation evacuation) {
+        if (!evacuation.runningReported) {
+            evacuation.runningReported = true;
+            writeStatus(evacuation.host, false);
         }
     }
 
-    private void tell(String host, boolean done) {
+    private void writeStatus(String host, boolean done) {
         Transaction status = Transaction.builder()
                 .put(
                         context.dialects().operators().evacuationStatusKey(host),
@@ -96,7 +99,7 @@
                 .build();
         context.onLoop(context.store().write(status), (result, failure) -> {
             if (failure != null && done) {
-                context.loop().after(RETRY_MILLIS, () -> tell(host, true));
+                context.loop().after(RETRY_MILLIS, () -> writeStatus(host, true));
                 return;
             }
             context.timeline()
@@ -112,7 +115,7 @@
     private static final class Evacuation {
         private final String host;
         private final long sinceNanos;
-        private boolean runningTold;
+        private boolean runningReported;
 
         Evacuation(String host, long sinceNanos) {
             this.host = host;
--- a/src/main/java/org/gooseberryhill/gateway/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/gateway/ItemRun.java
@@ -34,21 +34,21 @@
     private static final int SERVER_ERROR = 500;
 
     /** Longer than any pause of a working endpoint that has many requests queued ahead of this one. */
-    private static final int SILENCE_MILLIS = 3000;
+    private static final int SILENCE_TIMEOUT_MILLIS = 3000;
 
-    private static final int CONNECT_MILLIS = 500;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     private final GatewayContext context;
     private final BatchRunner runner;
     private final PlacedItem placed;
     private final ItemProgress item;
-    private final EventSplitter events = new EventSplitter();
-    private final Queue<StreamEvent> arrived = new ConcurrentLinkedQueue<>();
+    private final EventSplitter eventSplitter = new EventSplitter();
+    private final Queue<StreamEvent> queuedEvents = new ConcurrentLinkedQueue<>();
     private Exchange exchange;
-    private boolean over;
+    private boolean ended;
     private int status;
     private HttpHeaders headers;
-    private boolean genuine;
+    private boolean sentByEndpoint;
 
     ItemRun(GatewayContext context, BatchRunner runner, PlacedItem placed) {
         this.context = context;
@@ -70,8 +70,8 @@
         context.dialects().traffic().addAttempt(request, traits);
         String id = item.item().id();
         ExchangeOptions options = new ExchangeOptions(
-                SILENCE_MILLIS,
-                CONNECT_MILLIS,
+                SILENCE_TIMEOUT_MILLIS,
+                CONNECT_TIMEOUT_MILLIS,
                 Integer.MAX_VALUE,
                 false,
                 answer -> context.dialects()
@@ -95,19 +95,19 @@
      * Processes the queued events. Called on the control thread, which polls because waking it for each event costs
      * more than processing the event.
      */
-    void takeEvents() {
-        StreamEvent event = arrived.poll();
+    void processQueuedEvents() {
+        StreamEvent event = queuedEvents.poll();
         while (event != null) {
             item.event(event.id(), event.data());
-            event = arrived.poll();
+            event = queuedEvents.poll();
         }
     }
 
     /** Cancels the run; its item continues later. Called on the control thread. */
-    void yield() {
-        if (!over) {
+    void cancel() {
+        if (!ended) {
             exchange.cancel();
-            over(RunEnd.YIELDED, AttemptEnd.ABANDONED, "");
+            end(RunEnd.YIELDED, AttemptEnd.ABANDONED, "");
         }
     }
 
@@ -115,33 +115,33 @@
     public void onHead(int newStatus, HttpHeaders newHeaders) {
         status = newStatus;
         headers = newHeaders;
-        genuine = context.dialects().traffic().isGenuine(status, headers);
+        sentByEndpoint = context.dialects().traffic().isGenuine(status, headers);
     }
 
     @Override
     public void onBytes(byte[] bytes) {
-        if (genuine && status == OK) {
-            arrived.addAll(events.read(bytes));
+        if (sentByEndpoint && status == OK) {
+            queuedEvents.addAll(eventSplitter.read(bytes));
         }
     }
 
     @Override
     public void onEnd() {
         boolean notRun = context.dialects().traffic().isNotRun(status, headers);
-        boolean whole = events.rest().length == 0;
+        boolean complete = eventSplitter.rest().length == 0;
         context.loop().execute(() -> {
             if (status == MISDIRECTED) {
-                over(RunEnd.NOT_RUN, AttemptEnd.OTHER_ENDPOINT, "status " + status);
+                end(RunEnd.NOT_RUN, AttemptEnd.OTHER_ENDPOINT, "status " + status);
             } else if (notRun) {
-                over(RunEnd.NOT_RUN, AttemptEnd.BUSY, "status " + status);
-            } else if (genuine && status == OK && whole) {
-                over(RunEnd.COMPLETED, AttemptEnd.ANSWERED, "");
+                end(RunEnd.NOT_RUN, AttemptEnd.BUSY, "status " + status);
+            } else if (sentByEndpoint && status == OK && complete) {
+                end(RunEnd.COMPLETED, AttemptEnd.ANSWERED, "");
             } else if (status == UNPROCESSABLE) {
-                over(RunEnd.REJECTED, AttemptEnd.ANSWERED, "status " + status);
+                end(RunEnd.REJECTED, AttemptEnd.ANSWERED, "status " + status);
             } else if (status == SERVER_ERROR) {
-                over(RunEnd.ERROR_ANSWER, AttemptEnd.ERROR_ANSWER, "status " + status);
+                end(RunEnd.ERROR_ANSWER, AttemptEnd.ERROR_ANSWER, "status " + status);
             } else {
-                over(RunEnd.CUT, AttemptEnd.MALFORMED, "status " + status);
+                end(RunEnd.CUT, AttemptEnd.MALFORMED, "status " + status);
             }
         });
     }
@@ -150,18 +150,18 @@
     public void onFailure(ExchangeFailure failure) {
         boolean notRun = failure.outcome() == Outcome.NOT_RUN;
         context.loop()
-                .execute(() -> over(
+                .execute(() -> end(
                         notRun ? RunEnd.NOT_RUN : RunEnd.CUT,
                         notRun ? AttemptEnd.UNREACHABLE : AttemptEnd.CUT,
                         failure.detail()));
     }
 
-    private void over(RunEnd end, AttemptEnd attemptEnd, String detail) {
-        if (over) {
+    private void end(RunEnd end, AttemptEnd attemptEnd, String detail) {
+        if (ended) {
             return;
         }
-        takeEvents();
-        over = true;
-        runner.ended(placed, end, attemptEnd, detail);
+        processQueuedEvents();
+        ended = true;
+        runner.onRunEnded(placed, end, attemptEnd, detail);
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
@@ -22,7 +22,7 @@
     private static final long RETRY_MILLIS = 250;
 
     /** Many times the usual answer time of the store, and a third of the shortest target latency of batches in use. */
-    private static final long SEND_AGAIN_MILLIS = 150;
+    private static final long RESEND_AFTER_MILLIS = 150;
 
     private final GatewayContext context;
     private final BatchStore store;
@@ -37,126 +37,126 @@
      *
      * @param write sends the write, with the same content each time
      */
-    Pending write(
+    PendingWrite write(
             String id,
             BatchRecord intended,
             Supplier<CompletableFuture<KeyValueStore.WriteResult>> write,
-            Result result) {
-        Run run = new Run(id, new RecordWrite(intended), write, result);
-        run.send();
-        return run;
+            WriteListener listener) {
+        RunningWrite runningWrite = new RunningWrite(id, new RecordWrite(intended), write, listener);
+        runningWrite.send();
+        return runningWrite;
     }
 
     /** Receives the outcome of a write. */
-    interface Result {
+    interface WriteListener {
         /** The write took effect and produced the given revision. */
-        void done(long revision);
+        void onWritten(long revision);
 
         /** Another process changed the record; the argument is empty if the record no longer exists. */
-        void superseded(Optional<BatchStore.Stored> found);
+        void onSuperseded(Optional<BatchStore.Stored> found);
     }
 
     /** A write whose outcome is not known yet. */
-    interface Pending {
+    interface PendingWrite {
         /** Stops sending and reporting; returns whether the write may have taken effect or may still do so. */
         boolean abandon();
     }
 
     /** A write in progress. */
-    private final class Run implements Pending {
+    private final class RunningWrite implements PendingWrite {
         private final String id;
-        private final RecordWrite decision;
-        private final Supplier<CompletableFuture<KeyValueStore.WriteResult>> write;
-        private final Result result;
-        private int unanswered;
+        private final RecordWrite recordWrite;
+        private final Supplier<CompletableFuture<KeyValueStore.WriteResult>> sendWrite;
+        private final WriteListener listener;
+        private int unansweredSends;
         private boolean mayTakeEffect;
-        private boolean over;
+        private boolean finished;
 
-        Run(
+        RunningWrite(
                 String id,
-                RecordWrite decision,
-                Supplier<CompletableFuture<KeyValueStore.WriteResult>> write,
-                Result result) {
+                RecordWrite recordWrite,
+                Supplier<CompletableFuture<KeyValueStore.WriteResult>> sendWrite,
+                WriteListener listener) {
             this.id = id;
-            this.decision = decision;
-            this.write = write;
-            this.result = result;
+            this.recordWrite = recordWrite;
+            this.sendWrite = sendWrite;
+            this.listener = listener;
         }
 
         @Override
         public boolean abandon() {
-            over = true;
-            return mayTakeEffect || unanswered > 0;
+            finished = true;
+            return mayTakeEffect || unansweredSends > 0;
         }
 
         void send() {
-            if (over) {
+            if (finished) {
                 return;
             }
-            unanswered++;
-            context.onLoop(write.get(), this::answered);
-            context.loop().after(SEND_AGAIN_MILLIS, this::sendAgain);
+            unansweredSends++;
+            context.onLoop(sendWrite.get(), this::onAnswer);
+            context.loop().after(RESEND_AFTER_MILLIS, this::resend);
         }
 
-        private void sendAgain() {
-            if (!over && unanswered == 1) {
-                unanswered++;
-                context.onLoop(write.get(), this::answered);
+        private void resend() {
+            if (!finished && unansweredSends == 1) {
+                unansweredSends++;
+                context.onLoop(sendWrite.get(), this::onAnswer);
             }
         }
 
-        private void answered(KeyValueStore.WriteResult answer, Throwable failure) {
-            unanswered--;
-            if (over) {
+        private void onAnswer(KeyValueStore.WriteResult answer, Throwable failure) {
+            unansweredSends--;
+            if (finished) {
                 return;
             }
             if (failure != null) {
-                failed(failure);
-            } else if (decision.written(answer.succeeded()) == RecordWrite.Step.DONE) {
-                over = true;
-                result.done(answer.revision());
+                onFailure(failure);
+            } else if (recordWrite.written(answer.succeeded()) == RecordWrite.Step.DONE) {
+                finished = true;
+                listener.onWritten(answer.revision());
             } else {
-                read();
+                readRecord();
             }
         }
 
-        private void failed(Throwable failure) {
+        private void onFailure(Throwable failure) {
             mayTakeEffect |= ExternalServiceException.kindOf(failure) != ExternalServiceException.Kind.NOT_DONE;
             context.timeline()
                     .event(EventKind.BATCH_WRITE_UNANSWERED)
                     .job(id)
                     .with("reason", String.valueOf(failure.getMessage()))
-                    .with("others", unanswered)
+                    .with("others", unansweredSends)
                     .write();
-            if (unanswered == 0) {
-                again(decision.writeUnanswered());
+            if (unansweredSends == 0) {
+                scheduleRetry(recordWrite.writeUnanswered());
             }
         }
 
-        private void read() {
+        private void readRecord() {
             context.onLoop(store.read(id), (found, failure) -> {
-                if (over) {
+                if (finished) {
                     return;
                 }
                 if (failure != null) {
-                    again(decision.readUnanswered());
-                } else if (decision.read(found.map(BatchStore.Stored::record)) == RecordWrite.Step.DONE) {
-                    over = true;
-                    result.done(found.orElseThrow().revision());
+                    scheduleRetry(recordWrite.readUnanswered());
+                } else if (recordWrite.read(found.map(BatchStore.Stored::record)) == RecordWrite.Step.DONE) {
+                    finished = true;
+                    listener.onWritten(found.orElseThrow().revision());
                 } else {
-                    over = true;
-                    result.superseded(found);
+                    finished = true;
+                    listener.onSuperseded(found);
                 }
             });
         }
 
-        private void again(RecordWrite.Step step) {
-            context.loop().after(RETRY_MILLIS, step == RecordWrite.Step.WRITE ? this::send : this::readAgain);
+        private void scheduleRetry(RecordWrite.Step step) {
+            context.loop().after(RETRY_MILLIS, step == RecordWrite.Step.WRITE ? this::send : this::retryRead);
         }
 
-        private void readAgain() {
-            if (!over) {
-                read();
+        private void retryRead() {
+            if (!finished) {
+                readRecord();
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/gateway/RelayedStore.java
+++ b/src/main/java/org/gooseberryhill/gateway/RelayedStore.java
@@ -22,47 +22,47 @@
 final class RelayedStore implements PollingKeyValueStore {
     private static final long RELAY_TIMEOUT_MILLIS = 900;
 
-    private final PollingKeyValueStore direct;
+    private final PollingKeyValueStore directStore;
     private final StoreReach reach;
     private final Relay relay;
-    private final ReachListener onChange;
+    private final ReachListener reachListener;
 
-    RelayedStore(PollingKeyValueStore direct, StoreReach reach, Relay relay, ReachListener onChange) {
-        this.direct = direct;
+    RelayedStore(PollingKeyValueStore directStore, StoreReach reach, Relay relay, ReachListener reachListener) {
+        this.directStore = directStore;
         this.reach = reach;
         this.relay = relay;
-        this.onChange = onChange;
+        this.reachListener = reachListener;
     }
 
     @Override
     public long calls() {
-        return direct.calls();
+        return directStore.calls();
     }
 
     @Override
     public CompletableFuture<ReadResult> read(String key) {
-        return call(
-                () -> direct.read(key),
-                call(Optional.of(key), Optional.empty(), false),
+        return callOrRelay(
+                () -> directStore.read(key),
+                readCall(Optional.of(key), Optional.empty(), false),
                 GatewayMessage.StoreAnswer::read);
     }
 
     @Override
     public CompletableFuture<Listing> list(String prefix, boolean mayBeStale) {
-        return call(
-                () -> direct.list(prefix, mayBeStale),
-                call(Optional.empty(), Optional.of(prefix), mayBeStale),
+        return callOrRelay(
+                () -> directStore.list(prefix, mayBeStale),
+                readCall(Optional.empty(), Optional.of(prefix), mayBeStale),
                 GatewayMessage.StoreAnswer::listing);
     }
 
     /** Not relayed: the hosts that reach the store pass on all changes anyway. */
     @Override
     public CompletableFuture<Changes> changesAfter(String prefix, long revision, long waitMillis) {
-        if (!reach.mayTry(System.nanoTime())) {
+        if (!reach.mayCallDirectly(System.nanoTime())) {
             return CompletableFuture.failedFuture(new ExternalServiceException(
                     Kind.NOT_DONE, "direct calls to the key-value store are suspended after a failed call"));
         }
-        return observed(() -> direct.changesAfter(prefix, revision, waitMillis));
+        return callDirectly(() -> directStore.changesAfter(prefix, revision, waitMillis));
     }
 
     @Override
@@ -74,28 +74,28 @@
                 Optional.of(transaction),
                 Optional.empty(),
                 Optional.empty());
-        return call(() -> direct.write(transaction), call, GatewayMessage.StoreAnswer::written);
+        return callOrRelay(() -> directStore.write(transaction), call, GatewayMessage.StoreAnswer::written);
     }
 
     @Override
     public CompletableFuture<Long> grantLease(long ttlMillis) {
-        return call(
-                () -> direct.grantLease(ttlMillis),
-                lease(Optional.of(ttlMillis), Optional.empty()),
+        return callOrRelay(
+                () -> directStore.grantLease(ttlMillis),
+                leaseCall(Optional.of(ttlMillis), Optional.empty()),
                 GatewayMessage.StoreAnswer::lease);
     }
 
     @Override
     public CompletableFuture<Long> renewLease(long leaseId) {
-        return call(
-                () -> direct.renewLease(leaseId),
-                lease(Optional.empty(), Optional.of(leaseId)),
+        return callOrRelay(
+                () -> directStore.renewLease(leaseId),
+                leaseCall(Optional.empty(), Optional.of(leaseId)),
                 GatewayMessage.StoreAnswer::lease);
     }
 
     @Override
     public CompletableFuture<Void> revokeLease(long leaseId) {
-        return direct.revokeLease(leaseId);
+        return directStore.revokeLease(leaseId);
     }
 
     @Override
@@ -106,14 +106,14 @@
     /** Makes a call on behalf of another host, directly and without relaying it further. */
     CompletableFuture<PeerMessage> serve(GatewayMessage.StoreCall call) {
         if (call.readKey().isPresent()) {
-            return answer(
-                    direct.read(call.readKey().get()),
+            return toStoreAnswer(
+                    directStore.read(call.readKey().get()),
                     read -> new GatewayMessage.StoreAnswer(
                             Optional.empty(), Optional.of(read), Optional.empty(), Optional.empty(), Optional.empty()));
         }
         if (call.listPrefix().isPresent()) {
-            return answer(
-                    direct.list(call.listPrefix().get(), call.mayBeStale()),
+            return toStoreAnswer(
+                    directStore.list(call.listPrefix().get(), call.mayBeStale()),
                     listing -> new GatewayMessage.StoreAnswer(
                             Optional.empty(),
                             Optional.empty(),
@@ -122,8 +122,8 @@
                             Optional.empty()));
         }
         if (call.write().isPresent()) {
-            return answer(
-                    direct.write(call.write().get()),
+            return toStoreAnswer(
+                    directStore.write(call.write().get()),
                     written -> new GatewayMessage.StoreAnswer(
                             Optional.empty(),
                             Optional.empty(),
@@ -132,26 +132,26 @@
                             Optional.empty()));
         }
         CompletableFuture<Long> lease = call.grantMillis().isPresent()
-                ? direct.grantLease(call.grantMillis().get())
-                : direct.renewLease(call.renewLease().orElseThrow());
-        return answer(
+                ? directStore.grantLease(call.grantMillis().get())
+                : directStore.renewLease(call.renewLease().orElseThrow());
+        return toStoreAnswer(
                 lease,
                 value -> new GatewayMessage.StoreAnswer(
                         Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.of(value)));
     }
 
-    private <T> CompletableFuture<T> call(
-            Supplier<CompletableFuture<T>> own,
+    private <T> CompletableFuture<T> callOrRelay(
+            Supplier<CompletableFuture<T>> directCall,
             GatewayMessage.StoreCall call,
-            Function<GatewayMessage.StoreAnswer, Optional<T>> part) {
-        if (!reach.mayTry(System.nanoTime())) {
-            return relayed(
+            Function<GatewayMessage.StoreAnswer, Optional<T>> extractResult) {
+        if (!reach.mayCallDirectly(System.nanoTime())) {
+            return callThroughRelay(
                     call,
-                    part,
+                    extractResult,
                     new ExternalServiceException(
                             Kind.NOT_DONE, "direct calls to the key-value store are suspended after a failed call"));
         }
-        return observed(own)
+        return callDirectly(directCall)
                 .handle((result, failure) -> {
                     if (failure == null) {
                         return CompletableFuture.completedFuture(result);
@@ -160,60 +160,60 @@
                     boolean answered = kind == Kind.LEASE_GONE || kind == Kind.HISTORY_GONE;
                     return answered
                             ? CompletableFuture.<T>failedFuture(failure)
-                            : relayed(
+                            : callThroughRelay(
                                     call,
-                                    part,
+                                    extractResult,
                                     new ExternalServiceException(kind, String.valueOf(failure.getMessage())));
                 })
                 .thenCompose(future -> future);
     }
 
-    private <T> CompletableFuture<T> observed(Supplier<CompletableFuture<T>> own) {
+    private <T> CompletableFuture<T> callDirectly(Supplier<CompletableFuture<T>> directCall) {
         long sentNanos = System.nanoTime();
-        return own.get().whenComplete((result, failure) -> {
+        return directCall.get().whenComplete((result, failure) -> {
             Kind kind = failure == null ? null : ExternalServiceException.kindOf(failure);
             boolean unanswered = kind == Kind.NOT_DONE || kind == Kind.UNKNOWN;
-            if (unanswered && reach.failed(sentNanos, System.nanoTime())) {
-                onChange.changed(false, String.valueOf(failure.getMessage()));
-            } else if (!unanswered && reach.answered(sentNanos)) {
-                onChange.changed(true, "");
+            if (unanswered && reach.recordFailure(sentNanos, System.nanoTime())) {
+                reachListener.reachChanged(false, String.valueOf(failure.getMessage()));
+            } else if (!unanswered && reach.recordAnswer(sentNanos)) {
+                reachListener.reachChanged(true, "");
             }
         });
     }
 
     /**
-     * Relays a call whose direct attempt failed. If the direct attempt may have done a write, the failure says so
-     * whatever the failure of the relayed call is.
+     * Relays a call whose direct attempt failed or was skipped. If the direct attempt may have done a write, the failure
+     * says so whatever the failure of the relayed call is.
      */
-    private <T> CompletableFuture<T> relayed(
+    private <T> CompletableFuture<T> callThroughRelay(
             GatewayMessage.StoreCall call,
-            Function<GatewayMessage.StoreAnswer, Optional<T>> part,
-            ExternalServiceException first) {
+            Function<GatewayMessage.StoreAnswer, Optional<T>> extractResult,
+            ExternalServiceException directFailure) {
         return relay.ask(call, RELAY_TIMEOUT_MILLIS).handle((reply, failure) -> {
             if (reply instanceof GatewayMessage.StoreAnswer answer) {
-                Optional<T> found = part.apply(answer);
+                Optional<T> found = extractResult.apply(answer);
                 if (found.isPresent()) {
                     return found.get();
                 }
-                throw worse(first, answer.failure().orElse(Kind.UNKNOWN));
+                throw combineFailures(directFailure, answer.failure().orElse(Kind.UNKNOWN));
             }
-            boolean nobody = failure != null && ExternalServiceException.kindOf(failure) == Kind.NOT_DONE;
-            throw worse(first, nobody ? Kind.NOT_DONE : Kind.UNKNOWN);
+            boolean noRelayFound = failure != null && ExternalServiceException.kindOf(failure) == Kind.NOT_DONE;
+            throw combineFailures(directFailure, noRelayFound ? Kind.NOT_DONE : Kind.UNKNOWN);
         });
     }
 
-    private static ExternalServiceException worse(ExternalServiceException first, Kind second) {
-        if (second == Kind.LEASE_GONE) {
-            return new ExternalServiceException(second, "the lease has ended");
+    private static ExternalServiceException combineFailures(ExternalServiceException directFailure, Kind relayFailure) {
+        if (relayFailure == Kind.LEASE_GONE) {
+            return new ExternalServiceException(relayFailure, "the lease has ended");
         }
-        boolean notDone = first.kind() == Kind.NOT_DONE && second == Kind.NOT_DONE;
-        return new ExternalServiceException(notDone ? Kind.NOT_DONE : Kind.UNKNOWN, first.getMessage());
+        boolean notDone = directFailure.kind() == Kind.NOT_DONE && relayFailure == Kind.NOT_DONE;
+        return new ExternalServiceException(notDone ? Kind.NOT_DONE : Kind.UNKNOWN, directFailure.getMessage());
     }
 
-    private static <T> CompletableFuture<PeerMessage> answer(
-            CompletableFuture<T> call, Function<T, GatewayMessage.StoreAnswer> whole) {
+    private static <T> CompletableFuture<PeerMessage> toStoreAnswer(
+            CompletableFuture<T> call, Function<T, GatewayMessage.StoreAnswer> wrapResult) {
         return call.handle((result, failure) -> failure == null
-                ? whole.apply(result)
+                ? wrapResult.apply(result)
                 : new GatewayMessage.StoreAnswer(
                         Optional.of(ExternalServiceException.kindOf(failure)),
                         Optional.empty(),
@@ -222,12 +222,13 @@
                         Optional.empty()));
     }
 
-    private static GatewayMessage.StoreCall call(Optional<String> key, Optional<String> prefix, boolean mayBeStale) {
+    private static GatewayMessage.StoreCall readCall(
+            Optional<String> key, Optional<String> prefix, boolean mayBeStale) {
         return new GatewayMessage.StoreCall(
                 key, prefix, mayBeStale, Optional.empty(), Optional.empty(), Optional.empty());
     }
 
-    private static GatewayMessage.StoreCall lease(Optional<Long> grantMillis, Optional<Long> renew) {
+    private static GatewayMessage.StoreCall leaseCall(Optional<Long> grantMillis, Optional<Long> renew) {
         return new GatewayMessage.StoreCall(
                 Optional.empty(), Optional.empty(), false, Optional.empty(), grantMillis, renew);
     }
@@ -235,7 +236,7 @@
     /** Notified when the store stops or starts answering this host. Called from any thread. */
     @FunctionalInterface
     interface ReachListener {
-        void changed(boolean reached, String reason);
+        void reachChanged(boolean reached, String reason);
     }
 
     /**
--- a/src/main/java/org/gooseberryhill/gateway/Once.java
+++ b/src/main/java/org/gooseberryhill/gateway/RunOnce.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.gateway;
 
 /** Runs an action on the first call only. Not thread-safe. */
-final class Once implements Runnable {
+final class RunOnce implements Runnable {
     private final Runnable action;
     private boolean done;
 
-    Once(Runnable action) {
+    RunOnce(Runnable action) {
         this.action = action;
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
+++ b/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
@@ -21,12 +21,12 @@
     private static final int MAX_ENTRIES = 32;
 
     private static final int MAX_CHARACTERS = 700_000;
-    private static final int COMMIT_ENTRIES = 4;
-    private static final int PROGRESS_ENTRIES = 2;
+    private static final int ENTRIES_PER_COMMIT = 4;
+    private static final int ENTRIES_PER_PROGRESS = 2;
 
     private final List<BatchStore.Commit> commits = new ArrayList<>();
     private final List<BatchStore.Progress> progress = new ArrayList<>();
-    private final Map<OwnedBatch, Long> eventsByBatch = new LinkedHashMap<>();
+    private final Map<OwnedBatch, Long> bundledEventsByBatch = new LinkedHashMap<>();
     private int entries;
     private int characters;
 
@@ -41,7 +41,7 @@
     }
 
     /** Begins a commit of a batch's pending results. */
-    static BatchStore.Commit commitOf(OwnedBatch batch) {
+    static BatchStore.Commit beginCommit(OwnedBatch batch) {
         List<ItemResult> results = batch.beginCommit(MAX_CHARACTERS);
         BatchRecord record = batch.record();
         return new BatchStore.Commit(
@@ -57,17 +57,17 @@
     }
 
     /** Marks the progress in this bundle as saved. */
-    void progressSaved() {
-        eventsByBatch.forEach(OwnedBatch::progressSaved);
+    void markProgressSaved() {
+        bundledEventsByBatch.forEach(OwnedBatch::progressSaved);
     }
 
     private void addResults(OwnedBatch batch) {
-        if (!hasRoom(COMMIT_ENTRIES)) {
+        if (!hasRoom(ENTRIES_PER_COMMIT)) {
             return;
         }
-        BatchStore.Commit commit = commitOf(batch);
+        BatchStore.Commit commit = beginCommit(batch);
         commits.add(commit);
-        entries += COMMIT_ENTRIES;
+        entries += ENTRIES_PER_COMMIT;
         characters += commit.results().stream()
                 .mapToInt(result -> result.text().length())
                 .sum();
@@ -75,16 +75,16 @@
 
     private void addProgress(OwnedBatch batch) {
         List<ItemCheckpoint> items = batch.checkpoints();
-        if (items.isEmpty() || !hasRoom(PROGRESS_ENTRIES)) {
+        if (items.isEmpty() || !hasRoom(ENTRIES_PER_PROGRESS)) {
             return;
         }
         progress.add(new BatchStore.Progress(batch.id(), batch.recordRevision(), items));
-        eventsByBatch.put(batch, batch.events());
-        entries += PROGRESS_ENTRIES;
+        bundledEventsByBatch.put(batch, batch.events());
+        entries += ENTRIES_PER_PROGRESS;
         characters += items.stream().mapToInt(item -> item.text().length()).sum();
     }
 
-    private boolean hasRoom(int more) {
-        return entries == 0 || (entries + more <= MAX_ENTRIES && characters < MAX_CHARACTERS);
+    private boolean hasRoom(int additionalEntries) {
+        return entries == 0 || (entries + additionalEntries <= MAX_ENTRIES && characters < MAX_CHARACTERS);
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/StoreReach.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreReach.java
@@ -17,44 +17,44 @@
      * Interval between direct calls while the store is unreachable: each has a cost, and other hosts relay calls
      * meanwhile.
      */
-    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1000);
+    private static final long RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(1000);
 
-    private boolean direct = true;
-    private long failedNanos;
-    private long answeredSentNanos = Long.MIN_VALUE;
+    private boolean reachable = true;
+    private long lastFailureNanos;
+    private long lastAnsweredSentNanos = Long.MIN_VALUE;
 
     /** Returns whether the latest direct call was answered. */
     synchronized boolean isDirect() {
-        return direct;
+        return reachable;
     }
 
     /** Returns whether a direct call may be made now. */
-    synchronized boolean mayTry(long nowNanos) {
-        return direct || nowNanos - failedNanos >= PAUSE_NANOS;
+    synchronized boolean mayCallDirectly(long nowNanos) {
+        return reachable || nowNanos - lastFailureNanos >= RETRY_INTERVAL_NANOS;
     }
 
     /**
      * Records that a direct call sent at the given time was answered; returns whether the store counted as lost before.
      */
-    synchronized boolean answered(long sentNanos) {
-        if (answeredSentNanos == Long.MIN_VALUE || sentNanos - answeredSentNanos > 0) {
-            answeredSentNanos = sentNanos;
+    synchronized boolean recordAnswer(long sentNanos) {
+        if (lastAnsweredSentNanos == Long.MIN_VALUE || sentNanos - lastAnsweredSentNanos > 0) {
+            lastAnsweredSentNanos = sentNanos;
         }
-        boolean regained = !direct;
-        direct = true;
+        boolean regained = !reachable;
+        reachable = true;
         return regained;
     }
 
     /**
      * Records that a direct call sent at the given time failed; returns whether the store counts as lost from now on.
      */
-    synchronized boolean failed(long sentNanos, long nowNanos) {
-        if (answeredSentNanos != Long.MIN_VALUE && sentNanos - answeredSentNanos < 0) {
+    synchronized boolean recordFailure(long sentNanos, long nowNanos) {
+        if (lastAnsweredSentNanos != Long.MIN_VALUE && sentNanos - lastAnsweredSentNanos < 0) {
             return false;
         }
-        boolean lost = direct;
-        failedNanos = nowNanos;
-        direct = false;
+        boolean lost = reachable;
+        lastFailureNanos = nowNanos;
+        reachable = false;
         return lost;
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/StoredResults.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoredResults.java
@@ -21,11 +21,11 @@
  */
 final class StoredResults {
     /** Maximum number of batches whose results are cached; each takes some hundred kilobytes. */
-    private static final int MAX_KEPT = 60;
+    private static final int MAX_CACHED_BATCHES = 60;
 
     private final GatewayContext context;
     private final BatchStore store;
-    private final Map<String, Kept> kept = new LinkedHashMap<>();
+    private final Map<String, CachedResults> cache = new LinkedHashMap<>();
 
     StoredResults(GatewayContext context, BatchStore store) {
         this.context = context;
@@ -33,10 +33,10 @@
     }
 
     /** Reads the committed results from a position on; empty if there is no such batch. */
-    CompletableFuture<Optional<BatchPage>> page(String id, int after) {
-        Kept known = kept.get(id);
-        if (known != null && (known.record.isFinished() || known.results.size() > after)) {
-            return CompletableFuture.completedFuture(Optional.of(known.page(after)));
+    CompletableFuture<Optional<BatchPage>> readPage(String id, int after) {
+        CachedResults cached = cache.get(id);
+        if (cached != null && (cached.record.isFinished() || cached.results.size() > after)) {
+            return CompletableFuture.completedFuture(Optional.of(cached.page(after)));
         }
         return store.read(id).thenCompose(found -> {
             if (found.isEmpty()) {
@@ -44,39 +44,39 @@
             }
             BatchRecord record = found.get().record();
             return store.results(id, record, 0, record.chunks().size()).thenApply(results -> {
-                Kept fresh = new Kept(record, List.copyOf(results));
-                context.loop().execute(() -> keep(id, fresh));
+                CachedResults fresh = new CachedResults(record, List.copyOf(results));
+                context.loop().execute(() -> addToCache(id, fresh));
                 return Optional.of(fresh.page(after));
             });
         });
     }
 
     /** Reads the body of an item without a committed result; empty if there is no such item, or its batch is ended. */
-    CompletableFuture<Optional<byte[]>> item(String id, String itemId) {
+    CompletableFuture<Optional<byte[]>> readItemBody(String id, String itemId) {
         return store.read(id).thenCompose(found -> {
             if (found.isEmpty() || found.get().record().ended()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             BatchRecord record = found.get().record();
             return store.results(id, record, 0, record.chunks().size())
-                    .thenCombine(store.items(id, record), (results, items) -> unlisted(itemId, results, items));
+                    .thenCombine(store.items(id, record), (results, items) -> unlistedItemBody(itemId, results, items));
         });
     }
 
     /** Drops the cached results of a batch that has changed. */
-    void forget(String id) {
-        kept.remove(id);
+    void evict(String id) {
+        cache.remove(id);
     }
 
-    private void keep(String id, Kept fresh) {
-        kept.remove(id);
-        kept.put(id, fresh);
-        if (kept.size() > MAX_KEPT) {
-            kept.remove(kept.keySet().iterator().next());
+    private void addToCache(String id, CachedResults fresh) {
+        cache.remove(id);
+        cache.put(id, fresh);
+        if (cache.size() > MAX_CACHED_BATCHES) {
+            cache.remove(cache.keySet().iterator().next());
         }
     }
 
-    private static Optional<byte[]> unlisted(String itemId, List<ItemResult> results, List<BatchItem> items) {
+    private static Optional<byte[]> unlistedItemBody(String itemId, List<ItemResult> results, List<BatchItem> items) {
         boolean listed = results.stream().anyMatch(result -> result.id().equals(itemId));
         if (listed) {
             return Optional.empty();
@@ -88,7 +88,7 @@
     }
 
     /** The cached record and results of a batch. */
-    private record Kept(BatchRecord record, List<ItemResult> results) {
+    private record CachedResults(BatchRecord record, List<ItemResult> results) {
         BatchPage page(int after) {
             List<ItemResult> found = new ArrayList<>();
             int characters = 0;
--- a/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
+++ b/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
@@ -16,7 +16,7 @@
     private static final int SPARE_COPIES = 1;
 
     /** Allows for several disk syncs, and is shorter than a caller waits. */
-    private static final long KEEP_MILLIS = 1000;
+    private static final long STORE_COPY_TIMEOUT_MILLIS = 1000;
 
     private final GatewayContext context;
     private final PeerLinks links;
@@ -27,15 +27,15 @@
     }
 
     /** Returns how many hosts can keep copies. */
-    int hosts() {
+    int hostCount() {
         return links.stores().size();
     }
 
     /** Requests copies; the action runs for each copy that is on a disk. */
-    void keep(String batch, BatchRecord record, byte[] body, Runnable onKept) {
+    void requestCopies(String batch, BatchRecord record, byte[] body, Runnable onKept) {
         OutboxMessage.Put put = new OutboxMessage.Put(batch, record, body);
-        for (Host host : keepers(batch)) {
-            context.onLoop(links.ask(host, put, KEEP_MILLIS), (reply, failure) -> {
+        for (Host host : copyHosts(batch)) {
+            context.onLoop(links.ask(host, put, STORE_COPY_TIMEOUT_MILLIS), (reply, failure) -> {
                 if (reply instanceof OutboxMessage.Kept answer && answer.kept()) {
                     onKept.run();
                 }
@@ -47,12 +47,12 @@
      * Tells the hosts to drop their copies; a host that misses the message finds out when it tries to create the
      * record.
      */
-    void drop(String batch, BatchRecord record) {
+    void dropCopies(String batch, BatchRecord record) {
         OutboxMessage.Drop drop = new OutboxMessage.Drop(batch, record);
-        keepers(batch).forEach(host -> context.peers().post(host.address(), PeerLane.CONTROL, drop));
+        copyHosts(batch).forEach(host -> context.peers().post(host.address(), PeerLane.CONTROL, drop));
     }
 
-    private List<Host> keepers(String batch) {
+    private List<Host> copyHosts(String batch) {
         return Ownership.copies(
                 "outbox/" + batch, context.settings().submissionCopies() + SPARE_COPIES, links.stores());
     }
--- a/src/test/java/org/gooseberryhill/gateway/BatchBoardTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/BatchBoardTest.java
@@ -17,7 +17,7 @@
      * Guards against results that are listed twice because a batch is submitted again while its host is taking it over.
      */
     @Test
-    void aBatchThatIsThereStaysWhenItIsAddedAgain() {
+    void addingAnOwnedBatchAgainKeepsTheFirstCopy() {
         OwnedBatch first = batch();
 
         assertThat(board.add(first)).isTrue();
@@ -27,9 +27,9 @@
     }
 
     @Test
-    void aBatchThatWasDroppedMayBeAddedAgain() {
+    void aRemovedBatchCanBeAddedAgain() {
         board.add(batch());
-        board.drop("b");
+        board.remove("b");
         OwnedBatch later = batch();
 
         assertThat(board.add(later)).isTrue();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void anOwnBatchHasNoOtherOwner() {
+    void anOwnedBatchHasNoOtherOwner() {
         board.ownedBy("b", new HostId("other"));
         board.add(batch());
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void onlyALaterWriteThanARevisionCounts() {
+    void hasWrittenIsTrueOnlyForRevisionsBeforeTheLastWrite() {
         board.add(batch());
 
         assertThat(board.hasWritten("b", REVISION - 1)).isTrue();
--- a/src/test/java/org/gooseberryhill/gateway/StoreReachTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/StoreReachTest.java
@@ -9,21 +9,21 @@
     private final StoreReach reach = new StoreReach();
 
     @Test
-    void aFailedCallLosesTheStoreOnceAndAnAnsweredOneRegainsItOnce() {
-        assertThat(reach.failed(millis(1), millis(700))).isTrue();
-        assertThat(reach.failed(millis(2), millis(701))).isFalse();
+    void lossAndRecoveryOfTheStoreAreEachReportedOnce() {
+        assertThat(reach.recordFailure(millis(1), millis(700))).isTrue();
+        assertThat(reach.recordFailure(millis(2), millis(701))).isFalse();
         assertThat(reach.isDirect()).isFalse();
-        assertThat(reach.answered(millis(800))).isTrue();
-        assertThat(reach.answered(millis(801))).isFalse();
+        assertThat(reach.recordAnswer(millis(800))).isTrue();
+        assertThat(reach.recordAnswer(millis(801))).isFalse();
         assertThat(reach.isDirect()).isTrue();
     }
 
     @Test
-    void aHostThatIsTurnedAwayTriesAgainAfterThePause() {
-        reach.failed(millis(1), millis(100));
+    void directCallsResumeAfterTheRetryInterval() {
+        reach.recordFailure(millis(1), millis(100));
 
-        assertThat(reach.mayTry(millis(1099))).isFalse();
-        assertThat(reach.mayTry(millis(1100))).isTrue();
+        assertThat(reach.mayCallDirectly(millis(1099))).isFalse();
+        assertThat(reach.mayCallDirectly(millis(1100))).isTrue();
     }
 
     /**
@@ -32,20 +32,20 @@
      * would be stale.
      */
     @Test
-    void aCallThatHungThroughAnOutageDoesNotLoseTheStoreAgain() {
-        reach.failed(millis(500), millis(1200));
-        reach.answered(millis(3000));
+    void aFailedCallSentBeforeTheLatestAnsweredOneIsIgnored() {
+        reach.recordFailure(millis(500), millis(1200));
+        reach.recordAnswer(millis(3000));
 
-        assertThat(reach.failed(millis(2900), millis(6600))).isFalse();
+        assertThat(reach.recordFailure(millis(2900), millis(6600))).isFalse();
         assertThat(reach.isDirect()).isTrue();
-        assertThat(reach.mayTry(millis(6601))).isTrue();
+        assertThat(reach.mayCallDirectly(millis(6601))).isTrue();
     }
 
     @Test
-    void aCallSentAfterTheLatestAnsweredOneLosesTheStore() {
-        reach.answered(millis(3000));
+    void aFailedCallSentAfterTheLatestAnsweredOneCountsAsALoss() {
+        reach.recordAnswer(millis(3000));
 
-        assertThat(reach.failed(millis(3001), millis(3701))).isTrue();
+        assertThat(reach.recordFailure(millis(3001), millis(3701))).isTrue();
     }
 
     private static long millis(long millis) {
