--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -17,12 +17,12 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Writes results of owned batches into the key-value store and shows them from then on, and writes down how far the open
- * items are. For the control thread.
+ * Commits results of owned batches to the key-value store, which makes them readable, and checkpoints the progress of
+ * open items. Confined to the control thread.
  *
- * <p>Invariants: at most one write for a batch is on its way; a result is shown only after the write that holds it; an
- * unanswered write is repeated word for word until the record tells whether it was done. A commit whose record was changed
- * by another process is not repeated: the batch has another owner, or was ended.
+ * <p>Invariants: at most one write of a batch's record is in flight; a result becomes readable only after the write
+ * that contains it; an unanswered write is repeated unchanged until the record shows whether it took effect. A commit
+ * whose record was changed by another process is not repeated: the batch has another owner, or was ended.
  */
 final class BatchCommitter {
     private final GatewayContext context;
@@ -31,9 +31,9 @@
     private final BatchBoard board;
     private final BatchRoutes routes;
     private final Consumer<String> onLost;
-    private final SaveTiming timing = new SaveTiming();
-    private final Map<String, List<Consumer<Boolean>>> endings = new HashMap<>();
-    private final Set<String> writing = new HashSet<>();
+    private final SaveTiming saveTiming = new SaveTiming();
+    private final Map<String, List<Consumer<Boolean>>> endReceivers = new HashMap<>();
+    private final Set<String> writesInFlight = new HashSet<>();
 
     BatchCommitter(
             GatewayContext context, BatchStore store, BatchBoard board, BatchRoutes routes, Consumer<String> onLost) {
@@ -45,57 +45,64 @@
         this.onLost = onLost;
     }
 
-    /** Writes what is due; called often. */
+    /** Writes results and progress that are due. Called often. */
     void tick(boolean stopping) {
         List<OwnedBatch> idle = new ArrayList<>();
         boolean due = false;
         for (OwnedBatch batch : board.batches()) {
-            if (writing.contains(batch.id()) || batch.isFinished() || !batch.isRecorded()) {
+            if (writesInFlight.contains(batch.id()) || batch.isFinished() || !batch.isRecorded()) {
                 continue;
             }
             idle.add(batch);
-            due |= timing.isDue(batch, stopping, leftMillis(batch), context.nowNanos());
+            due |= saveTiming.isDue(batch, stopping, leftMillis(batch), context.nowNanos());
         }
         if (due) {
             save(SaveBundle.of(idle, !stopping));
         }
     }
 
-    /** Whether a batch has a write on its way. */
-    boolean isWriting(String id) {
-        return writing.contains(id);
+    /** Returns whether a write of the batch's record is in flight. */
+    boolean hasWriteInFlight(String id) {
+        return writesInFlight.contains(id);
     }
 
-    /** Ends a batch for its caller; the receiver gets whether its record says so, or false if another host has it now. */
+    /**
+     * Ends a batch on request of its caller.
+     *
+     * @param receiver gets true once the record is marked as ended, or false if another host owns the batch now
+     */
     void end(OwnedBatch batch, Consumer<Boolean> receiver) {
         if (batch.record().ended()) {
             receiver.accept(true);
             return;
         }
-        endings.computeIfAbsent(batch.id(), key -> new ArrayList<>()).add(receiver);
-        writeEnding(batch);
+        endReceivers.computeIfAbsent(batch.id(), key -> new ArrayList<>()).add(receiver);
+        writeEndedRecord(batch);
     }
 
-    /** The key-value store has the record of a batch that was accepted by copies. */
-    void recorded(OwnedBatch batch, BatchRecord record, long revision) {
+    /** Handles the creation of the record of a batch that was accepted by copies on disks. */
+    void onRecordCreated(OwnedBatch batch, BatchRecord record, long revision) {
         batch.recordChanged(record, revision);
-        if (endings.containsKey(batch.id())) {
-            writeEnding(batch);
+        if (endReceivers.containsKey(batch.id())) {
+            writeEndedRecord(batch);
         }
     }
 
-    /** Another process has a batch now that this host accepted by copies, or nobody has it. */
-    void recordedElsewhere(String id, Optional<BatchStore.Stored> found) {
-        lost(id, found);
+    /**
+     * Handles the loss of a batch that this host accepted by copies on disks: its record names another process, or
+     * there is no record.
+     */
+    void onRecordedElsewhere(String id, Optional<BatchStore.Stored> found) {
+        onOwnershipLost(id, found);
     }
 
     /**
-     * A listing shows a later revision of an owned batch than this host wrote: another process ended or took it. While a
-     * write of this host is on its way, that write finds it out.
+     * Handles a listed revision of an owned batch that is later than the one this host wrote: another process ended the
+     * batch or took it over. A write of this host that is in flight detects the change itself.
      */
     void changedElsewhere(BatchStore.Stored found) {
-        if (!writing.contains(found.id())) {
-            lost(found.id(), Optional.of(found));
+        if (!writesInFlight.contains(found.id())) {
+            onOwnershipLost(found.id(), Optional.of(found));
         }
     }
 
@@ -107,19 +114,19 @@
     }
 
     private void save(SaveBundle bundle) {
-        bundle.commits().forEach(commit -> writing.add(commit.id()));
-        bundle.commits().forEach(commit -> timing.sent(commit.id()));
-        bundle.progress().forEach(progress -> timing.sent(progress.id()));
+        bundle.commits().forEach(commit -> writesInFlight.add(commit.id()));
+        bundle.commits().forEach(commit -> saveTiming.sent(commit.id()));
+        bundle.progress().forEach(progress -> saveTiming.sent(progress.id()));
         context.onLoop(store.save(bundle.commits(), bundle.progress()), (result, failure) -> {
             boolean done = failure == null && result.succeeded();
             if (done) {
-                bundle.progressSaved();
+                bundle.markProgressSaved();
             }
             for (BatchStore.Commit commit : bundle.commits()) {
                 if (done) {
-                    committed(commit, result.revision());
+                    onCommitted(commit, result.revision());
                 } else {
-                    commitAlone(commit);
+                    commitSeparately(commit);
                 }
             }
             if (failure == null && !result.succeeded()) {
@@ -129,11 +136,12 @@
     }
 
     /**
-     * A write of progress was refused, perhaps since another process ended or took this batch: it says nothing of its own
-     * accord, and without a result to commit the items would run on for nobody.
+     * Reads the record of a batch whose progress write was refused. Another process may have ended the batch or taken
+     * it over without notifying this host; as long as no result is to be committed, its items would go on running in
+     * vain.
      */
     private void checkRecord(String id) {
-        if (writing.contains(id)) {
+        if (writesInFlight.contains(id)) {
             return;
         }
         context.onLoop(store.read(id), (found, failure) -> {
@@ -143,30 +151,33 @@
             }
             boolean changed =
                     found.isEmpty() || found.get().revision() > owned.get().recordRevision();
-            if (changed && !writing.contains(id)) {
-                lost(id, found);
+            if (changed && !writesInFlight.contains(id)) {
+                onOwnershipLost(id, found);
             }
         });
     }
 
-    /** One batch's commit by itself: another one's refusal or an unanswered write must not hold it up. */
-    private void commitAlone(BatchStore.Commit commit) {
+    /** Commits one batch separately, so that neither the refusal of another batch nor an unanswered write delays it. */
+    private void commitSeparately(BatchStore.Commit commit) {
         writer.write(
-                commit.id(), commit.record(), () -> store.save(List.of(commit), List.of()), new RecordWriter.Result() {
+                commit.id(),
+                commit.record(),
+                () -> store.save(List.of(commit), List.of()),
+                new RecordWriter.WriteListener() {
                     @Override
-                    public void done(long revision) {
-                        committed(commit, revision);
+                    public void onWritten(long revision) {
+                        onCommitted(commit, revision);
                     }
 
                     @Override
-                    public void superseded(Optional<BatchStore.Stored> found) {
-                        lost(commit.id(), found);
+                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                        onOwnershipLost(commit.id(), found);
                     }
                 });
     }
 
-    private void committed(BatchStore.Commit commit, long revision) {
-        writing.remove(commit.id());
+    private void onCommitted(BatchStore.Commit commit, long revision) {
+        writesInFlight.remove(commit.id());
         board.find(commit.id()).ifPresent(batch -> {
             batch.commitSucceeded(commit.record(), revision);
             context.timeline()
@@ -176,15 +187,15 @@
                     .with("items", commit.record().items())
                     .with("leftMillis", leftMillis(batch).orElse(0))
                     .write();
-            board.wake(commit.id());
-            if (endings.containsKey(commit.id())) {
-                writeEnding(batch);
+            board.notifyWaiters(commit.id());
+            if (endReceivers.containsKey(commit.id())) {
+                writeEndedRecord(batch);
             }
         });
     }
 
-    private void writeEnding(OwnedBatch batch) {
-        if (!batch.isRecorded() || !writing.add(batch.id())) {
+    private void writeEndedRecord(OwnedBatch batch) {
+        if (!batch.isRecorded() || !writesInFlight.add(batch.id())) {
             return;
         }
         BatchRecord ended = batch.record().asEnded();
@@ -192,29 +203,29 @@
                 batch.id(),
                 ended,
                 () -> store.replace(batch.id(), batch.recordRevision(), ended),
-                new RecordWriter.Result() {
+                new RecordWriter.WriteListener() {
                     @Override
-                    public void done(long revision) {
-                        ended(batch, ended, revision);
+                    public void onWritten(long revision) {
+                        onEnded(batch, ended, revision);
                     }
 
                     @Override
-                    public void superseded(Optional<BatchStore.Stored> found) {
-                        lost(batch.id(), found);
+                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                        onOwnershipLost(batch.id(), found);
                     }
                 });
     }
 
-    private void ended(OwnedBatch batch, BatchRecord ended, long revision) {
-        writing.remove(batch.id());
+    private void onEnded(OwnedBatch batch, BatchRecord ended, long revision) {
+        writesInFlight.remove(batch.id());
         batch.recordChanged(ended, revision);
         context.timeline().event(EventKind.BATCH_ENDED).job(batch.id()).write();
-        board.wake(batch.id());
-        answerEndings(batch.id(), true);
+        board.notifyWaiters(batch.id());
+        notifyEndReceivers(batch.id(), true);
     }
 
-    private void lost(String id, Optional<BatchStore.Stored> found) {
-        writing.remove(id);
+    private void onOwnershipLost(String id, Optional<BatchStore.Stored> found) {
+        writesInFlight.remove(id);
         boolean ended = found.map(stored -> stored.record().ended()).orElse(true);
         context.timeline()
                 .event(EventKind.BATCH_LOST)
@@ -222,14 +233,14 @@
                 .with("ended", ended)
                 .with("owner", found.map(stored -> stored.record().owner()).orElse(""))
                 .write();
-        timing.sent(id);
-        board.drop(id);
+        saveTiming.sent(id);
+        board.remove(id);
         onLost.accept(id);
-        answerEndings(id, ended);
+        notifyEndReceivers(id, ended);
     }
 
-    private void answerEndings(String id, boolean ended) {
-        List<Consumer<Boolean>> receivers = endings.remove(id);
+    private void notifyEndReceivers(String id, boolean ended) {
+        List<Consumer<Boolean>> receivers = endReceivers.remove(id);
         if (receivers != null) {
             receivers.forEach(receiver -> receiver.accept(ended));
         }
--- a/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
@@ -15,19 +15,19 @@
 import org.gooseberryhill.peer.PeerMessage;
 
 /**
- * Serves the calls about request batches. Entered from traffic threads, decides on the control thread.
+ * Handles API calls that read or end request batches. Entered from traffic threads, decides on the control thread.
  *
- * <p>Invariant: a page holds committed results only, whichever host it is asked of.
+ * <p>Invariant: a page contains only committed results, whichever host answers the call.
  */
 final class BatchDesk {
-    /** What one answer may hold: the interface allows a megabyte. */
+    /** Maximum number of characters in one page; the interface allows a megabyte per answer. */
     static final int MAX_PAGE_CHARACTERS = 700_000;
 
     private static final int OK = 200;
-    private static final Map<String, String> JSON = Map.of("content-type", "application/json");
+    private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
-    /** A reply of the owner may be kept waiting; this much more for the way. */
-    private static final long ASK_MARGIN_MILLIS = 500;
+    /** Added to the time for which the owner may hold back its reply, to allow for the transfer between the hosts. */
+    private static final long REPLY_MARGIN_MILLIS = 500;
 
     private final GatewayContext context;
     private final BatchReplies replies;
@@ -51,7 +51,7 @@
         this.ending = ending;
     }
 
-    /** Answers a call of the system's own interface; from any thread. */
+    /** Answers an API call. Callable from any thread. */
     void answer(HttpCall call, SystemCall systemCall) {
         context.loop().execute(() -> {
             if (systemCall instanceof SystemCall.ReadResults read) {
@@ -64,7 +64,11 @@
         });
     }
 
-    /** Results for another host; empty if this one does not own the batch. */
+    /**
+     * Reads a page of an owned batch, also on behalf of another host. Waits for results if there are none yet.
+     *
+     * @param receiver gets the page, or empty if this host does not own the batch
+     */
     void ownResults(String id, int after, long waitMillis, PageReceiver receiver) {
         Optional<OwnedBatch> batch = board.find(id);
         if (batch.isEmpty()) {
@@ -76,14 +80,14 @@
             receiver.receive(Optional.of(page));
             return;
         }
-        Once answerNow =
-                new Once(() -> receiver.receive(board.find(id).map(found -> found.page(after, MAX_PAGE_CHARACTERS))));
-        board.await(id, answerNow);
-        context.loop().after(waitMillis, answerNow);
+        RunOnce answerOnce = new RunOnce(
+                () -> receiver.receive(board.find(id).map(found -> found.page(after, MAX_PAGE_CHARACTERS))));
+        board.addWaiter(id, answerOnce);
+        context.loop().after(waitMillis, answerOnce);
     }
 
     private void readResults(HttpCall call, SystemCall.ReadResults read) {
-        // A host that stops keeps nobody waiting: its end would be the end of the wait.
+        // A stopping host answers at once: a waiting call would be cut off when the process ends.
         long waitMillis = context.stop().phase() == PlannedStop.Phase.SERVING ? read.waitMillis() : 0;
         if (board.find(read.batch()).isPresent()) {
             ownResults(read.batch(), read.after(), waitMillis, page -> replyPage(call, read, page));
@@ -95,28 +99,28 @@
             return;
         }
         PeerMessage question = new GatewayMessage.ResultsAsk(read.batch(), read.after(), waitMillis);
-        context.onLoop(links.ask(owner.get(), question, waitMillis + ASK_MARGIN_MILLIS), (reply, failure) -> {
-            boolean known = reply instanceof GatewayMessage.Results;
-            replyPage(call, read, known ? ((GatewayMessage.Results) reply).page() : Optional.empty());
+        context.onLoop(links.ask(owner.get(), question, waitMillis + REPLY_MARGIN_MILLIS), (reply, failure) -> {
+            boolean hasOwnerAnswer = reply instanceof GatewayMessage.Results;
+            replyPage(call, read, hasOwnerAnswer ? ((GatewayMessage.Results) reply).page() : Optional.empty());
         });
     }
 
     private void replyPage(HttpCall call, SystemCall.ReadResults read, Optional<BatchPage> page) {
         if (page.isPresent()) {
-            call.reply(OK, JSON, context.dialects().batches().page(page.get()));
+            call.reply(OK, JSON_HEADERS, context.dialects().batches().page(page.get()));
         } else {
             readStoredResults(call, read);
         }
     }
 
     private void readStoredResults(HttpCall call, SystemCall.ReadResults read) {
-        context.onLoop(stored.page(read.batch(), read.after()), (page, failure) -> {
+        context.onLoop(stored.readPage(read.batch(), read.after()), (page, failure) -> {
             if (failure != null) {
                 replies.unavailable(call, read.batch(), false);
             } else if (page.isEmpty()) {
                 replies.refuse(call, read.batch(), Refusal.notRun(ErrorCode.NOT_FOUND, "there is no such batch"));
             } else {
-                call.reply(OK, JSON, context.dialects().batches().page(page.get()));
+                call.reply(OK, JSON_HEADERS, context.dialects().batches().page(page.get()));
             }
         });
     }
@@ -142,7 +146,7 @@
         });
     }
 
-    /** The body of an owned batch's item that is not listed yet. */
+    /** Returns the body of an item without a committed result, if this host owns the batch and it is not ended. */
     Optional<byte[]> ownItem(String batchId, String item) {
         return board.find(batchId)
                 .filter(batch -> !batch.record().ended())
@@ -151,7 +155,7 @@
     }
 
     private void readStoredItem(HttpCall call, SystemCall.ReadItem read) {
-        context.onLoop(stored.item(read.batch(), read.item()), (body, failure) -> {
+        context.onLoop(stored.readItemBody(read.batch(), read.item()), (body, failure) -> {
             if (failure != null) {
                 replies.unavailable(call, read.batch(), false);
             } else {
@@ -168,7 +172,7 @@
         }
     }
 
-    /** Takes a page, or nothing if the batch is not owned. */
+    /** Receives a page, or empty if this host does not own the batch. */
     @FunctionalInterface
     interface PageReceiver {
         void receive(Optional<BatchPage> page);
--- a/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
@@ -22,17 +22,19 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Takes request batches in. Entered from traffic threads, decides on the control thread.
+ * Accepts submissions of request batches. Entered from traffic threads, decides on the control thread.
  *
- * <p>Invariant: a submission is confirmed only after its record and items are in the key-value store, or on enough disks; a
- * refusal that promises not-run is given only while they certainly are nowhere, and never will be.
+ * <p>Invariant: a submission is confirmed only after its record and items are in the key-value store or on enough
+ * disks; a refusal that promises not-run is given only if they are certainly stored nowhere and never will be.
  */
 final class BatchIntake {
     private static final int ACCEPTED = 202;
-    private static final Map<String, String> JSON = Map.of("content-type", "application/json");
+    private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
-    /** How long a submission is tried while its caller waits: the store's outages are longer or much shorter. */
-    private static final long SUBMIT_MILLIS = 2500;
+    /**
+     * How long a submission is tried while its caller waits; outages of the store are either longer or much shorter.
+     */
+    private static final long SUBMIT_TIMEOUT_MILLIS = 2500;
 
     private final GatewayContext context;
     private final BatchReplies replies;
@@ -63,7 +65,7 @@
         this.copies = new SubmissionCopies(context, links);
     }
 
-    /** Takes a batch in; from any thread. */
+    /** Accepts or refuses a submitted batch. Callable from any thread. */
     void submit(HttpCall call, String id, Route route, byte[] body, long arrivedNanos) {
         Either<List<String>, List<BatchItem>> items =
                 context.dialects().batches().items(body);
@@ -94,38 +96,38 @@
             confirm(submission);
             return;
         }
-        if (!context.stop().takes(SUBMIT_MILLIS, context.nowNanos())) {
+        if (!context.stop().takes(SUBMIT_TIMEOUT_MILLIS, context.nowNanos())) {
             replies.refuse(submission.call, submission.id, GatewayTraffic.STOPPING);
             return;
         }
-        RecordWriter.Pending pending = writer.write(
+        RecordWriter.PendingWrite pending = writer.write(
                 submission.id,
                 submission.record,
                 () -> store.create(submission.id, submission.record, submission.body),
-                new RecordWriter.Result() {
+                new RecordWriter.WriteListener() {
                     @Override
-                    public void done(long revision) {
-                        recorded(submission, revision);
+                    public void onWritten(long revision) {
+                        onRecorded(submission, revision);
                     }
 
                     @Override
-                    public void superseded(Optional<BatchStore.Stored> found) {
-                        takenAlready(submission, found);
+                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                        onIdTaken(submission, found);
                     }
                 });
         long spentMillis = TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - submission.arrivedNanos);
         long copiesAfterMillis = BatchAcceptance.copiesAfterMillis(submission.route.targetLatencyMillis());
-        context.loop().after(Math.max(0, copiesAfterMillis - spentMillis), () -> askCopies(submission));
-        context.loop().after(Math.max(0, SUBMIT_MILLIS - spentMillis), () -> giveUp(submission, pending));
+        context.loop().after(Math.max(0, copiesAfterMillis - spentMillis), () -> requestCopies(submission));
+        context.loop().after(Math.max(0, SUBMIT_TIMEOUT_MILLIS - spentMillis), () -> giveUp(submission, pending));
     }
 
-    private void recorded(Submission submission, long revision) {
+    private void onRecorded(Submission submission, long revision) {
         Optional<OwnedBatch> accepted = board.find(submission.id);
         dropCopies(submission);
         if (accepted.isPresent()) {
-            committer.recorded(accepted.get(), submission.record, revision);
+            committer.onRecordCreated(accepted.get(), submission.record, revision);
         } else {
-            own(submission, submission.record, revision);
+            takeOwnership(submission, submission.record, revision);
         }
         if (submission.acceptance.recorded()) {
             confirm(submission);
@@ -133,16 +135,16 @@
         runner.balance();
     }
 
-    /** The key-value store does not answer: copies on disks are as good until it does. */
-    private void askCopies(Submission submission) {
-        if (submission.acceptance.askCopies(copies.hosts())) {
-            copies.keep(submission.id, submission.record, submission.body, () -> copyKept(submission));
+    /** Requests copies on the disks of other hosts, which replace the record until the key-value store answers. */
+    private void requestCopies(Submission submission) {
+        if (submission.acceptance.askCopies(copies.hostCount())) {
+            copies.requestCopies(submission.id, submission.record, submission.body, () -> onCopyKept(submission));
         }
     }
 
-    private void copyKept(Submission submission) {
+    private void onCopyKept(Submission submission) {
         if (submission.acceptance.copyKept()) {
-            own(submission, submission.record, 0);
+            takeOwnership(submission, submission.record, 0);
             confirm(submission);
             runner.balance();
         }
@@ -150,11 +152,11 @@
 
     private void dropCopies(Submission submission) {
         if (submission.acceptance.mayBeCopied()) {
-            copies.drop(submission.id, submission.record);
+            copies.dropCopies(submission.id, submission.record);
         }
     }
 
-    private void giveUp(Submission submission, RecordWriter.Pending pending) {
+    private void giveUp(Submission submission, RecordWriter.PendingWrite pending) {
         if (submission.acceptance.isAnswered()) {
             return;
         }
@@ -163,14 +165,14 @@
         replies.unavailable(submission.call, submission.id, outcome == Outcome.MAY_HAVE_RUN);
     }
 
-    private void takenAlready(Submission submission, Optional<BatchStore.Stored> found) {
+    private void onIdTaken(Submission submission, Optional<BatchStore.Stored> found) {
         dropCopies(submission);
         Optional<OwnedBatch> accepted = board.find(submission.id).filter(batch -> !batch.isRecorded());
         if (accepted.isPresent()) {
-            recordedByAnother(accepted.get(), found);
+            onRecordedByAnother(accepted.get(), found);
             return;
         }
-        boolean firstAnswer = submission.acceptance.recorded();
+        boolean answerDue = submission.acceptance.recorded();
         if (found.isEmpty()) {
             replies.unavailable(submission.call, submission.id, true);
             return;
@@ -183,32 +185,38 @@
                     Refusal.notRun(ErrorCode.CONFLICT, "another batch was accepted under this id"));
             return;
         }
-        boolean untouched = !existing.isFinished() && existing.listed() == 0;
-        if (isOwn(existing) && untouched && board.find(submission.id).isEmpty()) {
-            // An earlier submission through this process, whose creation took effect after it was given up; its body
-            // is the same. One that has results is found by the next look through the records instead.
-            own(submission, existing, found.get().revision());
+        boolean hasNoResults = !existing.isFinished() && existing.listed() == 0;
+        if (isOwnedByThisProcess(existing)
+                && hasNoResults
+                && board.find(submission.id).isEmpty()) {
+            // An earlier submission of the same body through this process was given up, but its creation took effect
+            // later. A batch that has results already is found by the next scan of the records instead.
+            takeOwnership(submission, existing, found.get().revision());
         }
-        if (firstAnswer) {
+        if (answerDue) {
             confirm(submission);
         }
     }
 
-    /** A host that kept a copy created the record, for this process or for another one that took the same batch in. */
-    private void recordedByAnother(OwnedBatch accepted, Optional<BatchStore.Stored> found) {
-        if (found.isPresent() && isOwn(found.get().record())) {
-            committer.recorded(accepted, found.get().record(), found.get().revision());
+    /**
+     * Handles a record that a host with a copy created, for this process or for another one that accepted the same
+     * batch.
+     */
+    private void onRecordedByAnother(OwnedBatch accepted, Optional<BatchStore.Stored> found) {
+        if (found.isPresent() && isOwnedByThisProcess(found.get().record())) {
+            committer.onRecordCreated(
+                    accepted, found.get().record(), found.get().revision());
         } else {
-            committer.recordedElsewhere(accepted.id(), found);
+            committer.onRecordedElsewhere(accepted.id(), found);
         }
     }
 
-    private boolean isOwn(BatchRecord record) {
+    private boolean isOwnedByThisProcess(BatchRecord record) {
         return record.owner().equals(context.settings().self().id().value())
                 && record.ownerStart().equals(context.processStart());
     }
 
-    private void own(Submission submission, BatchRecord record, long revision) {
+    private void takeOwnership(Submission submission, BatchRecord record, long revision) {
         if (!board.add(new OwnedBatch(submission.id, record, revision, submission.items, List.of()))) {
             return;
         }
@@ -223,10 +231,10 @@
     }
 
     private void confirm(Submission submission) {
-        submission.call.reply(ACCEPTED, JSON, "{}".getBytes(StandardCharsets.UTF_8));
+        submission.call.reply(ACCEPTED, JSON_HEADERS, "{}".getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A batch on its way in; what is decided about it changes on the control thread only. */
+    /** A submission in progress; its acceptance state changes on the control thread only. */
     private record Submission(
             HttpCall call,
             String id,
--- a/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
@@ -14,10 +14,13 @@
 import org.gooseberryhill.route.Route;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Carries out what is decided about the items of owned batches. For the control thread. */
+/** Runs items of owned batches at endpoints, as {@link ItemDispatch} decides. Confined to the control thread. */
 final class BatchRunner {
-    /** Without a route a batch waits this long for a configuration that has it again; then nobody can be owed it. */
-    private static final long ROUTE_GONE_MILLIS = 20_000;
+    /**
+     * Age at which a batch without a route is given up. Until then a new configuration may contain its route again;
+     * after that no caller is entitled to its results.
+     */
+    private static final long MISSING_ROUTE_RETENTION_MILLIS = 20_000;
 
     private final GatewayContext context;
     private final BatchBoard board;
@@ -25,7 +28,7 @@
     private final ItemDispatch dispatch;
     private final Runnable onLoadChange;
     private final Map<PlacedItem, ItemRun> runs = new IdentityHashMap<>();
-    private boolean paused;
+    private boolean stopping;
 
     BatchRunner(
             GatewayContext context,
@@ -40,42 +43,45 @@
         this.onLoadChange = onLoadChange;
     }
 
-    /** Starts nothing new any more: the host stops. */
+    /** Stops starting items, because the host is stopping. */
     void pause() {
-        paused = true;
+        stopping = true;
     }
 
     int running() {
         return dispatch.running();
     }
 
-    /** Fits what runs to what is known now: items yield where too much is in flight, others start where slots are free. */
+    /**
+     * Adjusts the running items to the current state: items yield where too much is in flight, others start where slots
+     * are free.
+     */
     void balance() {
-        abandon();
-        giveWay(dispatch.giveWay(context.nowNanos(), System.currentTimeMillis()));
-        if (!paused) {
+        giveUpExpired();
+        cancelRuns(dispatch.giveWay(context.nowNanos(), System.currentTimeMillis()));
+        if (!stopping) {
             dispatch.start(board.openBatches(), context.nowNanos(), System.currentTimeMillis())
                     .forEach(this::start);
         }
     }
 
-    /** Takes in what the items that run have generated since the last call. */
+    /** Processes the output that the running items have generated since the last call. */
     void takeEvents() {
-        runs.values().forEach(ItemRun::takeEvents);
+        runs.values().forEach(ItemRun::processQueuedEvents);
     }
 
-    /** Gives up all runs of a batch. */
+    /** Cancels all runs of a batch. */
     void stop(String batchId) {
-        giveWay(dispatch.runsOf(batchId));
+        cancelRuns(dispatch.runsOf(batchId));
     }
 
-    /** Gives up all runs. */
+    /** Cancels all runs. */
     void stopAll() {
-        giveWay(dispatch.all());
+        cancelRuns(dispatch.all());
     }
 
-    /** A run ended. */
-    void ended(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, String detail) {
+    /** Handles the end of a run. */
+    void onRunEnded(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, String detail) {
         runs.remove(run);
         dispatch.ended(run, end, attemptEnd, context.nowNanos());
         context.metrics().itemRunEnded(end);
@@ -114,18 +120,21 @@
         onLoadChange.run();
     }
 
-    private void giveWay(List<PlacedItem> leaving) {
-        leaving.forEach(run -> Optional.ofNullable(runs.get(run)).ifPresent(ItemRun::yield));
+    private void cancelRuns(List<PlacedItem> runsToCancel) {
+        runsToCancel.forEach(run -> Optional.ofNullable(runs.get(run)).ifPresent(ItemRun::cancel));
     }
 
-    /** Gives up what its route no longer keeps: items of batches that are too old, or whose route is gone when they are due. */
-    private void abandon() {
+    /**
+     * Gives up the open items of batches that are older than the retention period of their route. Without a route in the
+     * configuration the limit is {@link #MISSING_ROUTE_RETENTION_MILLIS}.
+     */
+    private void giveUpExpired() {
         long nowMillis = System.currentTimeMillis();
         for (OwnedBatch batch : board.openBatches()) {
             Optional<Route> route = routes.of(batch);
             long ageMillis = nowMillis - batch.record().acceptedAtMillis();
             boolean tooOld = route.map(found -> found.retentionMillis() > 0 && ageMillis > found.retentionMillis())
-                    .orElse(ageMillis > ROUTE_GONE_MILLIS);
+                    .orElse(ageMillis > MISSING_ROUTE_RETENTION_MILLIS);
             if (tooOld && batch.openItems() > 0) {
                 context.timeline()
                         .event(EventKind.ITEM_GIVEN_UP)
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -17,30 +17,30 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Takes over batches whose owner is lost. For the control thread.
+ * Takes over batches whose owner is lost. Confined to the control thread.
  *
- * <p>Failure: an owner is killed or its host is lost, and its batches would never be finished. Each gateway looks through
- * the records now and then; those of an owner that is not among the live hosts go to the gateway that rendezvous hashing
- * names. Two that both try are told apart by the record's revision.
+ * <p>Failure: an owner is killed or its host is lost, and its batches are never finished. Each gateway therefore scans
+ * the records periodically; batches whose owner is not among the live hosts go to the gateway that rendezvous hashing
+ * selects. If two gateways try to take the same batch, the record's revision lets only one of them succeed.
  */
 final class BatchTakeover {
-    private static final long RETRY_MILLIS = 300;
+    private static final long LOAD_RETRY_MILLIS = 300;
 
-    /** An owner that is missing when the records are looked through is looked at again after this time. */
-    private static final long AGAIN_MILLIS = 1000;
+    /** Delay before the records are scanned again after a scan that found an owner missing. */
+    private static final long MISSING_OWNER_RESCAN_MILLIS = 1000;
 
     private final GatewayContext context;
     private final PeerLinks links;
     private final BatchBoard board;
     private final BatchStore store;
     private final RecordWriter writer;
-    private final OwnerWatch owners;
+    private final OwnerWatch ownerWatch;
     private final Runnable onTaken;
     private final Consumer<BatchStore.Stored> onChangedElsewhere;
-    private final Consumer<List<BatchStore.Stored>> onLooked;
-    private final Set<String> taking = new HashSet<>();
-    private boolean looking;
-    private boolean lookPlanned;
+    private final Consumer<List<BatchStore.Stored>> onRecordsListed;
+    private final Set<String> takeoversInProgress = new HashSet<>();
+    private boolean scanning;
+    private boolean rescanScheduled;
 
     BatchTakeover(
             GatewayContext context,
@@ -49,44 +49,46 @@
             BatchStore store,
             Runnable onTaken,
             Consumer<BatchStore.Stored> onChangedElsewhere,
-            Consumer<List<BatchStore.Stored>> onLooked) {
+            Consumer<List<BatchStore.Stored>> onRecordsListed) {
         this.context = context;
         this.links = links;
         this.board = board;
         this.store = store;
         this.writer = new RecordWriter(context, store);
-        this.owners = new OwnerWatch(context.settings().self().id().value());
+        this.ownerWatch = new OwnerWatch(context.settings().self().id().value());
         this.onTaken = onTaken;
         this.onChangedElsewhere = onChangedElsewhere;
-        this.onLooked = onLooked;
+        this.onRecordsListed = onRecordsListed;
     }
 
-    /** Takes in which hosts live, and looks through the records as soon as one of them is lost; called often. */
+    /** Updates the set of live hosts, and scans the records as soon as one of them is lost. Called often. */
     void tick() {
-        if (owners.observe(links.liveStarts(), context.nowNanos())) {
+        if (ownerWatch.observe(links.liveStarts(), context.nowNanos())) {
             look(true);
         }
     }
 
-    /** Looks through the records; one look at a time. */
+    /** Scans the records; only one scan runs at a time. */
     void look(boolean mayBeStale) {
-        if (looking) {
+        if (scanning) {
             return;
         }
-        looking = true;
+        scanning = true;
         context.onLoop(store.list(mayBeStale), (records, failure) -> {
-            looking = false;
+            scanning = false;
             if (failure == null) {
-                records.forEach(this::consider);
-                onLooked.accept(records);
+                records.forEach(this::checkOwner);
+                onRecordsListed.accept(records);
             }
         });
     }
 
     /**
-     * Takes a batch that its owner gives to this host; the action gets whether that worked. An owner that has not heard of it
-     * in time offers the batch again. A copy from before the offer is no sign that it was taken: its host was suspended while
-     * another one took the batch from it.
+     * Takes over a batch that its owner hands to this host. An owner that gets no reply in time offers the batch again,
+     * so a batch that was already taken is confirmed once more. A copy older than the offer does not show that the
+     * batch was taken: this host may have been suspended while another host took the batch from it.
+     *
+     * @param then gets whether this host has taken the batch
      */
     void takeOver(GatewayMessage.BatchHandOver handOver, Consumer<Boolean> then) {
         BatchStore.Stored offered = new BatchStore.Stored(handOver.batch(), handOver.record(), handOver.revision());
@@ -97,125 +99,135 @@
         dropIfChangedElsewhere(offered);
         boolean mayTake = context.stop().phase() == PlannedStop.Phase.SERVING
                 && board.find(offered.id()).isEmpty();
-        if (!mayTake || !taking.add(offered.id())) {
+        if (!mayTake || !takeoversInProgress.add(offered.id())) {
             then.accept(false);
             return;
         }
-        take(offered, Optional.of(handOver.progress()), then);
+        claim(offered, Optional.of(handOver.progress()), then);
     }
 
-    /** A copy that is not recorded yet is still being written by this host, which learns what became of that by itself. */
+    /**
+     * Drops an owned batch whose record another process has changed. A batch without a record is left alone: its
+     * creation by this host is still in progress and detects the change itself.
+     */
     private void dropIfChangedElsewhere(BatchStore.Stored found) {
         board.find(found.id())
                 .filter(owned -> owned.isRecorded() && found.revision() > owned.recordRevision())
                 .ifPresent(owned -> onChangedElsewhere.accept(found));
     }
 
-    private void consider(BatchStore.Stored found) {
+    private void checkOwner(BatchStore.Stored found) {
         BatchRecord record = found.record();
         dropIfChangedElsewhere(found);
-        if (record.isFinished() || board.find(found.id()).isPresent() || taking.contains(found.id())) {
+        if (record.isFinished() || board.find(found.id()).isPresent() || takeoversInProgress.contains(found.id())) {
             return;
         }
-        if (isOwn(record)) {
-            adopt(found.id());
+        if (isOwnedByThisProcess(record)) {
+            loadIfOwned(found.id());
             return;
         }
-        if (!owners.isLost(record.owner(), record.ownerStart(), context.nowNanos())) {
+        if (!ownerWatch.isLost(record.owner(), record.ownerStart(), context.nowNanos())) {
             board.ownedBy(found.id(), new HostId(record.owner()));
-            lookAgainIfMissing(record);
+            rescanIfOwnerMissing(record);
             return;
         }
-        boolean ownEarlier =
+        boolean ownedByEarlierProcess =
                 record.owner().equals(context.settings().self().id().value());
-        if (ownEarlier || links.isChosen("batch/" + found.id())) {
-            taking.add(found.id());
-            take(found, Optional.empty(), taken -> {});
+        if (ownedByEarlierProcess || links.isChosen("batch/" + found.id())) {
+            takeoversInProgress.add(found.id());
+            claim(found, Optional.empty(), taken -> {});
         }
     }
 
-    private void lookAgainIfMissing(BatchRecord record) {
-        if (lookPlanned || owners.isLive(record.owner(), record.ownerStart())) {
+    private void rescanIfOwnerMissing(BatchRecord record) {
+        if (rescanScheduled || ownerWatch.isLive(record.owner(), record.ownerStart())) {
             return;
         }
-        lookPlanned = true;
-        context.loop().after(AGAIN_MILLIS, () -> {
-            lookPlanned = false;
+        rescanScheduled = true;
+        context.loop().after(MISSING_OWNER_RESCAN_MILLIS, () -> {
+            rescanScheduled = false;
             look(true);
         });
     }
 
-    private boolean isOwn(BatchRecord record) {
+    private boolean isOwnedByThisProcess(BatchRecord record) {
         return record.owner().equals(context.settings().self().id().value())
                 && record.ownerStart().equals(context.processStart());
     }
 
     /**
-     * The record says that this process owns the batch, which knows nothing of it: a write whose answer was lost was done
-     * later. The listing may be older than what this process gave away, so the record is read again.
+     * Loads a batch that this process does not have although the record names it as the owner: a write whose answer was
+     * lost took effect later. The listing may be older than a hand-over by this process, so the record is read again.
      */
-    private void adopt(String id) {
-        taking.add(id);
+    private void loadIfOwned(String id) {
+        takeoversInProgress.add(id);
         context.onLoop(store.read(id), (found, failure) -> {
             boolean own = failure == null
                     && found.isPresent()
-                    && isOwn(found.get().record())
+                    && isOwnedByThisProcess(found.get().record())
                     && !found.get().record().isFinished()
                     && board.find(id).isEmpty();
             if (own) {
                 load(found.get(), Optional.empty());
             } else {
-                taking.remove(id);
+                takeoversInProgress.remove(id);
             }
         });
     }
 
-    /** The record as listed may be stale; the write under its revision finds that out. */
-    private void take(BatchStore.Stored found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
-        BatchRecord own = found.record().ownedBy(context.settings().self().id().value(), context.processStart());
+    /**
+     * Makes this process the owner of a batch. The listed record may be stale; the write is conditional on its revision
+     * and fails in that case.
+     */
+    private void claim(BatchStore.Stored found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
+        BatchRecord claimed =
+                found.record().ownedBy(context.settings().self().id().value(), context.processStart());
         writer.write(
-                found.id(), own, () -> store.replace(found.id(), found.revision(), own), new RecordWriter.Result() {
+                found.id(),
+                claimed,
+                () -> store.replace(found.id(), found.revision(), claimed),
+                new RecordWriter.WriteListener() {
                     @Override
-                    public void done(long revision) {
+                    public void onWritten(long revision) {
                         then.accept(true);
-                        load(new BatchStore.Stored(found.id(), own, revision), progress);
+                        load(new BatchStore.Stored(found.id(), claimed, revision), progress);
                     }
 
                     @Override
-                    public void superseded(Optional<BatchStore.Stored> other) {
-                        taking.remove(found.id());
+                    public void onSuperseded(Optional<BatchStore.Stored> other) {
+                        takeoversInProgress.remove(found.id());
                         then.accept(false);
                     }
                 });
     }
 
     /**
-     * Reads a batch that is this host's from now on.
+     * Loads a batch that this host now owns.
      *
-     * @param handedOver what its items had generated, if its last owner told; else what it wrote down holds
+     * @param handedOver the progress of its items if the last owner passed it on; otherwise the stored progress is read
      */
     private void load(BatchStore.Stored taken, Optional<List<ItemCheckpoint>> handedOver) {
         CompletableFuture<List<ItemCheckpoint>> progress =
                 handedOver.map(CompletableFuture::completedFuture).orElseGet(() -> store.progress(taken.id()));
-        context.onLoop(store.load(taken).thenCombine(progress, Loaded::new), (loaded, failure) -> {
+        context.onLoop(store.load(taken).thenCombine(progress, LoadedBatch::new), (loaded, failure) -> {
             if (failure != null) {
                 context.timeline()
                         .event(EventKind.BATCH_LOAD_FAILED)
                         .job(taken.id())
                         .with("reason", String.valueOf(failure.getMessage()))
                         .write();
-                context.loop().after(RETRY_MILLIS, () -> load(taken, handedOver));
+                context.loop().after(LOAD_RETRY_MILLIS, () -> load(taken, handedOver));
                 return;
             }
             loaded.batch.restore(loaded.progress);
-            loaded(taken, loaded);
+            onLoaded(taken, loaded);
         });
     }
 
-    private void loaded(BatchStore.Stored taken, Loaded loaded) {
-        taking.remove(taken.id());
+    private void onLoaded(BatchStore.Stored taken, LoadedBatch loaded) {
+        takeoversInProgress.remove(taken.id());
         if (!board.add(loaded.batch)) {
-            // Its caller has sent it again meanwhile.
+            // The caller has submitted the batch again in the meantime.
             return;
         }
         context.timeline()
@@ -229,6 +241,6 @@
         onTaken.run();
     }
 
-    /** A batch as read, and how far its open items are. */
-    private record Loaded(OwnedBatch batch, List<ItemCheckpoint> progress) {}
+    /** A loaded batch and the progress of its open items. */
+    private record LoadedBatch(OwnedBatch batch, List<ItemCheckpoint> progress) {}
 }
--- a/src/main/java/org/gooseberryhill/gateway/Evacuations.java
+++ b/src/main/java/org/gooseberryhill/gateway/Evacuations.java
@@ -10,80 +10,88 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Tells operators when a host with a disk may be taken away. For the control thread.
+ * Reports to operators when a host with a disk can be removed. Confined to the control thread.
  *
- * <p>Such a host keeps submissions only while the key-value store lacks them. It is asked how many these are, which has it
- * create their records at once and take no more; when there are none it may go. A host that can't be asked for a while keeps
- * nothing that would not be lost with it: other hosts have copies. The first two gateways in turn do this, the second in case
- * the first is lost meanwhile; saying it twice changes nothing.
+ * <p>Such a host keeps submissions only while the key-value store lacks them. Asking for their number makes the host
+ * create their records at once and accept no more; it can be removed when none are left. A host that can't be reached
+ * for a while is reported as removable too: waiting would not save what it keeps, and other hosts have copies. The
+ * first two gateways by rank do this, the second in case the first is lost in the meantime; reporting twice changes
+ * nothing.
  */
 final class Evacuations {
-    private static final int HOSTS_THAT_TELL = 2;
+    private static final int REPORTING_GATEWAYS = 2;
 
-    /** The second in turn waits this long: the first has told by then, or is lost. */
-    private static final long TURN_MILLIS = 1000;
+    /** Delay of the second gateway: by then the first one has reported, or is lost. */
+    private static final long REPORT_DELAY_MILLIS = 1000;
 
     private static final long RETRY_MILLIS = 500;
 
-    /** Several tries to ask a host, and a fraction of the time that operators give. */
+    /** Allows for several attempts to ask the host, and is a fraction of the time that operators allow. */
     private static final long UNREACHABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(3000);
 
     private final GatewayContext context;
     private final PeerLinks links;
-    private final Set<String> told = new HashSet<>();
+    private final Set<String> handledRequests = new HashSet<>();
 
     Evacuations(GatewayContext context, PeerLinks links) {
         this.context = context;
         this.links = links;
     }
 
-    /** Operators ask for a host to be emptied; the rank is this gateway's place among the live ones. */
+    /**
+     * Handles a request of operators to evacuate a host.
+     *
+     * @param rank the position of this gateway among the live ones
+     */
     void asked(String host, long revision, int rank) {
-        if (rank < HOSTS_THAT_TELL && told.add(host + "@" + revision)) {
-            context.loop().after(1 + rank * TURN_MILLIS, () -> ask(new Evacuation(host, context.nowNanos())));
+        if (rank < REPORTING_GATEWAYS && handledRequests.add(host + "@" + revision)) {
+            context.loop()
+                    .after(
+                            1 + rank * REPORT_DELAY_MILLIS,
+                            () -> checkSubmissions(new Evacuation(host, context.nowNanos())));
         }
     }
 
-    private void ask(Evacuation evacuation) {
+    private void checkSubmissions(Evacuation evacuation) {
         Optional<Host> host = links.stores().stream()
                 .filter(store -> store.id().value().equals(evacuation.host))
                 .findFirst();
         if (host.isEmpty()) {
-            unanswered(evacuation);
+            onUnreachable(evacuation);
             return;
         }
         context.onLoop(links.ask(host.get(), new OutboxMessage.StateAsk()), (reply, failure) -> {
             if (!(reply instanceof OutboxMessage.State state)) {
-                unanswered(evacuation);
+                onUnreachable(evacuation);
             } else if (state.submissions() == 0) {
-                tell(evacuation.host, true);
+                writeStatus(evacuation.host, true);
             } else {
-                tellRunning(evacuation);
-                again(evacuation);
+                reportRunningOnce(evacuation);
+                scheduleCheck(evacuation);
             }
         });
     }
 
-    private void unanswered(Evacuation evacuation) {
+    private void onUnreachable(Evacuation evacuation) {
         if (context.nowNanos() - evacuation.sinceNanos >= UNREACHABLE_NANOS) {
-            tell(evacuation.host, true);
+            writeStatus(evacuation.host, true);
         } else {
-            again(evacuation);
+            scheduleCheck(evacuation);
         }
     }
 
-    private void again(Evacuation evacuation) {
-        context.loop().after(RETRY_MILLIS, () -> ask(evacuation));
+    private void scheduleCheck(Evacuation evacuation) {
+        context.loop().after(RETRY_MILLIS, () -> checkSubmissions(evacuation));
     }
 
-    private void tellRunning(Evacuation evacuation) {
-        if (!evacuation.runningTold) {
-            evacuation.runningTold = true;
-            tell(evacuation.host, false);
+    private void reportRunningOnce(Evacuation evacuation) {
+        if (!evacuation.runningReported) {
+            evacuation.runningReported = true;
+            writeStatus(evacuation.host, false);
         }
     }
 
-    private void tell(String host, boolean done) {
+    private void writeStatus(String host, boolean done) {
         Transaction status = Transaction.builder()
                 .put(
                         context.dialects().operators().evacuationStatusKey(host),
@@ -91,7 +99,7 @@
                 .build();
         context.onLoop(context.store().write(status), (result, failure) -> {
             if (failure != null && done) {
-                context.loop().after(RETRY_MILLIS, () -> tell(host, true));
+                context.loop().after(RETRY_MILLIS, () -> writeStatus(host, true));
                 return;
             }
             context.timeline()
@@ -103,11 +111,11 @@
         });
     }
 
-    /** One host that is to be emptied. */
+    /** The evacuation of one host. */
     private static final class Evacuation {
         private final String host;
         private final long sinceNanos;
-        private boolean runningTold;
+        private boolean runningReported;
 
         Evacuation(String host, long sinceNanos) {
             this.host = host;
--- a/src/main/java/org/gooseberryhill/gateway/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/gateway/ItemRun.java
@@ -22,10 +22,10 @@
 import org.gooseberryhill.http.StreamEvent;
 
 /**
- * One run of an item at an endpoint. Decisions run on the control thread, events come on a traffic thread and wait there
- * until the control thread takes them.
+ * One run of an item at an endpoint. Decisions are made on the control thread; stream events arrive on a traffic thread
+ * and are queued until the control thread processes them.
  *
- * <p>Invariant: the run ends once; events of a run that has ended change nothing.
+ * <p>Invariant: the run ends once; events that arrive after its end have no effect.
  */
 final class ItemRun implements ExchangeListener {
     private static final int OK = 200;
@@ -33,22 +33,22 @@
     private static final int UNPROCESSABLE = 422;
     private static final int SERVER_ERROR = 500;
 
-    /** Longer than any pause of a working endpoint that has many requests before this one. */
-    private static final int SILENCE_MILLIS = 3000;
+    /** Longer than any pause of a working endpoint that has many requests queued ahead of this one. */
+    private static final int SILENCE_TIMEOUT_MILLIS = 3000;
 
-    private static final int CONNECT_MILLIS = 500;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     private final GatewayContext context;
     private final BatchRunner runner;
     private final PlacedItem placed;
     private final ItemProgress item;
-    private final EventSplitter events = new EventSplitter();
-    private final Queue<StreamEvent> arrived = new ConcurrentLinkedQueue<>();
+    private final EventSplitter eventSplitter = new EventSplitter();
+    private final Queue<StreamEvent> queuedEvents = new ConcurrentLinkedQueue<>();
     private Exchange exchange;
-    private boolean over;
+    private boolean ended;
     private int status;
     private HttpHeaders headers;
-    private boolean genuine;
+    private boolean sentByEndpoint;
 
     ItemRun(GatewayContext context, BatchRunner runner, PlacedItem placed) {
         this.context = context;
@@ -57,7 +57,7 @@
         this.item = placed.item();
     }
 
-    /** Starts the run. Control thread. */
+    /** Starts the run. Called on the control thread. */
     void start() {
         HttpHeaders request = new DefaultHttpHeaders();
         item.item().headers().forEach(request::set);
@@ -70,8 +70,8 @@
         context.dialects().traffic().addAttempt(request, traits);
         String id = item.item().id();
         ExchangeOptions options = new ExchangeOptions(
-                SILENCE_MILLIS,
-                CONNECT_MILLIS,
+                SILENCE_TIMEOUT_MILLIS,
+                CONNECT_TIMEOUT_MILLIS,
                 Integer.MAX_VALUE,
                 false,
                 answer -> context.dialects()
@@ -91,20 +91,23 @@
                         this);
     }
 
-    /** Takes in the events that have come: waking the control thread for each of them costs more than they do. */
-    void takeEvents() {
-        StreamEvent event = arrived.poll();
+    /**
+     * Processes the queued events. Called on the control thread, which polls because waking it for each event costs
+     * more than processing the event.
+     */
+    void processQueuedEvents() {
+        StreamEvent event = queuedEvents.poll();
         while (event != null) {
             item.event(event.id(), event.data());
-            event = arrived.poll();
+            event = queuedEvents.poll();
         }
     }
 
-    /** Gives the run up; its item goes on later. Control thread. */
-    void yield() {
-        if (!over) {
+    /** Cancels the run; its item continues later. Called on the control thread. */
+    void cancel() {
+        if (!ended) {
             exchange.cancel();
-            over(RunEnd.YIELDED, AttemptEnd.ABANDONED, "");
+            end(RunEnd.YIELDED, AttemptEnd.ABANDONED, "");
         }
     }
 
@@ -112,33 +115,33 @@
     public void onHead(int newStatus, HttpHeaders newHeaders) {
         status = newStatus;
         headers = newHeaders;
-        genuine = context.dialects().traffic().isGenuine(status, headers);
+        sentByEndpoint = context.dialects().traffic().isGenuine(status, headers);
     }
 
     @Override
     public void onBytes(byte[] bytes) {
-        if (genuine && status == OK) {
-            arrived.addAll(events.read(bytes));
+        if (sentByEndpoint && status == OK) {
+            queuedEvents.addAll(eventSplitter.read(bytes));
         }
     }
 
     @Override
     public void onEnd() {
         boolean notRun = context.dialects().traffic().isNotRun(status, headers);
-        boolean whole = events.rest().length == 0;
+        boolean complete = eventSplitter.rest().length == 0;
         context.loop().execute(() -> {
             if (status == MISDIRECTED) {
-                over(RunEnd.NOT_RUN, AttemptEnd.OTHER_ENDPOINT, "status " + status);
+                end(RunEnd.NOT_RUN, AttemptEnd.OTHER_ENDPOINT, "status " + status);
             } else if (notRun) {
-                over(RunEnd.NOT_RUN, AttemptEnd.BUSY, "status " + status);
-            } else if (genuine && status == OK && whole) {
-                over(RunEnd.COMPLETED, AttemptEnd.ANSWERED, "");
+                end(RunEnd.NOT_RUN, AttemptEnd.BUSY, "status " + status);
+            } else if (sentByEndpoint && status == OK && complete) {
+                end(RunEnd.COMPLETED, AttemptEnd.ANSWERED, "");
             } else if (status == UNPROCESSABLE) {
-                over(RunEnd.REJECTED, AttemptEnd.ANSWERED, "status " + status);
+                end(RunEnd.REJECTED, AttemptEnd.ANSWERED, "status " + status);
             } else if (status == SERVER_ERROR) {
-                over(RunEnd.ERROR_ANSWER, AttemptEnd.ERROR_ANSWER, "status " + status);
+                end(RunEnd.ERROR_ANSWER, AttemptEnd.ERROR_ANSWER, "status " + status);
             } else {
-                over(RunEnd.CUT, AttemptEnd.MALFORMED, "status " + status);
+                end(RunEnd.CUT, AttemptEnd.MALFORMED, "status " + status);
             }
         });
     }
@@ -147,18 +150,18 @@
     public void onFailure(ExchangeFailure failure) {
         boolean notRun = failure.outcome() == Outcome.NOT_RUN;
         context.loop()
-                .execute(() -> over(
+                .execute(() -> end(
                         notRun ? RunEnd.NOT_RUN : RunEnd.CUT,
                         notRun ? AttemptEnd.UNREACHABLE : AttemptEnd.CUT,
                         failure.detail()));
     }
 
-    private void over(RunEnd end, AttemptEnd attemptEnd, String detail) {
-        if (over) {
+    private void end(RunEnd end, AttemptEnd attemptEnd, String detail) {
+        if (ended) {
             return;
         }
-        takeEvents();
-        over = true;
-        runner.ended(placed, end, attemptEnd, detail);
+        processQueuedEvents();
+        ended = true;
+        runner.onRunEnded(placed, end, attemptEnd, detail);
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
@@ -11,18 +11,18 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Carries a {@link RecordWrite} to the key-value store and back. Used by the control thread only.
+ * Executes a {@link RecordWrite} against the key-value store. Confined to the control thread.
  *
- * <p>Failure: the store does a write and its answer is lost, and the caller of a batch waits for the whole time that a call may
- * take. A write that is not answered soon is therefore sent a second time beside the first; the record's revision lets only
- * one of them take effect.
+ * <p>Failure: the store performs a write but its answer is lost, and the caller of a batch waits for the full timeout
+ * of a store call. A write that is not answered soon is therefore sent a second time while the first is still pending;
+ * the record's revision lets only one of them take effect.
  */
 final class RecordWriter {
-    /** Between tries: outages are longer or much shorter, and refused calls have their price. */
+    /** Delay between attempts; outages are either longer or much shorter, and refused calls have a cost too. */
     private static final long RETRY_MILLIS = 250;
 
-    /** Many times what the store takes to answer, and a third of the shortest target latency of a batch in use. */
-    private static final long SEND_AGAIN_MILLIS = 150;
+    /** Many times the usual answer time of the store, and a third of the shortest target latency of batches in use. */
+    private static final long RESEND_AFTER_MILLIS = 150;
 
     private final GatewayContext context;
     private final BatchStore store;
@@ -33,130 +33,130 @@
     }
 
     /**
-     * Makes a write until it is known what became of it.
+     * Repeats a write until its outcome is known.
      *
-     * @param write sends the write, the same each time
+     * @param write sends the write, with the same content each time
      */
-    Pending write(
+    PendingWrite write(
             String id,
             BatchRecord intended,
             Supplier<CompletableFuture<KeyValueStore.WriteResult>> write,
-            Result result) {
-        Run run = new Run(id, new RecordWrite(intended), write, result);
-        run.send();
-        return run;
+            WriteListener listener) {
+        RunningWrite runningWrite = new RunningWrite(id, new RecordWrite(intended), write, listener);
+        runningWrite.send();
+        return runningWrite;
     }
 
-    /** What became of a write. */
-    interface Result {
-        /** It has taken effect and made a revision. */
-        void done(long revision);
+    /** Receives the outcome of a write. */
+    interface WriteListener {
+        /** The write took effect and produced the given revision. */
+        void onWritten(long revision);
 
-        /** Another process has changed the record; empty if there is no record any more. */
-        void superseded(Optional<BatchStore.Stored> found);
+        /** Another process changed the record; the argument is empty if the record no longer exists. */
+        void onSuperseded(Optional<BatchStore.Stored> found);
     }
 
-    /** A write that nobody knows the end of yet. */
-    interface Pending {
-        /** Sends nothing more and tells nothing more; returns whether the write may have taken effect, or may yet. */
+    /** A write whose outcome is not known yet. */
+    interface PendingWrite {
+        /** Stops sending and reporting; returns whether the write may have taken effect or may still do so. */
         boolean abandon();
     }
 
-    /** One write on its way. */
-    private final class Run implements Pending {
+    /** A write in progress. */
+    private final class RunningWrite implements PendingWrite {
         private final String id;
-        private final RecordWrite decision;
-        private final Supplier<CompletableFuture<KeyValueStore.WriteResult>> write;
-        private final Result result;
-        private int unanswered;
+        private final RecordWrite recordWrite;
+        private final Supplier<CompletableFuture<KeyValueStore.WriteResult>> sendWrite;
+        private final WriteListener listener;
+        private int unansweredSends;
         private boolean mayTakeEffect;
-        private boolean over;
+        private boolean finished;
 
-        Run(
+        RunningWrite(
                 String id,
-                RecordWrite decision,
-                Supplier<CompletableFuture<KeyValueStore.WriteResult>> write,
-                Result result) {
+                RecordWrite recordWrite,
+                Supplier<CompletableFuture<KeyValueStore.WriteResult>> sendWrite,
+                WriteListener listener) {
             this.id = id;
-            this.decision = decision;
-            this.write = write;
-            this.result = result;
+            this.recordWrite = recordWrite;
+            this.sendWrite = sendWrite;
+            this.listener = listener;
         }
 
         @Override
         public boolean abandon() {
-            over = true;
-            return mayTakeEffect || unanswered > 0;
+            finished = true;
+            return mayTakeEffect || unansweredSends > 0;
         }
 
         void send() {
-            if (over) {
+            if (finished) {
                 return;
             }
-            unanswered++;
-            context.onLoop(write.get(), this::answered);
-            context.loop().after(SEND_AGAIN_MILLIS, this::sendAgain);
+            unansweredSends++;
+            context.onLoop(sendWrite.get(), this::onAnswer);
+            context.loop().after(RESEND_AFTER_MILLIS, this::resend);
         }
 
-        private void sendAgain() {
-            if (!over && unanswered == 1) {
-                unanswered++;
-                context.onLoop(write.get(), this::answered);
+        private void resend() {
+            if (!finished && unansweredSends == 1) {
+                unansweredSends++;
+                context.onLoop(sendWrite.get(), this::onAnswer);
             }
         }
 
-        private void answered(KeyValueStore.WriteResult answer, Throwable failure) {
-            unanswered--;
-            if (over) {
+        private void onAnswer(KeyValueStore.WriteResult answer, Throwable failure) {
+            unansweredSends--;
+            if (finished) {
                 return;
             }
             if (failure != null) {
-                failed(failure);
-            } else if (decision.written(answer.succeeded()) == RecordWrite.Step.DONE) {
-                over = true;
-                result.done(answer.revision());
+                onFailure(failure);
+            } else if (recordWrite.written(answer.succeeded()) == RecordWrite.Step.DONE) {
+                finished = true;
+                listener.onWritten(answer.revision());
             } else {
-                read();
+                readRecord();
             }
         }
 
-        private void failed(Throwable failure) {
+        private void onFailure(Throwable failure) {
             mayTakeEffect |= ExternalServiceException.kindOf(failure) != ExternalServiceException.Kind.NOT_DONE;
             context.timeline()
                     .event(EventKind.BATCH_WRITE_UNANSWERED)
                     .job(id)
                     .with("reason", String.valueOf(failure.getMessage()))
-                    .with("others", unanswered)
+                    .with("others", unansweredSends)
                     .write();
-            if (unanswered == 0) {
-                again(decision.writeUnanswered());
+            if (unansweredSends == 0) {
+                scheduleRetry(recordWrite.writeUnanswered());
             }
         }
 
-        private void read() {
+        private void readRecord() {
             context.onLoop(store.read(id), (found, failure) -> {
-                if (over) {
+                if (finished) {
                     return;
                 }
                 if (failure != null) {
-                    again(decision.readUnanswered());
-                } else if (decision.read(found.map(BatchStore.Stored::record)) == RecordWrite.Step.DONE) {
-                    over = true;
-                    result.done(found.orElseThrow().revision());
+                    scheduleRetry(recordWrite.readUnanswered());
+                } else if (recordWrite.read(found.map(BatchStore.Stored::record)) == RecordWrite.Step.DONE) {
+                    finished = true;
+                    listener.onWritten(found.orElseThrow().revision());
                 } else {
-                    over = true;
-                    result.superseded(found);
+                    finished = true;
+                    listener.onSuperseded(found);
                 }
             });
         }
 
-        private void again(RecordWrite.Step step) {
-            context.loop().after(RETRY_MILLIS, step == RecordWrite.Step.WRITE ? this::send : this::readAgain);
+        private void scheduleRetry(RecordWrite.Step step) {
+            context.loop().after(RETRY_MILLIS, step == RecordWrite.Step.WRITE ? this::send : this::retryRead);
         }
 
-        private void readAgain() {
-            if (!over) {
-                read();
+        private void retryRead() {
+            if (!finished) {
+                readRecord();
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
+++ b/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
@@ -12,25 +12,25 @@
 import org.gooseberryhill.stored.BatchStore;
 
 /**
- * What goes into one write of results and progress of several batches. Not thread-safe.
+ * Collects results and progress of several batches for one write. Not thread-safe.
  *
- * <p>Invariant: it stays within what the key-value store takes in one write; the first batch always fits.
+ * <p>Invariant: the bundle stays within the limits of the key-value store for one write; the first batch always fits.
  */
 final class SaveBundle {
-    /** What the store takes in one write: conditions, written and removed keys together. */
+    /** The store's limit for one write: conditions plus written and deleted keys. */
     private static final int MAX_ENTRIES = 32;
 
     private static final int MAX_CHARACTERS = 700_000;
-    private static final int COMMIT_ENTRIES = 4;
-    private static final int PROGRESS_ENTRIES = 2;
+    private static final int ENTRIES_PER_COMMIT = 4;
+    private static final int ENTRIES_PER_PROGRESS = 2;
 
     private final List<BatchStore.Commit> commits = new ArrayList<>();
     private final List<BatchStore.Progress> progress = new ArrayList<>();
-    private final Map<OwnedBatch, Long> eventsByBatch = new LinkedHashMap<>();
+    private final Map<OwnedBatch, Long> bundledEventsByBatch = new LinkedHashMap<>();
     private int entries;
     private int characters;
 
-    /** Results of as many batches as fit, then progress of as many as fit. */
+    /** Returns a bundle with the results of as many batches as fit, then the progress of as many as fit. */
     static SaveBundle of(Collection<OwnedBatch> batches, boolean withProgress) {
         SaveBundle bundle = new SaveBundle();
         batches.stream().filter(OwnedBatch::hasUncommitted).forEach(bundle::addResults);
@@ -40,8 +40,8 @@
         return bundle;
     }
 
-    /** The commit of one batch's results. */
-    static BatchStore.Commit commitOf(OwnedBatch batch) {
+    /** Begins a commit of a batch's pending results. */
+    static BatchStore.Commit beginCommit(OwnedBatch batch) {
         List<ItemResult> results = batch.beginCommit(MAX_CHARACTERS);
         BatchRecord record = batch.record();
         return new BatchStore.Commit(
@@ -56,18 +56,18 @@
         return progress;
     }
 
-    /** The batches whose progress it holds are safe up to there. */
-    void progressSaved() {
-        eventsByBatch.forEach(OwnedBatch::progressSaved);
+    /** Marks the progress in this bundle as saved. */
+    void markProgressSaved() {
+        bundledEventsByBatch.forEach(OwnedBatch::progressSaved);
     }
 
     private void addResults(OwnedBatch batch) {
-        if (!hasRoom(COMMIT_ENTRIES)) {
+        if (!hasRoom(ENTRIES_PER_COMMIT)) {
             return;
         }
-        BatchStore.Commit commit = commitOf(batch);
+        BatchStore.Commit commit = beginCommit(batch);
         commits.add(commit);
-        entries += COMMIT_ENTRIES;
+        entries += ENTRIES_PER_COMMIT;
         characters += commit.results().stream()
                 .mapToInt(result -> result.text().length())
                 .sum();
@@ -75,16 +75,16 @@
 
     private void addProgress(OwnedBatch batch) {
         List<ItemCheckpoint> items = batch.checkpoints();
-        if (items.isEmpty() || !hasRoom(PROGRESS_ENTRIES)) {
+        if (items.isEmpty() || !hasRoom(ENTRIES_PER_PROGRESS)) {
             return;
         }
         progress.add(new BatchStore.Progress(batch.id(), batch.recordRevision(), items));
-        eventsByBatch.put(batch, batch.events());
-        entries += PROGRESS_ENTRIES;
+        bundledEventsByBatch.put(batch, batch.events());
+        entries += ENTRIES_PER_PROGRESS;
         characters += items.stream().mapToInt(item -> item.text().length()).sum();
     }
 
-    private boolean hasRoom(int more) {
-        return entries == 0 || (entries + more <= MAX_ENTRIES && characters < MAX_CHARACTERS);
+    private boolean hasRoom(int additionalEntries) {
+        return entries == 0 || (entries + additionalEntries <= MAX_ENTRIES && characters < MAX_CHARACTERS);
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/StoredResults.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoredResults.java
@@ -13,30 +13,30 @@
 import org.gooseberryhill.stored.BatchStore;
 
 /**
- * Reads batches whose owner can't be asked from the key-value store. For the control thread, but futures complete on
- * others.
+ * Reads batches whose owner can't be asked from the key-value store. Called on the control thread; the futures may
+ * complete on other threads.
  *
- * <p>Committed results never change, so those read once are kept for a while: readers come twice a second, and each call
- * of the store has its price.
+ * <p>Committed results never change, so they are cached: callers poll twice a second, and each call to the store has a
+ * cost.
  */
 final class StoredResults {
-    /** Batches whose results are kept; each is some hundred kilobytes. */
-    private static final int MAX_KEPT = 60;
+    /** Maximum number of batches whose results are cached; each takes some hundred kilobytes. */
+    private static final int MAX_CACHED_BATCHES = 60;
 
     private final GatewayContext context;
     private final BatchStore store;
-    private final Map<String, Kept> kept = new LinkedHashMap<>();
+    private final Map<String, CachedResults> cache = new LinkedHashMap<>();
 
     StoredResults(GatewayContext context, BatchStore store) {
         this.context = context;
         this.store = store;
     }
 
-    /** The committed results from a position on; empty if there is no such batch. */
-    CompletableFuture<Optional<BatchPage>> page(String id, int after) {
-        Kept known = kept.get(id);
-        if (known != null && (known.record.isFinished() || known.results.size() > after)) {
-            return CompletableFuture.completedFuture(Optional.of(known.page(after)));
+    /** Reads the committed results from a position on; empty if there is no such batch. */
+    CompletableFuture<Optional<BatchPage>> readPage(String id, int after) {
+        CachedResults cached = cache.get(id);
+        if (cached != null && (cached.record.isFinished() || cached.results.size() > after)) {
+            return CompletableFuture.completedFuture(Optional.of(cached.page(after)));
         }
         return store.read(id).thenCompose(found -> {
             if (found.isEmpty()) {
@@ -44,39 +44,39 @@
             }
             BatchRecord record = found.get().record();
             return store.results(id, record, 0, record.chunks().size()).thenApply(results -> {
-                Kept fresh = new Kept(record, List.copyOf(results));
-                context.loop().execute(() -> keep(id, fresh));
+                CachedResults fresh = new CachedResults(record, List.copyOf(results));
+                context.loop().execute(() -> addToCache(id, fresh));
                 return Optional.of(fresh.page(after));
             });
         });
     }
 
-    /** The body of an item that has no committed result; empty if there is none, or its batch is ended. */
-    CompletableFuture<Optional<byte[]>> item(String id, String itemId) {
+    /** Reads the body of an item without a committed result; empty if there is no such item, or its batch is ended. */
+    CompletableFuture<Optional<byte[]>> readItemBody(String id, String itemId) {
         return store.read(id).thenCompose(found -> {
             if (found.isEmpty() || found.get().record().ended()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             BatchRecord record = found.get().record();
             return store.results(id, record, 0, record.chunks().size())
-                    .thenCombine(store.items(id, record), (results, items) -> unlisted(itemId, results, items));
+                    .thenCombine(store.items(id, record), (results, items) -> unlistedItemBody(itemId, results, items));
         });
     }
 
-    /** The batch has changed. */
-    void forget(String id) {
-        kept.remove(id);
+    /** Drops the cached results of a batch that has changed. */
+    void evict(String id) {
+        cache.remove(id);
     }
 
-    private void keep(String id, Kept fresh) {
-        kept.remove(id);
-        kept.put(id, fresh);
-        if (kept.size() > MAX_KEPT) {
-            kept.remove(kept.keySet().iterator().next());
+    private void addToCache(String id, CachedResults fresh) {
+        cache.remove(id);
+        cache.put(id, fresh);
+        if (cache.size() > MAX_CACHED_BATCHES) {
+            cache.remove(cache.keySet().iterator().next());
         }
     }
 
-    private static Optional<byte[]> unlisted(String itemId, List<ItemResult> results, List<BatchItem> items) {
+    private static Optional<byte[]> unlistedItemBody(String itemId, List<ItemResult> results, List<BatchItem> items) {
         boolean listed = results.stream().anyMatch(result -> result.id().equals(itemId));
         if (listed) {
             return Optional.empty();
@@ -87,8 +87,8 @@
                 .map(BatchItem::body);
     }
 
-    /** What was read of a batch. */
-    private record Kept(BatchRecord record, List<ItemResult> results) {
+    /** The cached record and results of a batch. */
+    private record CachedResults(BatchRecord record, List<ItemResult> results) {
         BatchPage page(int after) {
             List<ItemResult> found = new ArrayList<>();
             int characters = 0;
