--- a/src/main/java/org/gooseberryhill/decision/admission/AdmissionCase.java
+++ b/src/main/java/org/gooseberryhill/decision/admission/AdmissionCase.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.admission;
 
 /**
- * What matters about a request for taking it in. Immutable.
+ * The state of a new request and its caller, as input to an {@link AdmissionPolicy}. Immutable.
  *
- * @param predictedWaitMillis the wait for a slot at the chosen endpoint
- * @param remainingMillis how long until the caller's deadline
- * @param callerInFlight online requests of the caller in flight at this entry host
- * @param callerLimit how many it may have
+ * @param predictedWaitMillis the expected wait for a slot at the chosen endpoint, in milliseconds
+ * @param remainingMillis the time until the caller's deadline, in milliseconds
+ * @param callerInFlight the caller's online requests in flight at this entry host
+ * @param callerLimit the maximum of {@code callerInFlight}
  */
 public record AdmissionCase(double predictedWaitMillis, long remainingMillis, int callerInFlight, int callerLimit) {}
--- a/src/main/java/org/gooseberryhill/decision/admission/AdmissionPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/admission/AdmissionPolicy.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 import org.gooseberryhill.contract.Refusal;
 
-/** Decides whether a request is taken in. */
+/** Decides whether a request is admitted. */
 public interface AdmissionPolicy {
-    /** Empty to take the request in; else the refusal, to be given at once. */
+    /** Returns empty if the request is admitted, otherwise the refusal to return at once. */
     Optional<Refusal> refuse(AdmissionCase admission);
 }
--- a/src/main/java/org/gooseberryhill/decision/admission/DeadlineAdmissionPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/admission/DeadlineAdmissionPolicy.java
@@ -5,10 +5,10 @@
 import org.gooseberryhill.contract.Refusal;
 
 /**
- * Refuses what could not be answered in time, and a caller beyond its limit. Stateless.
+ * Refuses requests that are unlikely to be answered in time, and those of callers at their limit. Stateless.
  *
- * <p>Failure: under overload each request waits until its caller has gone, so that all work is wasted. A refusal at
- * once, with the time when a slot is likely free, costs nothing and keeps the rest prompt.
+ * <p>Without it, under overload every request waits until its caller has given up, so that all work is wasted. An
+ * immediate refusal with the time at which a slot is likely to be free costs nothing and keeps other requests fast.
  */
 public final class DeadlineAdmissionPolicy implements AdmissionPolicy {
     private static final long LIMITED_RETRY_AFTER_MILLIS = 1000;
@@ -16,9 +16,9 @@
     private final double waitShareOfDeadline;
 
     /**
-     * A policy with a bound for waiting.
+     * Creates a policy.
      *
-     * @param waitShareOfDeadline the share of the remaining time that may be spent waiting, such as 0.5
+     * @param waitShareOfDeadline the share of the time until the deadline that may be spent waiting, such as 0.5
      */
     public DeadlineAdmissionPolicy(double waitShareOfDeadline) {
         this.waitShareOfDeadline = waitShareOfDeadline;
--- a/src/main/java/org/gooseberryhill/decision/admission/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a request is taken in at all, decided at once. */
+/** Admission control: decides on arrival whether a request is accepted or refused. */
 package org.gooseberryhill.decision.admission;
--- a/src/main/java/org/gooseberryhill/decision/batch/BatchSlotPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/BatchSlotPolicy.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.decision.batch;
 
-/** Decides how many batch items an endpoint may run now. */
+/** Decides how many batch items an endpoint may run at the moment. */
 public interface BatchSlotPolicy {
-    /** The number of batch items; 0 or more. */
+    /** Returns the maximum number of batch items; 0 or more. */
     int slots(SlotCase slotCase);
 }
--- a/src/main/java/org/gooseberryhill/decision/batch/EndpointBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/EndpointBatch.java
@@ -11,14 +11,14 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * The batch side of one endpoint at its steward, the only sender of batch items there. Not thread-safe.
+ * Tracks the batch items of one endpoint at its steward, the only sender of batch items to it. Not thread-safe.
  *
- * <p>Invariant: batch in flight is known exactly and never started beyond what the slot policy leaves. What is known
- * of online work errs on the high side: the entries' reports are kept for a time when they stop coming, and the
- * engine's own count, which lags, stands in when no entry reports.
+ * <p>Invariant: the number of batch items in flight is exact, and no item is started beyond the limit of the slot
+ * policy. The number of online requests is rather over- than underestimated: the last report of an entry host is used
+ * for some time after reports stop, and the engine's own count, which lags, is used when no entry host reports.
  */
 public final class EndpointBatch {
-    /** How long an entry's last report counts when no newer one comes; it repeats them each 5 s. */
+    /** How long an entry host's last report is used without a newer one; reports are repeated every 5 s. */
     private static final long REPORT_LIFE_NANOS = TimeUnit.MILLISECONDS.toNanos(12_000);
 
     /** How long the engine's own count is used; it lags, so it must not outlive newer reports. */
@@ -36,7 +36,7 @@
     private boolean leaving;
     private long pausedUntilNanos = Long.MIN_VALUE;
 
-    /** An idle endpoint. */
+    /** Creates the state of an idle endpoint. */
     public EndpointBatch(
             EndpointSettings settings, int weightPercent, BatchSlotPolicy slotPolicy, YieldOrder yieldOrder) {
         this.settings = settings;
@@ -46,18 +46,22 @@
         this.tailCap = new TailCap(settings.slots());
     }
 
-    /** The endpoint's settings. */
+    /** Returns the endpoint's settings. */
     public EndpointSettings settings() {
         return settings;
     }
 
-    /** Takes in changed settings. */
+    /** Applies changed settings. */
     public void configure(EndpointSettings newSettings, int newWeightPercent) {
         settings = newSettings;
         weightPercent = newWeightPercent;
     }
 
-    /** An entry's report; returns the items that yield at once. */
+    /**
+     * Applies an entry host's report of its online requests in flight and returns the items that must yield now.
+     *
+     * @param slow whether the endpoint's online tail latency exceeds its target
+     */
     public List<RunningItem> onlineReported(HostId entry, int inFlight, boolean slow, long nowNanos) {
         onlineByEntry.put(entry, new Report(inFlight, nowNanos));
         if (slow) {
@@ -66,29 +70,29 @@
         return excess(nowNanos);
     }
 
-    /** Keeps only the reports of entries that are present: a lost one has nothing in flight any more. */
+    /** Discards the reports of entry hosts that are not present: a lost host has no requests in flight. */
     public void entriesPresent(Set<HostId> entries) {
         onlineByEntry.keySet().retainAll(entries);
     }
 
-    /** The engine's own count of requests in flight, which lags; returns the items that yield at once. */
+    /** Applies the engine's own, lagging count of requests in flight and returns the items that must yield now. */
     public List<RunningItem> engineReported(int active, long nowNanos) {
         engineOthers = Math.max(0, active - running.size());
         engineNanos = nowNanos;
         return excess(nowNanos);
     }
 
-    /** The endpoint is leaving, or is not any more. */
+    /** Sets whether the endpoint is leaving; a leaving endpoint gets no new items. */
     public void leaving(boolean nowLeaving) {
         leaving = nowLeaving;
     }
 
-    /** The endpoint failed: no new item before a time in milliseconds from now. */
+    /** Starts no new items for the given time in milliseconds, after a failure of the endpoint. */
     public void pause(long millis, long nowNanos) {
         pausedUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** How many more items may start now. */
+    /** Returns how many more items may start now. */
     public int free(long nowNanos) {
         boolean paused = pausedUntilNanos != Long.MIN_VALUE && nowNanos - pausedUntilNanos < 0;
         if (leaving || settings.leaving() || paused) {
@@ -97,22 +101,22 @@
         return Math.max(0, allowed(nowNanos) - running.size());
     }
 
-    /** An item starts. */
+    /** Records the start of an item. */
     public void started(RunningItem item) {
         running.put(item.run(), item);
     }
 
-    /** An item ended, in whatever way. */
+    /** Records the end of an item, whatever its result. */
     public void ended(long run) {
         running.remove(run);
     }
 
-    /** The items in flight. */
+    /** Returns the items in flight. */
     public Collection<RunningItem> running() {
         return List.copyOf(running.values());
     }
 
-    /** The best knowledge of online requests in flight. */
+    /** Returns the best available estimate of the online requests in flight. */
     public int online(long nowNanos) {
         onlineByEntry.values().removeIf(report -> nowNanos - report.atNanos > REPORT_LIFE_NANOS);
         int reported = onlineByEntry.values().stream()
@@ -120,8 +124,8 @@
                 .sum();
         boolean engineFresh = engineNanos != Long.MIN_VALUE && nowNanos - engineNanos < ENGINE_LIFE_NANOS;
         boolean reportsFresh = !onlineByEntry.isEmpty();
-        // The engine's count lags by design; it only stands in when no entry reports at all, or it would keep
-        // batch out long after a burst has gone.
+        // The engine's count lags by design. It is used only when no entry host reports; otherwise it would keep
+        // batch items out long after a burst has ended.
         return engineFresh && !reportsFresh ? Math.max(reported, engineOthers) : reported;
     }
 
@@ -134,6 +138,6 @@
         return slotPolicy.slots(slotCase);
     }
 
-    /** An entry's last report. */
+    /** The last report of an entry host. */
     private record Report(int inFlight, long atNanos) {}
 }
--- a/src/main/java/org/gooseberryhill/decision/batch/FixedSlotsPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/FixedSlotsPolicy.java
@@ -1,6 +1,6 @@
 package org.gooseberryhill.decision.batch;
 
-/** The baseline: batch fills a fixed share of the slots whatever online does. Stateless. */
+/** Gives batch a fixed share of the slots regardless of online load; the baseline for comparisons. Stateless. */
 public final class FixedSlotsPolicy implements BatchSlotPolicy {
     private static final int PERCENT = 100;
 
--- a/src/main/java/org/gooseberryhill/decision/batch/LeastWorkLostOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/LeastWorkLostOrder.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Items with the fewest tokens yield first; of equals the latest. Stateless. */
+/** Makes the items with the fewest generated tokens yield first; among equals, the latest to start. Stateless. */
 public final class LeastWorkLostOrder implements YieldOrder {
     private static final Comparator<RunningItem> LATEST =
             Comparator.comparingLong(RunningItem::startNanos).reversed();
--- a/src/main/java/org/gooseberryhill/decision/batch/LeftoverSlotsPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/LeftoverSlotsPolicy.java
@@ -1,16 +1,20 @@
 package org.gooseberryhill.decision.batch;
 
 /**
- * Batch fills what online leaves, less a reserve for the first requests of a burst. Stateless.
+ * Gives batch the slots that online requests leave free, minus a reserve for the first requests of a burst. Stateless.
  *
- * <p>Property: reserve, as a share of the slots; at least one slot is kept free.
+ * <p>The reserve is a share of the slots, rounded down, but at least one slot.
  */
 public final class LeftoverSlotsPolicy implements BatchSlotPolicy {
     private static final int PERCENT = 100;
 
     private final double reserveShare;
 
-    /** A policy with a reserve, such as 0.125. */
+    /**
+     * Creates a policy.
+     *
+     * @param reserveShare the reserve as a share of the slots, such as 0.125
+     */
     public LeftoverSlotsPolicy(double reserveShare) {
         this.reserveShare = reserveShare;
     }
@@ -18,7 +22,7 @@
     @Override
     public int slots(SlotCase slotCase) {
         int reserve = Math.max(1, (int) Math.floor(slotCase.slots() * reserveShare));
-        // The reserve is for bursts from nothing: online requests that are there already use it first.
+        // The reserve stays free in addition to the slots in use by online requests.
         int left = slotCase.slots() - Math.max(slotCase.online(), 0) - reserve;
         int weighted = Math.max(0, left) * slotCase.weightPercent() / PERCENT;
         return Math.min(weighted, slotCase.tailCap());
--- a/src/main/java/org/gooseberryhill/decision/batch/RunningItem.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/RunningItem.java
@@ -1,35 +1,38 @@
 package org.gooseberryhill.decision.batch;
 
-/**
- * A batch item in flight at an endpoint. Not thread-safe.
- */
+/** A batch item in flight at an endpoint. Not thread-safe. */
 public final class RunningItem {
     private final long run;
     private final long startNanos;
     private int tokens;
 
-    /** An item that starts now; the run number is unique at its steward. */
+    /**
+     * Creates an item that starts now.
+     *
+     * @param run the run number, which is unique at the item's steward
+     * @param startNanos the current time, in nanoseconds
+     */
     public RunningItem(long run, long startNanos) {
         this.run = run;
         this.startNanos = startNanos;
     }
 
-    /** The run's number. */
+    /** Returns the run number. */
     public long run() {
         return run;
     }
 
-    /** When it started. */
+    /** Returns the start time, in nanoseconds. */
     public long startNanos() {
         return startNanos;
     }
 
-    /** Tokens generated so far in this run. */
+    /** Returns the tokens generated so far, as last recorded. */
     public int tokens() {
         return tokens;
     }
 
-    /** More tokens came. */
+    /** Sets the total number of tokens generated so far. */
     public void generated(int total) {
         tokens = total;
     }
--- a/src/main/java/org/gooseberryhill/decision/batch/SlotCase.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/SlotCase.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.batch;
 
 /**
- * What matters for the number of batch slots of an endpoint. Immutable.
+ * The state of an endpoint as input to a {@link BatchSlotPolicy}. Immutable.
  *
- * @param slots how many requests the endpoint runs at once before its answers slow down
- * @param online online requests in flight there
- * @param weightPercent how much of what online leaves batch may fill
- * @param tailCap the most batch items that kept the online tail within the class target lately
+ * @param slots the number of requests that the endpoint runs concurrently before its answers slow down
+ * @param online the online requests in flight at the endpoint
+ * @param weightPercent the percentage of the slots left by online requests that batch may use
+ * @param tailCap the maximum number of batch items that recently kept the online tail latency within its target
  */
 public record SlotCase(int slots, int online, int weightPercent, int tailCap) {}
--- a/src/main/java/org/gooseberryhill/decision/batch/TailCap.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/TailCap.java
@@ -3,8 +3,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lowers the batch share of an endpoint whose online tail is beyond its target, and raises it slowly again (additive
- * increase, multiplicative decrease; Chiu and Jain, 1989). Not thread-safe.
+ * Caps the batch items of an endpoint by its online tail latency, with additive increase and multiplicative decrease
+ * (AIMD; Chiu and Jain, 1989). Not thread-safe.
+ *
+ * <p>The cap is halved when the tail latency exceeds its target and raised by one every 500 ms otherwise.
  */
 public final class TailCap {
     private static final long RAISE_EVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -14,15 +16,15 @@
     private int cap;
     private long changedNanos = Long.MIN_VALUE;
 
-    /** A cap that starts at its maximum. */
+    /** Creates a cap at its maximum. */
     public TailCap(int max) {
         this.max = max;
         this.cap = max;
     }
 
-    /** The online tail was beyond its target while this many batch items ran. */
+    /** Lowers the cap after the online tail latency exceeded its target while this many batch items ran. */
     public void slow(int batchRunning, long nowNanos) {
-        // Reports come faster than a change can show; halving for each would stop batch for one slow answer.
+        // Reports arrive faster than a change takes effect; halving for each would stop batch after one slow answer.
         if (changedNanos != Long.MIN_VALUE && nowNanos - changedNanos < LOWER_EVERY_NANOS) {
             return;
         }
@@ -30,7 +32,7 @@
         changedNanos = nowNanos;
     }
 
-    /** The cap now. */
+    /** Returns the current cap, after raising it for the time that has passed since its last change. */
     public int value(long nowNanos) {
         if (changedNanos != Long.MIN_VALUE && cap < max) {
             long steps = (nowNanos - changedNanos) / RAISE_EVERY_NANOS;
--- a/src/main/java/org/gooseberryhill/decision/batch/TailWatch.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/TailWatch.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 
 /**
- * Tells which endpoints answer online requests slower than their class target. Not thread-safe.
+ * Detects endpoints whose online latency exceeds the target of their class. Not thread-safe.
  *
- * <p>The target is for 95 in 100 (letter 1): an endpoint is slow while more than that share of its latest samples is
- * beyond it. Samples fade, so that an old burst does not hold batch back.
+ * <p>The target applies to 95 % of the samples: an endpoint is slow while more than 5 % of its recent samples exceed
+ * it. Older samples lose weight exponentially, so that a past burst does not hold back batch items.
  */
 public final class TailWatch {
     private static final double ALLOWED_SHARE = 0.05;
@@ -18,12 +18,17 @@
 
     private final Map<String, Samples> byEndpoint = new HashMap<>();
 
-    /** First tokens and gaps between tokens were seen, some of them beyond the target. */
+    /**
+     * Records latency samples of an endpoint, for first tokens and for gaps between tokens.
+     *
+     * @param number the number of samples
+     * @param beyondTarget how many of them exceeded the target
+     */
     public void samples(String endpoint, int number, int beyondTarget) {
         byEndpoint.computeIfAbsent(endpoint, key -> new Samples()).add(number, beyondTarget);
     }
 
-    /** The endpoints that are slow now; each is named once for the samples since it was last named. */
+    /** Returns the endpoints that are slow now, and discards their samples so that each sample counts once. */
     public Set<String> takeSlow() {
         Set<String> slow = new HashSet<>();
         byEndpoint.forEach((endpoint, samples) -> {
@@ -35,15 +40,15 @@
         return slow;
     }
 
-    /** Faded counts of one endpoint. */
+    /** Exponentially decayed sample counts of one endpoint. */
     private static final class Samples {
         private double total;
         private double beyond;
 
         void add(int number, int numberBeyond) {
-            double fade = Math.pow(FADE, number);
-            total = total * fade + number;
-            beyond = beyond * fade + numberBeyond;
+            double decay = Math.pow(FADE, number);
+            total = total * decay + number;
+            beyond = beyond * decay + numberBeyond;
         }
 
         boolean isSlow() {
--- a/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
@@ -9,15 +9,20 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * Which job owners have waiting items, as last heard, and whom to ask next. Not thread-safe.
+ * Tracks which job owners last reported waiting items, and chooses the next owner to ask for items. Not thread-safe.
  *
- * <p>Invariant: one question for each owner and service at a time; the owner with the earliest due time comes first.
+ * <p>Invariant: for each owner and service at most one request is open; the owner with the earliest due time is asked
+ * first.
  */
 public final class WorkSources {
     private final Map<HostId, Map<String, Long>> dueByOwner = new HashMap<>();
     private final Map<HostId, Set<String>> asked = new HashMap<>();
 
-    /** A heartbeat told all services for which an owner has waiting items. */
+    /**
+     * Applies a heartbeat of an owner, which replaces what was known of it.
+     *
+     * @param dueByService the earliest due time, in epoch milliseconds, of each service with waiting items
+     */
     public void heard(HostId owner, Map<String, Long> dueByService) {
         if (dueByService.isEmpty()) {
             dueByOwner.remove(owner);
@@ -26,12 +31,15 @@
         }
     }
 
-    /** A notice told one service. */
+    /** Applies an owner's notice of waiting items for one service. */
     public void noticed(HostId owner, String service, long dueMillis) {
         dueByOwner.computeIfAbsent(owner, key -> new HashMap<>()).merge(service, dueMillis, Math::min);
     }
 
-    /** The owner to ask for a service now; it counts as asked until {@link #answered}. */
+    /**
+     * Returns the owner to ask for items of a service, or empty if there is none. The request counts as open until
+     * {@link #answered}.
+     */
     public Optional<HostId> nextToAsk(String service) {
         Optional<HostId> owner = dueByOwner.entrySet().stream()
                 .filter(entry -> entry.getValue().containsKey(service) && !isAsked(entry.getKey(), service))
@@ -44,11 +52,11 @@
         return owner;
     }
 
-    /** An owner answered, or failed to; without items it is not asked again before it is heard of again. */
+    /** Closes a request to an owner. An owner without items is not asked again until its next heartbeat or notice. */
     public void answered(HostId owner, String service, boolean hadItems) {
-        Set<String> open = asked.get(owner);
-        if (open != null) {
-            open.remove(service);
+        Set<String> openServices = asked.get(owner);
+        if (openServices != null) {
+            openServices.remove(service);
         }
         Map<String, Long> due = dueByOwner.get(owner);
         if (due != null && !hadItems) {
@@ -56,7 +64,7 @@
         }
     }
 
-    /** An owner is lost. */
+    /** Removes a lost owner. */
     public void lost(HostId owner) {
         dueByOwner.remove(owner);
         asked.remove(owner);
--- a/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
@@ -6,41 +6,43 @@
 import org.gooseberryhill.contract.Refusal;
 
 /**
- * Decides about one call with an idempotency key, after each answer of the key-value service. Not thread-safe.
+ * Decides the next step of a call with an idempotency key after each result from the key-value service. Not
+ * thread-safe.
  *
- * <p>Invariant: {@link ClaimStep.Send} comes out at most once for all calls with the same key on all hosts, since it
- * needs the proof that the record under the key is this call's own, and a record is created only where none is.
+ * <p>Invariant: {@link ClaimStep.Send} is returned at most once among all calls with the same key on all hosts, since
+ * it requires proof that the record under the key belongs to this call, and a record is created only if the key is
+ * absent.
  */
 public final class Claim {
     private static final int MAX_UNCERTAIN_ANSWERS = 3;
     private static final long RETRY_AFTER_MILLIS = 2000;
 
-    /** After this a claim without an answer counts as one whose holder was lost; longer than any deadline. */
+    /** Age at which the holder of an unanswered claim is considered lost; longer than any deadline. */
     private static final long LOST_AFTER_MILLIS = 600_000;
 
     private final ClaimRecord own;
     private int uncertainAnswers;
     private boolean sent;
 
-    /** A claim that would be made with this record. */
+    /** Creates a claim that writes the given record. */
     public Claim(ClaimRecord own) {
         this.own = own;
     }
 
-    /** The first step. */
+    /** Returns the first step. */
     public ClaimStep begin() {
         return new ClaimStep.Create();
     }
 
-    /** The creation was answered. */
+    /** Returns the next step after the service has answered the creation of the record. */
     public ClaimStep created(boolean succeeded) {
         return succeeded ? send() : new ClaimStep.Read();
     }
 
-    /** The record was read. */
+    /** Returns the next step after the record was read; empty means that the key is absent. */
     public ClaimStep read(Optional<ClaimRecord> found, long nowMillis) {
         if (found.isEmpty()) {
-            // An unanswered creation that has not arrived yet carries the same claim id: creating again is safe.
+            // An unanswered creation that is still on its way carries the same claim id, so creating again is safe.
             return countUncertain(new ClaimStep.Create());
         }
         ClaimRecord record = found.get();
@@ -67,17 +69,17 @@
         };
     }
 
-    /** A creation or read was not answered: it may have taken effect. */
+    /** Returns the next step after a creation or read without an answer; the creation may have taken effect. */
     public ClaimStep unanswered() {
         return countUncertain(new ClaimStep.Read());
     }
 
-    /** Whether the call was to be sent. */
+    /** Returns whether {@link ClaimStep.Send} was returned. */
     public boolean isSent() {
         return sent;
     }
 
-    /** Whether a creation was not answered, so that the record may stand although the call was not sent. */
+    /** Returns whether a result was missing or uncertain, so that the record of an unsent call may exist. */
     public boolean isUncertain() {
         return uncertainAnswers > 0;
     }
@@ -87,14 +89,14 @@
         if (uncertainAnswers <= MAX_UNCERTAIN_ANSWERS) {
             return next;
         }
-        // The record may exist by now, but this call was never sent: not-run is true.
+        // The record may exist by now, but this call was never sent, so it has certainly not run.
         return new ClaimStep.Refuse(
                 Refusal.notRun(ErrorCode.PLATFORM_UNAVAILABLE, "the call can't be claimed now", RETRY_AFTER_MILLIS));
     }
 
     private ClaimStep send() {
         if (sent) {
-            throw new IllegalStateException("a call is sent once");
+            throw new IllegalStateException("the claim has already returned Send");
         }
         sent = true;
         return new ClaimStep.Send();
--- a/src/main/java/org/gooseberryhill/decision/idempotency/ClaimRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/ClaimRecord.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * What the key-value service holds under a caller's idempotency key. Immutable.
+ * The record stored in the key-value service under a caller's idempotency key. Immutable.
  *
- * @param claimId names the claim, so that its holder can find out whether it took effect
- * @param requestHash tells whether a resend is the same request
- * @param state how far the call got
- * @param claimedMillis when, in epoch milliseconds
- * @param status the answer's status, 0 before there is one
- * @param headers the answer's headers that are kept
- * @param body the answer's body
+ * @param claimId identifies the claim, so that its holder can find out whether its creation took effect
+ * @param requestHash the hash of the request, to detect a different request under the same key
+ * @param state the progress of the call
+ * @param claimedMillis the time of the claim, in epoch milliseconds
+ * @param status the HTTP status of the answer; 0 without an answer
+ * @param headers the stored headers of the answer
+ * @param body the body of the answer
  */
 public record ClaimRecord(
         String claimId,
@@ -21,27 +21,27 @@
         int status,
         Map<String, String> headers,
         byte[] body) {
-    /** How far a call got. */
+    /** The progress of a call. */
     public enum State {
-        /** It may be running, or its holder was lost. */
+        /** The call may be running, or its holder was lost. */
         CLAIMED,
-        /** Its answer is kept. */
+        /** The call has run, and the record holds its answer. */
         ANSWERED,
-        /** It may have run, and its answer is lost. */
+        /** The call may have run, but its answer is lost. */
         ANSWER_LOST
     }
 
-    /** A new claim. */
+    /** Creates the record of a new claim. */
     public static ClaimRecord claimed(String claimId, String requestHash, long claimedMillis) {
         return new ClaimRecord(claimId, requestHash, State.CLAIMED, claimedMillis, 0, Map.of(), new byte[0]);
     }
 
-    /** The claim with its answer. */
+    /** Returns a copy of this record with the answer of the call. */
     public ClaimRecord answered(int newStatus, Map<String, String> newHeaders, byte[] newBody) {
         return new ClaimRecord(claimId, requestHash, State.ANSWERED, claimedMillis, newStatus, newHeaders, newBody);
     }
 
-    /** The claim of a call that may have run and whose answer is lost. */
+    /** Returns a copy of this record that marks the answer as lost. */
     public ClaimRecord answerLost() {
         return new ClaimRecord(claimId, requestHash, State.ANSWER_LOST, claimedMillis, 0, Map.of(), new byte[0]);
     }
--- a/src/main/java/org/gooseberryhill/decision/idempotency/ClaimStep.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/ClaimStep.java
@@ -2,26 +2,26 @@
 
 import org.gooseberryhill.contract.Refusal;
 
-/** What to do next about a claim. Immutable. */
+/** The next step of a {@link Claim}. Immutable. */
 public sealed interface ClaimStep {
-    /** Create the record, if the key is absent. */
+    /** Create the record if the key is absent. */
     record Create() implements ClaimStep {}
 
     /** Read the record. */
     record Read() implements ClaimStep {}
 
-    /** The claim is this call's own: send the call now. */
+    /** Send the call: the record belongs to it. */
     record Send() implements ClaimStep {}
 
     /**
-     * The call has run: give its kept answer.
+     * Return the stored answer: the call has already run.
      *
      * @param record the record with the answer
      */
     record Replay(ClaimRecord record) implements ClaimStep {}
 
     /**
-     * The call is not sent.
+     * Refuse the call without sending it.
      *
      * @param refusal the final answer
      */
--- a/src/main/java/org/gooseberryhill/decision/idempotency/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/package-info.java
@@ -1,2 +1,2 @@
-/** Calls that must run at most once: claimed in the key-value service before they are sent. */
+/** At-most-once execution: a call with an idempotency key is claimed in the key-value service before it is sent. */
 package org.gooseberryhill.decision.idempotency;
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
@@ -24,11 +24,10 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * Decides about the online requests of one entry host. Not thread-safe.
+ * Decides on the admission, routing and retries of the online requests of one entry host. Not thread-safe.
  *
- * <p>Invariants: each request taken in is finished exactly once; a request that is given up gets its refusal from the
- * very call that gives it up, never later; a request that may not be repeated is sent again only if no byte of it
- * reached an endpoint.
+ * <p>Invariants: each admitted request is finished exactly once; the call that gives up a request also returns its
+ * refusal; a request that must not be repeated is sent again only if no byte of it reached an endpoint.
  */
 public final class OnlineCore {
     private static final long NO_ENDPOINT_RETRY_AFTER_MILLIS = 2000;
@@ -42,30 +41,30 @@
     private final Map<String, Integer> inFlightByCaller = new HashMap<>();
     private Configuration configuration = Configuration.EMPTY;
 
-    /** A core without a configuration: it refuses everything until {@link #configure}. */
+    /** Creates a core without a configuration, which refuses every request until {@link #configure} is called. */
     public OnlineCore(AvailabilityZone zone, OnlinePolicies policies, CrashSuspects suspects) {
         this.zone = zone;
         this.policies = policies;
         this.suspects = suspects;
     }
 
-    /** Takes a configuration into force. */
+    /** Applies a configuration. */
     public void configure(Configuration newConfiguration) {
         configuration = newConfiguration;
         endpoints.configure(newConfiguration);
     }
 
-    /** The endpoints, for reports that come in and go out. */
+    /** Returns the endpoints, to apply load reports and to read the loads to report. */
     public EndpointTable endpoints() {
         return endpoints;
     }
 
-    /** What is known of crashes. */
+    /** Returns the requests that were in flight at crashes. */
     public CrashSuspects suspects() {
         return suspects;
     }
 
-    /** Takes a request in, or refuses it. A request taken in must end with {@link #finished}. */
+    /** Admits or refuses a request. An admitted request must end with {@link #finished}. */
     public Either<Refusal, OnlineRequest> admit(OnlineIntake intake, long nowNanos) {
         Optional<Refusal> quarantined = refuseQuarantined(intake, Outcome.NOT_RUN, nowNanos);
         if (quarantined.isPresent()) {
@@ -91,7 +90,7 @@
         return Either.right(request);
     }
 
-    /** Where to send a request that has no attempt in progress. */
+    /** Returns the next step for a request that has no attempt in progress. */
     public OnlineDecision next(OnlineRequest request, long nowNanos) {
         Optional<Refusal> quarantined = refuseQuarantined(request.intake(), request.outcome(), nowNanos);
         if (quarantined.isPresent()) {
@@ -107,7 +106,11 @@
         return send(request, chosen.get(), nowNanos);
     }
 
-    /** The arbiter's answer to {@link OnlineDecision.AskPermit}; empty if the suspect has to wait. */
+    /**
+     * Returns the next step after the arbiter has answered {@link OnlineDecision.AskPermit}.
+     *
+     * @param endpoint the endpoint at which the suspect may run, or empty if it has to wait
+     */
     public OnlineDecision permitted(OnlineRequest request, Optional<String> endpoint, long nowNanos) {
         Optional<EndpointState> granted = endpoint.flatMap(endpoints::find);
         if (granted.isPresent()) {
@@ -124,7 +127,7 @@
                 Optional.of(SUSPECT_RETRY_AFTER_MILLIS)));
     }
 
-    /** An attempt failed: another endpoint, or the final answer. */
+    /** Records a failed attempt and returns the next step: a retry at another endpoint or the final refusal. */
     public OnlineDecision attemptFailed(OnlineRequest request, AttemptFailure failure, long nowNanos) {
         boolean unreachable = failure.outcome() == Outcome.NOT_RUN;
         request.endpoint().ifPresent(name -> endpoints.failed(name, unreachable, nowNanos));
@@ -143,20 +146,20 @@
         return next(request, nowNanos);
     }
 
-    /** An attempt brought the whole answer. */
+    /** Records an attempt that returned the complete answer, and clears the request if it was a suspect. */
     public void attemptSucceeded(OnlineRequest request, long nowNanos) {
         request.endpoint().ifPresent(name -> endpoints.succeeded(name, request.runNanos(nowNanos)));
         request.ended();
         suspects.completed(request.intake().fingerprint());
     }
 
-    /** The caller went away, or its deadline passed, while an attempt was in progress. */
+    /** Records that the caller disconnected, or that its deadline passed, while an attempt was in progress. */
     public void attemptAbandoned(OnlineRequest request) {
         request.endpoint().ifPresent(endpoints::abandoned);
         request.ended();
     }
 
-    /** The caller has its final answer, or has gone. */
+    /** Records that the caller got its final answer or disconnected. */
     public void finished(OnlineRequest request) {
         inFlightByCaller.computeIfPresent(
                 request.intake().caller(), (caller, inFlight) -> inFlight <= 1 ? null : inFlight - 1);
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineDecision.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineDecision.java
@@ -4,33 +4,33 @@
 import org.gooseberryhill.configuration.EndpointSettings;
 import org.gooseberryhill.contract.Refusal;
 
-/** What to do next about an online request. Immutable. */
+/** The next step for an online request. Immutable. */
 public sealed interface OnlineDecision {
     /**
-     * Send it to an endpoint now.
+     * Send the request to an endpoint now.
      *
      * @param endpoint the endpoint
      */
     record Send(EndpointSettings endpoint) implements OnlineDecision {}
 
     /**
-     * It is a suspect: ask the service's arbiter where it may run, then call {@link OnlineCore#permitted}.
+     * Ask the service's arbiter where the request, a crash suspect, may run, then call {@link OnlineCore#permitted}.
      *
-     * @param endpoints endpoints that would do, best first
+     * @param endpoints the names of the candidate endpoints, least loaded first
      */
     record AskPermit(List<String> endpoints) implements OnlineDecision {}
 
     /**
-     * It is a suspect and others run apart just now: call {@link OnlineCore#next} after a while.
+     * Call {@link OnlineCore#next} after a delay: the request is a crash suspect and got no permit yet.
      *
-     * @param delayMillis how long to wait, in milliseconds
+     * @param delayMillis the delay, in milliseconds
      */
     record Wait(long delayMillis) implements OnlineDecision {}
 
     /**
-     * Give the caller its final answer now.
+     * Return the final refusal to the caller now.
      *
-     * @param refusal the answer
+     * @param refusal the refusal
      */
     record Refuse(Refusal refusal) implements OnlineDecision {}
 }
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineIntake.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineIntake.java
@@ -3,15 +3,15 @@
 import org.gooseberryhill.contract.Fingerprint;
 
 /**
- * What is known of an online request when it arrives. Immutable.
+ * The properties of an online request that are known on arrival. Immutable.
  *
- * @param id names the request in logs and on the time line
- * @param caller the caller's name
- * @param service the service that answers it
+ * @param id identifies the request in logs and on the time line
+ * @param caller the name of the caller
+ * @param service the name of the requested service
  * @param fingerprint equal for equal requests
- * @param prefixHash equal for prompts with the same beginning; 0 if that means nothing
- * @param idempotent whether it may run more than once
- * @param deadlineNanos when the caller stops waiting
+ * @param prefixHash equal for prompts with the same prefix; 0 if the request has no prefix to match
+ * @param idempotent whether the request may run more than once
+ * @param deadlineNanos the time at which the caller stops waiting, in nanoseconds
  */
 public record OnlineIntake(
         String id,
--- a/src/main/java/org/gooseberryhill/decision/online/OnlinePolicies.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlinePolicies.java
@@ -14,11 +14,11 @@
 import org.gooseberryhill.decision.routing.TwoChoicesPolicy;
 
 /**
- * The decisions that an entry host makes about online requests, as one set.
+ * The set of policies that an entry host applies to online requests.
  *
- * @param route chooses the endpoint
- * @param admission takes in or refuses
- * @param retry tries again or gives up
+ * @param route chooses the endpoint of a request
+ * @param admission admits or refuses a request on arrival
+ * @param retry decides whether a failed request is retried
  */
 public record OnlinePolicies(RoutePolicy route, AdmissionPolicy admission, RetryPolicy retry) {
     private static final double RETRY_SHARE = 0.2;
@@ -28,7 +28,7 @@
     private static final double WAIT_SHARE_OF_DEADLINE = 0.5;
     private static final double AFFINITY_MAX_LOAD = 0.6;
 
-    /** The product's decisions. */
+    /** Returns the policies for production use. */
     public static OnlinePolicies product(Random random) {
         RetryBudget budget = new RetryBudget(RETRY_SHARE, RETRY_RESERVE);
         return new OnlinePolicies(
@@ -37,7 +37,7 @@
                 new BudgetedRetryPolicy(budget, MAX_ATTEMPTS, MIN_REMAINING_MILLIS));
     }
 
-    /** The baseline's: each endpoint in turn, no limits, no retries. */
+    /** Returns the baseline for comparisons: round robin, no limits, no retries. */
     public static OnlinePolicies baseline() {
         return new OnlinePolicies(new RoundRobinPolicy(), new UnlimitedAdmissionPolicy(), new NoRetryPolicy());
     }
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineRequest.java
@@ -7,9 +7,10 @@
 import org.gooseberryhill.contract.Outcome;
 
 /**
- * An online request in progress. Not thread-safe; changed by {@link OnlineCore} only.
+ * Tracks the progress of an online request. Not thread-safe; modified only by {@link OnlineCore}, except for {@link
+ * #answerStarted}.
  *
- * <p>Invariant: once an attempt may have run, the request may have run, whatever later attempts say.
+ * <p>Invariant: once an attempt may have run, the request may have run, whatever the outcome of later attempts.
  */
 public final class OnlineRequest {
     private static final long MAX_PERMIT_WAIT_NANOS = TimeUnit.SECONDS.toNanos(5);
@@ -28,27 +29,27 @@
         this.intake = intake;
     }
 
-    /** What was known when it arrived. */
+    /** Returns the properties of the request that were known on arrival. */
     public OnlineIntake intake() {
         return intake;
     }
 
-    /** The endpoint that has it now. */
+    /** Returns the endpoint of the attempt in progress, or empty if there is none. */
     public Optional<String> endpoint() {
         return endpoint;
     }
 
-    /** What is known about its effect so far. */
+    /** Returns whether the request may have run in any attempt so far. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** How many attempts were made. */
+    /** Returns the number of attempts made. */
     public int attempts() {
         return attempts;
     }
 
-    /** The caller has a part of the answer that no other endpoint can continue. */
+    /** Records that the caller has a part of the answer that no other endpoint can continue. */
     public void answerStarted() {
         answerStarted = true;
     }
@@ -61,7 +62,7 @@
         return tried;
     }
 
-    /** Whether it runs apart, by the arbiter's permit. */
+    /** Returns whether the request runs apart from other suspects with the arbiter's permit. */
     public boolean holdsPermit() {
         return holdsPermit;
     }
@@ -71,8 +72,10 @@
     }
 
     /**
-     * Whether a suspect may go on waiting for its turn to run apart. Most suspects are innocent, and their turn comes as
-     * fast as others complete; past the bound the caller is told at once when to come back.
+     * Returns whether a suspect may keep waiting for a permit. The wait is limited to 5 s from the first call.
+     *
+     * <p>Most suspects did not cause the crash, so permits become free as fast as other suspects complete. After the
+     * limit the caller gets an immediate refusal with a retry-after time.
      */
     boolean mayWaitForPermit(long nowNanos) {
         if (permitAskedNanos.isEmpty()) {
--- a/src/main/java/org/gooseberryhill/decision/online/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/online/package-info.java
@@ -1,2 +1,2 @@
-/** The life of one online request: taken in, sent, retried or given up; composed of the single decisions. */
+/** Combines the admission, routing, retry and quarantine decisions for each online request. */
 package org.gooseberryhill.decision.online;
--- a/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
@@ -9,21 +9,21 @@
 import org.gooseberryhill.contract.Fingerprint;
 
 /**
- * The requests that were in flight when an endpoint crashed. Not thread-safe; bounded.
+ * Records the requests that were in flight when an endpoint crashed. Bounded in size. Not thread-safe.
  *
- * <p>Failure: one request crashes each endpoint that runs it, and its caller sends it again through other hosts until
- * none is left. Everything in flight at a crash is suspect; a suspect runs apart from other suspects, so the second
- * crash tells which one it was; that one is refused at once everywhere until its time is over. A suspect that
- * completes is cleared.
+ * <p>Guards against a request that crashes each endpoint that runs it and that its caller resends through other hosts
+ * until no endpoint is left. Every request in flight at a crash becomes a suspect. A suspect runs at an endpoint
+ * without other suspects, so that a second crash identifies the cause; that request is then refused on all hosts until
+ * its quarantine expires. A suspect that completes is cleared.
  */
 public final class CrashSuspects {
-    /** What may be done with a request. */
+    /** How a request must be treated. */
     public enum Verdict {
-        /** Nothing is known against it. */
+        /** The request is not known to have been in flight at a crash. */
         CLEAR,
-        /** It was in flight at one crash: it runs apart. */
+        /** The request was in flight at one crash and runs apart from other suspects. */
         SUSPECT,
-        /** It was in flight at two: it is refused. */
+        /** The request was in flight at two crashes and is refused. */
         QUARANTINED
     }
 
@@ -35,19 +35,21 @@
     private final Map<Fingerprint, Record> records = new LinkedHashMap<>();
 
     /**
-     * An empty memory.
+     * Creates an empty instance.
      *
-     * @param memoryMillis how long a suspect or a quarantined request is remembered
-     * @param maxSuspects how many are remembered; the oldest goes first
+     * @param retentionMillis how long a request is kept after its last crash, in milliseconds
+     * @param maxSuspects the maximum number of requests kept; the one recorded first is evicted first
      */
-    public CrashSuspects(long memoryMillis, int maxSuspects) {
-        this.memoryNanos = TimeUnit.MILLISECONDS.toNanos(memoryMillis);
+    public CrashSuspects(long retentionMillis, int maxSuspects) {
+        this.memoryNanos = TimeUnit.MILLISECONDS.toNanos(retentionMillis);
         this.maxSuspects = maxSuspects;
     }
 
     /**
-     * An endpoint crashed with these requests in flight. Several hosts tell of the same crash, each of the requests it
-     * had there: reports of one endpoint within a short time are the same crash and count once for a request.
+     * Records that an endpoint crashed with requests in flight.
+     *
+     * <p>Several hosts report the same crash, each with the requests that it had there. For each request, reports of
+     * the same endpoint less than 2 s apart count as one crash.
      */
     public void crashed(String endpoint, Collection<Fingerprint> inFlight, long nowNanos) {
         forgetOld(nowNanos);
@@ -60,12 +62,12 @@
         }
     }
 
-    /** The request got its whole answer: it crashes nothing. */
+    /** Clears a request that completed: it does not crash endpoints. */
     public void completed(Fingerprint fingerprint) {
         records.remove(fingerprint);
     }
 
-    /** What may be done with a request now. */
+    /** Returns how a request must be treated now. */
     public Verdict verdict(Fingerprint fingerprint, long nowNanos) {
         Record record = records.get(fingerprint);
         if (record == null || nowNanos - record.sinceNanos > memoryNanos) {
@@ -74,7 +76,7 @@
         return record.crashes.size() >= CRASHES_BEFORE_QUARANTINE ? Verdict.QUARANTINED : Verdict.SUSPECT;
     }
 
-    /** How long the request stays refused, in milliseconds. */
+    /** Returns the time until the record of a request expires, in milliseconds; 0 if there is none. */
     public long remainingMillis(Fingerprint fingerprint, long nowNanos) {
         Record record = records.get(fingerprint);
         if (record == null) {
@@ -83,7 +85,7 @@
         return TimeUnit.NANOSECONDS.toMillis(Math.max(0, memoryNanos - (nowNanos - record.sinceNanos)));
     }
 
-    /** How many are remembered. */
+    /** Returns the number of requests recorded, including expired ones that have not been removed yet. */
     public int size() {
         return records.size();
     }
@@ -92,7 +94,7 @@
         records.values().removeIf(record -> nowNanos - record.sinceNanos > memoryNanos);
     }
 
-    /** The crashes of one fingerprint. */
+    /** The crashes at which one request was in flight. */
     private static final class Record {
         private final List<Crash> crashes = new ArrayList<>();
         private long sinceNanos;
--- a/src/main/java/org/gooseberryhill/decision/quarantine/SuspectArbiter.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/SuspectArbiter.java
@@ -8,22 +8,27 @@
 import org.gooseberryhill.contract.Fingerprint;
 
 /**
- * Grants the runs of suspects of one service, for all hosts. Not thread-safe.
+ * Assigns endpoints to the suspects of one service, on behalf of all hosts. Not thread-safe.
  *
- * <p>Invariant: a suspect runs at one endpoint at a time, and no two suspects share an endpoint, so a second crash has
- * one cause. A grant ends when its holder says so or after a time, since the holder may be lost. An arbiter that takes
- * over without the grants of the one before may let one more endpoint crash, never more for each takeover.
+ * <p>Invariant: a suspect runs at one endpoint at a time, and no two suspects share an endpoint, so that a second crash
+ * has a single cause. A grant ends when its holder releases it, or when it expires, since the holder may be lost. An
+ * arbiter that takes over does not know the grants of its predecessor; each takeover can therefore cause at most one
+ * more crash.
  */
 public final class SuspectArbiter {
     private final long grantNanos;
     private final Map<Fingerprint, Grant> grants = new HashMap<>();
 
-    /** An arbiter whose grants end after a time in milliseconds. */
+    /**
+     * Creates an arbiter without grants.
+     *
+     * @param grantMillis the time after which a grant expires, in milliseconds
+     */
     public SuspectArbiter(long grantMillis) {
         this.grantNanos = TimeUnit.MILLISECONDS.toNanos(grantMillis);
     }
 
-    /** Grants the first of the endpoints that no other suspect has; empty if the suspect has to wait. */
+    /** Grants the first of the endpoints that no other suspect holds; returns empty if the suspect has to wait. */
     public Optional<String> ask(Fingerprint suspect, List<String> endpoints, long nowNanos) {
         grants.values().removeIf(grant -> nowNanos - grant.sinceNanos > grantNanos);
         if (grants.containsKey(suspect)) {
@@ -36,11 +41,11 @@
         return free;
     }
 
-    /** The run of a suspect is over. */
+    /** Ends the grant of a suspect. */
     public void release(Fingerprint suspect) {
         grants.remove(suspect);
     }
 
-    /** A suspect's run. */
+    /** The endpoint granted to a suspect. */
     private record Grant(String endpoint, long sinceNanos) {}
 }
--- a/src/main/java/org/gooseberryhill/decision/quarantine/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that crash the endpoints that run them: found, run apart, then refused on all hosts for a time. */
+/** Identifies requests that crash endpoints, runs them apart and then refuses them on all hosts for a time. */
 package org.gooseberryhill.decision.quarantine;
--- a/src/main/java/org/gooseberryhill/decision/retry/AttemptFailure.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/AttemptFailure.java
@@ -3,10 +3,10 @@
 import org.gooseberryhill.contract.Outcome;
 
 /**
- * How an attempt at an endpoint failed. Immutable.
+ * Describes why an attempt at an endpoint failed. Immutable.
  *
- * @param outcome what is known about its effect
- * @param cutInside whether the endpoint broke off while it had the request: a sign of a crash
- * @param detail a short text for logs
+ * @param outcome whether the request may have run in this attempt
+ * @param cutInside whether the connection was lost while the endpoint had the request, which suggests a crash
+ * @param detail a short description for logs
  */
 public record AttemptFailure(Outcome outcome, boolean cutInside, String detail) {}
--- a/src/main/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicy.java
@@ -6,7 +6,7 @@
 import org.gooseberryhill.contract.Refusal;
 
 /**
- * Retries within the caller's deadline, a number of attempts and a budget. Not thread-safe.
+ * Retries failed requests within the caller's deadline, a maximum number of attempts and a budget. Not thread-safe.
  *
  * <p>Invariant: a request that is not idempotent is retried only if no byte of it reached an endpoint.
  */
@@ -18,10 +18,11 @@
     private final long minRemainingMillis;
 
     /**
-     * A policy over a budget.
+     * Creates a policy.
      *
-     * @param maxAttempts attempts in all, the first included
-     * @param minRemainingMillis with less time left than this a retry has no chance
+     * @param budget limits the retries of all requests together
+     * @param maxAttempts the maximum number of attempts for each request, including the first
+     * @param minRemainingMillis the minimum time before the deadline for a retry to have a chance, in milliseconds
      */
     public BudgetedRetryPolicy(RetryBudget budget, int maxAttempts, long minRemainingMillis) {
         this.budget = budget;
--- a/src/main/java/org/gooseberryhill/decision/retry/NoRetryPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/NoRetryPolicy.java
@@ -4,7 +4,7 @@
 import org.gooseberryhill.contract.ErrorCode;
 import org.gooseberryhill.contract.Refusal;
 
-/** The baseline: the first failure is final. Stateless. */
+/** Never retries; the baseline for comparisons. Stateless. */
 public final class NoRetryPolicy implements RetryPolicy {
     @Override
     public Optional<Refusal> giveUp(RetryCase retryCase, AttemptFailure failure) {
--- a/src/main/java/org/gooseberryhill/decision/retry/RetryBudget.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/RetryBudget.java
@@ -1,10 +1,10 @@
 package org.gooseberryhill.decision.retry;
 
 /**
- * Bounds retries to a share of the traffic. Not thread-safe.
+ * Limits retries to a share of the first attempts, plus a burst, with a token bucket. Not thread-safe.
  *
- * <p>Failure: many endpoints fail at once, each request is tried three times, and the rest of the fleet drowns in
- * three times the load. With a budget, retries add at most the share plus the reserve.
+ * <p>Without a budget, a failure of many endpoints at once makes each request be tried three times, so that the
+ * remaining endpoints are overloaded by three times the normal load.
  */
 public final class RetryBudget {
     private final double share;
@@ -12,10 +12,11 @@
     private double tokens;
 
     /**
-     * A full budget.
+     * Creates a full budget.
      *
-     * @param share retries per first attempt, such as 0.2
-     * @param reserve how many retries may follow at once, such as 20: a crash cuts all requests of one endpoint
+     * @param share the retries earned by each first attempt, such as 0.2
+     * @param reserve the maximum number of retries in a burst, such as 20, since a crash interrupts all requests of an
+     *     endpoint at once
      */
     public RetryBudget(double share, double reserve) {
         this.share = share;
@@ -23,12 +24,12 @@
         this.tokens = reserve;
     }
 
-    /** A first attempt was made. */
+    /** Records a first attempt, which adds to the budget. */
     public void firstAttempt() {
         tokens = Math.min(reserve, tokens + share);
     }
 
-    /** Takes a retry from the budget, if one is left. */
+    /** Takes one retry from the budget; returns false if none is left. */
     public boolean tryTake() {
         if (tokens < 1) {
             return false;
--- a/src/main/java/org/gooseberryhill/decision/retry/RetryCase.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/RetryCase.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.retry;
 
 /**
- * What matters about a request whose attempt failed. Immutable.
+ * The state of a request after a failed attempt, as input to a {@link RetryPolicy}. Immutable.
  *
- * @param idempotent whether it may run more than once
- * @param answerStarted whether the caller has a part of the answer that another endpoint can't continue
- * @param attempts how many attempts were made
- * @param remainingMillis how long until the caller's deadline, in milliseconds
+ * @param idempotent whether the request may run more than once
+ * @param answerStarted whether the caller already has a part of the answer that another endpoint cannot continue
+ * @param attempts the number of attempts made so far
+ * @param remainingMillis the time until the caller's deadline, in milliseconds
  */
 public record RetryCase(boolean idempotent, boolean answerStarted, int attempts, long remainingMillis) {}
--- a/src/main/java/org/gooseberryhill/decision/retry/RetryPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/RetryPolicy.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 import org.gooseberryhill.contract.Refusal;
 
-/** Decides whether a failed attempt is followed by another. */
+/** Decides whether a request is retried after a failed attempt. */
 public interface RetryPolicy {
-    /** A request was taken in; its first attempt adds to a budget, where there is one. */
+    /** Records that a request was admitted; its first attempt adds to the retry budget, if the policy has one. */
     default void firstAttempt() {}
 
-    /** Empty to try again on another endpoint; else the final answer, to be given at once. */
+    /** Returns empty if the request may be retried at another endpoint, otherwise the refusal to return at once. */
     Optional<Refusal> giveUp(RetryCase retryCase, AttemptFailure failure);
 }
--- a/src/main/java/org/gooseberryhill/decision/retry/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a failed attempt is tried again: never for what may not be repeated, never beyond a share of traffic. */
+/** Retry policies: never repeat a request that must not run twice, and limit retries to a share of the traffic. */
 package org.gooseberryhill.decision.retry;
--- a/src/main/java/org/gooseberryhill/decision/routing/EndpointState.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/EndpointState.java
@@ -5,10 +5,12 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * What one entry host knows of an endpoint: its own requests exactly, the others' as last reported. Not thread-safe.
+ * Tracks the load and health of an endpoint as seen by one entry host. Not thread-safe.
+ *
+ * <p>The host's own requests in flight are counted exactly; those of other hosts are as last reported.
  */
 public final class EndpointState {
-    /** Weight of the newest sample in the mean run time. */
+    /** Weight of the newest sample in the exponential moving average of the run time. */
     private static final double MEAN_WEIGHT = 0.1;
 
     private static final double INITIAL_RUN_MILLIS = 200;
@@ -30,27 +32,27 @@
         this.settings = settings;
     }
 
-    /** The endpoint's name. */
+    /** Returns the endpoint's name. */
     public String name() {
         return settings.name();
     }
 
-    /** The endpoint's settings. */
+    /** Returns the endpoint's settings. */
     public EndpointSettings settings() {
         return settings;
     }
 
-    /** Online requests in flight, own and others'. */
+    /** Returns the online requests in flight, from this host and as reported for others. */
     public int onlineInFlight() {
         return ownInFlight + othersInFlight;
     }
 
-    /** This entry's own online requests in flight. */
+    /** Returns the online requests in flight from this entry host. */
     public int ownInFlight() {
         return ownInFlight;
     }
 
-    /** How long a request would wait for a slot, in milliseconds; batch doesn't count, since it yields. */
+    /** Returns the expected wait for a slot, in milliseconds; batch items are not counted, since they yield. */
     public double predictedWaitMillis() {
         int waiting = onlineInFlight() - settings.slots() + 1;
         if (waiting <= 0) {
@@ -59,32 +61,32 @@
         return waiting * meanRunMillis / settings.slots();
     }
 
-    /** Online requests in flight as a share of the slots. */
+    /** Returns the online requests in flight as a share of the slots. */
     public double load() {
         return (double) onlineInFlight() / settings.slots();
     }
 
-    /** Batch items in flight as a share of the slots. */
+    /** Returns the batch items in flight as a share of the slots. */
     public double batchLoad() {
         return (double) batchInFlight / settings.slots();
     }
 
-    /** Whether the endpoint is in a zone. */
+    /** Returns whether the endpoint is in the availability zone. */
     public boolean isIn(AvailabilityZone zone) {
         return settings.zone().equals(zone);
     }
 
-    /** Whether new requests may go there: it is not leaving and not ejected. */
+    /** Returns whether the endpoint may get new requests: it is neither leaving nor ejected. */
     public boolean isEligible(long nowNanos) {
         return !isLeaving() && !isEjected(nowNanos);
     }
 
-    /** Whether failures have taken it out for now. */
+    /** Returns whether the endpoint is temporarily excluded because of failures. */
     public boolean isEjected(long nowNanos) {
         return ejectedUntilNanos != Long.MIN_VALUE && nowNanos - ejectedUntilNanos < 0;
     }
 
-    /** Whether it is known to be leaving, from any source. */
+    /** Returns whether any source says that the endpoint is leaving. */
     public boolean isLeaving() {
         return leaving || settings.leaving();
     }
@@ -118,7 +120,7 @@
         meanRunMillis += MEAN_WEIGHT * (runMillis - meanRunMillis);
     }
 
-    /** Counts a failure; returns whether it is time to eject. */
+    /** Counts a failure and returns whether the endpoint should be ejected. */
     boolean failed(boolean unreachable) {
         failuresInRow++;
         return unreachable || failuresInRow >= FAILURES_BEFORE_EJECTION;
--- a/src/main/java/org/gooseberryhill/decision/routing/EndpointTable.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/EndpointTable.java
@@ -11,16 +11,16 @@
 import org.gooseberryhill.configuration.EndpointSettings;
 
 /**
- * All endpoints that an entry host knows, by name and by service. Not thread-safe.
+ * Indexes the endpoints known to an entry host by name and by service. Not thread-safe.
  *
- * <p>Invariant: an endpoint known to be leaving from any source gets no new request; failures never eject more than
- * half of a service's endpoints, since a cut at this host looks like a failure of all of them.
+ * <p>Invariants: an endpoint that any source reports as leaving gets no new request; failures never eject more than
+ * half of a service's endpoints, since a network failure at this host looks like a failure of all of them.
  */
 public final class EndpointTable {
     private final Map<String, EndpointState> byName = new LinkedHashMap<>();
     private Map<String, ServicePool> pools = Map.of();
 
-    /** Takes in a configuration; counts and failures of endpoints that stay are kept. */
+    /** Applies a configuration. Endpoints that remain keep their request counts and failure history. */
     public void configure(Configuration configuration) {
         byName.keySet().retainAll(configuration.endpoints().keySet());
         Map<String, List<EndpointState>> byService = new HashMap<>();
@@ -36,37 +36,37 @@
         pools = newPools;
     }
 
-    /** The endpoints that the host list, a steward or an endpoint's own answer says are leaving. */
+    /** Replaces the set of endpoints that are leaving according to the host list, a steward or their own status. */
     public void leaving(Set<String> names) {
         byName.values().forEach(state -> state.leaving(names.contains(state.name())));
     }
 
-    /** A steward's report of an endpoint. */
+    /** Applies a steward's report of the online requests and batch items in flight at an endpoint. */
     public void reported(String name, int online, int batch) {
         find(name).ifPresent(state -> state.reported(online, batch));
     }
 
-    /** A service's endpoints; empty if none is configured. */
+    /** Returns the endpoints of a service, or empty if none is configured. */
     public Optional<ServicePool> pool(String service) {
         return Optional.ofNullable(pools.get(service));
     }
 
-    /** An endpoint by name. */
+    /** Returns the endpoint with a name, or empty if it is unknown. */
     public Optional<EndpointState> find(String name) {
         return Optional.ofNullable(byName.get(name));
     }
 
-    /** All endpoints. */
+    /** Returns all endpoints. */
     public Iterable<EndpointState> all() {
         return byName.values();
     }
 
-    /** An attempt started. */
+    /** Records the start of an attempt at an endpoint. */
     public void started(String name) {
         find(name).ifPresent(EndpointState::started);
     }
 
-    /** An attempt ended with a whole answer. */
+    /** Records an attempt that ended with a complete answer. */
     public void succeeded(String name, long runNanos) {
         find(name).ifPresent(state -> {
             state.ended();
@@ -74,12 +74,16 @@
         });
     }
 
-    /** An attempt was given up by this host itself; it says nothing about the endpoint. */
+    /** Records an attempt that this host cancelled. It does not count for or against the endpoint's health. */
     public void abandoned(String name) {
         find(name).ifPresent(EndpointState::ended);
     }
 
-    /** An attempt failed; unreachable means that no connection could be made. */
+    /**
+     * Records a failed attempt and ejects the endpoint if needed.
+     *
+     * @param unreachable whether no connection could be made, which ejects the endpoint at the first failure
+     */
     public void failed(String name, boolean unreachable, long nowNanos) {
         find(name).ifPresent(state -> {
             state.ended();
--- a/src/main/java/org/gooseberryhill/decision/routing/PrefixAffinityPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/PrefixAffinityPolicy.java
@@ -3,8 +3,10 @@
 import java.util.Optional;
 
 /**
- * Sends requests with the same prompt beginning to the same endpoint while it is not overloaded, after consistent
- * hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016); else as another policy says. Not thread-safe.
+ * Routes requests with the same prompt prefix to the same endpoint while its load is below a bound, and delegates to a
+ * fallback policy otherwise. Not thread-safe.
+ *
+ * <p>Implements consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016).
  */
 public final class PrefixAffinityPolicy implements RoutePolicy {
     private static final int MAX_STEPS = 4;
@@ -13,9 +15,10 @@
     private final double maxLoad;
 
     /**
-     * A policy over a fallback.
+     * Creates a policy.
      *
-     * @param maxLoad online requests as a share of the slots up to which affinity goes before balance
+     * @param fallback the policy for requests without a prefix or without a usable endpoint below {@code maxLoad}
+     * @param maxLoad the load, as online requests per slot, from which an endpoint is no longer chosen by prefix
      */
     public PrefixAffinityPolicy(RoutePolicy fallback, double maxLoad) {
         this.fallback = fallback;
--- a/src/main/java/org/gooseberryhill/decision/routing/RoundRobinPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/RoundRobinPolicy.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The baseline: each eligible endpoint in turn. Not thread-safe. */
+/** Chooses the eligible endpoints in turn; the baseline for comparisons. Not thread-safe. */
 public final class RoundRobinPolicy implements RoutePolicy {
     private int next;
 
--- a/src/main/java/org/gooseberryhill/decision/routing/RoutePolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/RoutePolicy.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 
-/** Chooses an endpoint among those of a service. */
+/** Chooses the endpoint of a service that gets a request. */
 public interface RoutePolicy {
-    /** The endpoint for a request; empty if none is eligible. */
+    /** Returns the endpoint for a request, or empty if none is eligible. */
     Optional<EndpointState> choose(ServicePool pool, RouteRequest request, long nowNanos);
 }
--- a/src/main/java/org/gooseberryhill/decision/routing/RouteRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/RouteRequest.java
@@ -4,10 +4,10 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * What matters about a request for choosing its endpoint. Immutable.
+ * The properties of a request that determine its endpoint. Immutable.
  *
- * @param entryZone where the entry host runs
- * @param prefixHash a hash of the prompt's beginning, equal for requests that could share a cached prefix
- * @param tried endpoints that failed the request already
+ * @param entryZone the availability zone of the entry host
+ * @param prefixHash a hash of the prompt's prefix, equal for requests that can share a cached prefix; 0 for none
+ * @param tried the names of endpoints at which the request has already failed
  */
 public record RouteRequest(AvailabilityZone entryZone, long prefixHash, Set<String> tried) {}
--- a/src/main/java/org/gooseberryhill/decision/routing/ServicePool.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/ServicePool.java
@@ -5,8 +5,13 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The endpoints of one service, in an order that allows choosing without a scan. Not thread-safe. */
+/**
+ * The endpoints of one service, as a list and on a consistent hash ring (Karger et al., 1997). Not thread-safe.
+ *
+ * <p>Both allow an endpoint to be chosen without looking at all of them.
+ */
 public final class ServicePool {
+    /** Ring points (virtual nodes) of each endpoint. */
     private static final int POINTS_PER_ENDPOINT = 16;
 
     private final List<EndpointState> endpoints;
@@ -27,18 +32,18 @@
         ringOwners = Arrays.stream(ring).map(RingPoint::owner).toArray(EndpointState[]::new);
     }
 
-    /** The endpoints, in the order of the configuration. */
+    /** Returns the endpoints in the order of the configuration. */
     public List<EndpointState> endpoints() {
         return endpoints;
     }
 
-    /** The owner of the step-th ring point at or after a hash (consistent hashing, Karger et al., 1997). */
+    /** Returns the owner of the ring point that is the given number of steps after the first one at or after a hash. */
     public EndpointState onRing(long hash, int step) {
         int found = Arrays.binarySearch(ringHashes, hash);
         int start = found >= 0 ? found : -found - 1;
         return ringOwners[(start + step) % ringOwners.length];
     }
 
-    /** A point of the ring. */
+    /** A point on the hash ring. */
     private record RingPoint(long hash, EndpointState owner) {}
 }
--- a/src/main/java/org/gooseberryhill/decision/routing/TwoChoicesPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/TwoChoicesPolicy.java
@@ -5,38 +5,39 @@
 import java.util.Random;
 
 /**
- * Takes the better of two random endpoints by predicted wait (Mitzenmacher, 2001). Not thread-safe.
+ * Chooses the cheaper of two random endpoints (power of two choices; Mitzenmacher, 2001). Not thread-safe.
  *
- * <p>The cost does not grow with the number of endpoints; only if several random picks in a row are not eligible are
- * all looked at. Two random picks also keep entries with the same stale reports from all choosing the same endpoint.
+ * <p>The cost of an endpoint is its predicted wait plus allowances for its load and its availability zone. The effort
+ * does not grow with the number of endpoints: all are examined only after several random picks in a row were unusable.
+ * Random picks also keep entry hosts that have the same outdated reports from all choosing the same endpoint.
  */
 public final class TwoChoicesPolicy implements RoutePolicy {
     private static final int MAX_PICKS = 8;
 
-    /** A trip to another zone and back, in milliseconds: twice the brief's 1.5. */
+    /** Round trip to another availability zone, in milliseconds: twice the specified 1.5 ms. */
     private static final double OTHER_ZONE_MILLIS = 3;
 
-    /** A fully loaded endpoint answers slower than an idle one even before it queues. */
+    /** Extra response time of a fully loaded endpoint, in milliseconds: it slows down even before requests queue. */
     private static final double FULL_LOAD_MILLIS = 40;
 
     private final Random random;
 
-    /** A policy that draws from a seeded source. */
+    /** Creates a policy that draws from a seeded random number generator. */
     public TwoChoicesPolicy(Random random) {
         this.random = random;
     }
 
     @Override
     public Optional<EndpointState> choose(ServicePool pool, RouteRequest request, long nowNanos) {
-        Optional<EndpointState> one = pick(pool.endpoints(), request, nowNanos);
-        if (one.isEmpty()) {
+        Optional<EndpointState> first = pick(pool.endpoints(), request, nowNanos);
+        if (first.isEmpty()) {
             return scan(pool.endpoints(), request, nowNanos);
         }
-        Optional<EndpointState> other = pick(pool.endpoints(), request, nowNanos);
-        if (other.isEmpty()) {
-            return one;
+        Optional<EndpointState> second = pick(pool.endpoints(), request, nowNanos);
+        if (second.isEmpty()) {
+            return first;
         }
-        return cost(other.get(), request) < cost(one.get(), request) ? other : one;
+        return cost(second.get(), request) < cost(first.get(), request) ? second : first;
     }
 
     private Optional<EndpointState> pick(List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
--- a/src/main/java/org/gooseberryhill/decision/routing/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which endpoint an online request goes to. */
+/** Load balancing: chooses the endpoint of each online request. */
 package org.gooseberryhill.decision.routing;
--- a/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
@@ -31,7 +31,7 @@
         assertThat(endpoint.free(0)).isEqualTo(1);
     }
 
-    /** A class begins: ten times the requests come at once. Each report makes just enough batch items yield. */
+    /** When online load rises to ten times at once, each report makes just enough batch items yield. */
     @Test
     void aBurstMakesBatchYieldInTheSameCall() {
         fill();
@@ -53,7 +53,7 @@
         assertThat(yielded).extracting(RunningItem::run).containsExactly(1L, 2L);
     }
 
-    /** An entry's reports stop coming: its last one counts for a time, then its room is given back. */
+    /** When an entry host stops reporting, its last report is used for 12 s; then its slots are free again. */
     @Test
     void aReportThatIsNotRepeatedFades() {
         endpoint.onlineReported(ENTRY, 7, false, 0);
@@ -62,7 +62,7 @@
         assertThat(endpoint.free(12_100 * MILLI)).isEqualTo(7);
     }
 
-    /** An entry is lost with requests in flight: as soon as the membership says so, its room is given back. */
+    /** When the membership reports the loss of an entry host, the slots of its requests are free at once. */
     @Test
     void theReportOfALostEntryIsDropped() {
         endpoint.onlineReported(ENTRY, 7, false, 0);
@@ -72,7 +72,7 @@
         assertThat(endpoint.free(0)).isEqualTo(5);
     }
 
-    /** No entry reaches this steward; the engine's own count, though late, keeps batch from crowding online out. */
+    /** When no entry host reaches the steward, the engine's lagging count keeps slots free for online requests. */
     @Test
     void theEnginesOwnCountStandsInForReportsThatDoNotCome() {
         fill();
@@ -105,25 +105,26 @@
         assertThat(fixed.free(0)).isEqualTo(8);
     }
 
-    /** Reports, starts and ends in any order: batch never takes more than what online leaves. */
+    /** Checks the limit for batch items over random sequences of reports, starts and ends. */
     @Property(seed = "20261203")
     void batchIsNeverMoreThanWhatOnlineLeaves(@ForAll long seed) {
         Random random = new Random(seed);
-        EndpointBatch any = endpoint(new LeftoverSlotsPolicy(0.125));
+        EndpointBatch batch = endpoint(new LeftoverSlotsPolicy(0.125));
         long now = 0;
         int online = 0;
         for (int step = 0; step < 200; step++) {
             now += random.nextInt(100) * MILLI;
             if (random.nextInt(3) == 0) {
                 online = random.nextInt(12);
-                any.onlineReported(ENTRY, online, random.nextInt(10) == 0, now).forEach(item -> any.ended(item.run()));
+                batch.onlineReported(ENTRY, online, random.nextInt(10) == 0, now)
+                        .forEach(item -> batch.ended(item.run()));
             } else {
-                any.onlineReported(ENTRY, online, false, now).forEach(item -> any.ended(item.run()));
-                if (any.free(now) > 0) {
-                    any.started(new RunningItem(step, now));
+                batch.onlineReported(ENTRY, online, false, now).forEach(item -> batch.ended(item.run()));
+                if (batch.free(now) > 0) {
+                    batch.started(new RunningItem(step, now));
                 }
             }
-            assertThat(any.running().size()).isLessThanOrEqualTo(Math.max(0, 8 - online - 1));
+            assertThat(batch.running().size()).isLessThanOrEqualTo(Math.max(0, 8 - online - 1));
         }
     }
 
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
@@ -15,8 +15,8 @@
 import org.gooseberryhill.decision.FakeKeyValue.Condition;
 
 /**
- * A caller sends the same booking again and again through several hosts, while writes to the key-value service are
- * lost, arrive late, or take effect without an answer. The booking must be sent at most once.
+ * Guards against a call being sent twice when a caller resends it through several hosts while writes to the key-value
+ * service are lost, arrive late or take effect without an answer.
  */
 class ClaimProperties {
     private static final String KEY = "call";
@@ -61,7 +61,7 @@
                 .isEqualTo(2);
     }
 
-    /** One call on one host. */
+    /** A call as handled by one host. */
     private static final class Call {
         private final ClaimRecord own;
         private final Claim claim;
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
@@ -40,7 +40,7 @@
         assertThat(refusal.retryAfterMillis()).isPresent();
     }
 
-    /** The host that claimed was lost with the call on its way: in the end the caller hears that nothing will come. */
+    /** The claim's host was lost while the call was in flight; a later resend must learn that the answer is lost. */
     @Test
     void aClaimWhoseHolderWasLostEndsAsMayHaveRun() {
         Refusal refusal = refusal(claim.read(Optional.of(others), 700_000));
@@ -56,7 +56,7 @@
         assertThat(refusal(claim.read(Optional.of(different), 0)).code()).isEqualTo(ErrorCode.CONFLICT);
     }
 
-    /** The key-value service is out: the call can't be claimed, is never sent, and its caller hears that truly. */
+    /** Without the key-value service, a call cannot be claimed, is never sent and is refused as not run. */
     @Test
     void duringAnOutageTheCallIsRefusedAsNotRun() {
         ClaimStep step = claim.unanswered();
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreFixture.java
@@ -9,7 +9,7 @@
 import org.gooseberryhill.decision.quarantine.CrashSuspects;
 import org.gooseberryhill.zone.AvailabilityZone;
 
-/** An entry's core over a few endpoints, and requests for it. */
+/** Creates cores of an entry host with a few endpoints, and requests for them. */
 final class OnlineCoreFixture {
     static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
@@ -19,8 +19,8 @@
 import org.gooseberryhill.decision.retry.AttemptFailure;
 
 /**
- * Random interleavings of arrivals, failures, crashes, leavings and time over the core, checked against a small model:
- * what was sent, and what of it reached an endpoint.
+ * Runs random sequences of arrivals, successes, failures, crashes, leaving endpoints and passing time against the core,
+ * and checks its decisions against a small model of what was sent and what may have reached an endpoint.
  */
 class OnlineCoreProperties {
     private static final int STEPS = 300;
@@ -30,7 +30,7 @@
         new Run(seed).play();
     }
 
-    /** One run of the model beside the core. */
+    /** One random sequence, run against the core and the model. */
     private static final class Run {
         private final Random random;
         private final OnlineCore core;
@@ -83,9 +83,9 @@
 
         private void follow(OnlineRequest request, OnlineDecision decision) {
             String id = request.intake().id();
-            if (decision instanceof OnlineDecision.AskPermit question) {
+            if (decision instanceof OnlineDecision.AskPermit askPermit) {
                 Optional<String> granted =
-                        random.nextBoolean() ? Optional.of(question.endpoints().get(0)) : Optional.empty();
+                        random.nextBoolean() ? Optional.of(askPermit.endpoints().get(0)) : Optional.empty();
                 follow(request, core.permitted(request, granted, now));
             } else if (decision instanceof OnlineDecision.Wait wait) {
                 now += wait.delayMillis() * 1_000_000;
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
@@ -19,8 +19,8 @@
     private final OnlineCore core = OnlineCoreFixture.core(4, 1);
 
     /**
-     * The first endpoint takes the booking and is lost; the second can't be reached. The caller must hear that the
-     * booking may have run, although the last attempt did not.
+     * The first endpoint is lost after it got the request, and the other endpoints are unreachable. The refusal must
+     * say that the request may have run, although the last attempt did not.
      */
     @Test
     void onceAnAttemptMayHaveRunTheRequestMayHaveRun() {
@@ -67,8 +67,8 @@
     }
 
     /**
-     * All slots are taken and a request's deadline is near. It could only wait in vain, so it is refused at once and
-     * told when a slot is likely free.
+     * All slots are in use and the request's deadline is near. It would expire while waiting, so it is refused at once
+     * with the time at which a slot is likely to be free.
      */
     @Test
     void aRequestThatCannotBeAnsweredInTimeIsRefusedAtOnce() {
@@ -83,7 +83,7 @@
         assertThat(refusal.retryAfterMillis().orElseThrow()).isPositive();
     }
 
-    /** A cut between this host and its zone looks like the failure of all endpoints: half of them stay in use. */
+    /** A network failure at this host looks like a failure of all endpoints, so half of them must stay in use. */
     @Test
     void failuresNeverEjectMoreThanHalfOfTheEndpoints() {
         for (int i = 0; i < 40; i++) {
@@ -106,10 +106,10 @@
         OnlineDecision.Send first = (OnlineDecision.Send) core.next(request, 0);
         core.suspects()
                 .crashed(first.endpoint().name(), List.of(request.intake().fingerprint()), 0);
-        OnlineDecision.AskPermit question = (OnlineDecision.AskPermit) core.attemptFailed(request, CUT, 0);
-        String apart = question.endpoints().get(0);
-        core.permitted(request, Optional.of(apart), 0);
-        core.suspects().crashed(apart, List.of(request.intake().fingerprint()), 3 * SECOND);
+        OnlineDecision.AskPermit askPermit = (OnlineDecision.AskPermit) core.attemptFailed(request, CUT, 0);
+        String granted = askPermit.endpoints().get(0);
+        core.permitted(request, Optional.of(granted), 0);
+        core.suspects().crashed(granted, List.of(request.intake().fingerprint()), 3 * SECOND);
 
         OnlineDecision decision = core.attemptFailed(request, CUT, 3 * SECOND);
         Refusal resent = core.admit(OnlineCoreFixture.intake(1, true, 10 * SECOND), 3 * SECOND)
--- a/src/test/java/org/gooseberryhill/decision/quarantine/CrashSuspectsTest.java
+++ b/src/test/java/org/gooseberryhill/decision/quarantine/CrashSuspectsTest.java
@@ -33,7 +33,7 @@
         assertThat(suspects.verdict(INNOCENT, SECOND)).isEqualTo(Verdict.CLEAR);
     }
 
-    /** Three hosts had the same popular prompt at the endpoint that crashed, and all of them tell. */
+    /** Three hosts had the same popular prompt in flight at the crashed endpoint, and each reports the crash. */
     @Test
     void oneCrashToldByManyHostsCountsOnce() {
         suspects.crashed("e1", List.of(INNOCENT), 0);
--- a/src/test/java/org/gooseberryhill/decision/quarantine/SuspectArbiterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/quarantine/SuspectArbiterTest.java
@@ -21,7 +21,7 @@
         assertThat(arbiter.ask(new Fingerprint("three"), ENDPOINTS, 0)).isEmpty();
     }
 
-    /** The caller sends the suspect through a second host while it runs: it must not take down two endpoints at once. */
+    /** The caller resends a running suspect through a second host; it must not crash two endpoints at once. */
     @Test
     void aSuspectRunsAtOneEndpointAtATime() {
         arbiter.ask(ONE, ENDPOINTS, 0);
--- a/src/test/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicyTest.java
+++ b/src/test/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicyTest.java
@@ -14,8 +14,8 @@
     private final BudgetedRetryPolicy policy = new BudgetedRetryPolicy(new RetryBudget(0.2, 10), 3, 20);
 
     /**
-     * The caller's attempt failed. What follows depends on whether the request may run twice, what reached the
-     * endpoint, what the caller has of the answer, and what is left of attempts and time.
+     * The decision after a failed attempt depends on whether the request is idempotent, whether it may have run,
+     * whether the caller has a part of the answer, and how many attempts and how much time are left.
      */
     @ParameterizedTest(name = "idempotent {0}, outcome {1}, answer started {2}, attempts {3}, {4} ms left: {5}")
     @CsvSource({
@@ -29,17 +29,23 @@
         "false, MAY_HAVE_RUN, false, 1, 10,   ENDPOINT_FAILED"
     })
     void aFailureIsFollowedByARetryOrAFinalAnswer(
-            boolean idempotent, Outcome outcome, boolean started, int attempts, long leftMillis, String expected) {
+            boolean idempotent,
+            Outcome outcome,
+            boolean answerStarted,
+            int attempts,
+            long remainingMillis,
+            String expected) {
         Optional<Refusal> refusal = policy.giveUp(
-                new RetryCase(idempotent, started, attempts, leftMillis), new AttemptFailure(outcome, false, ""));
+                new RetryCase(idempotent, answerStarted, attempts, remainingMillis),
+                new AttemptFailure(outcome, false, ""));
 
         assertThat(refusal.map(found -> found.code().name()).orElse("RETRY")).isEqualTo(expected);
         refusal.ifPresent(found -> assertThat(found.outcome()).isEqualTo(outcome));
     }
 
     /**
-     * Half the fleet is lost and every request fails. Without a bound each would be tried three times; with it, retries
-     * are the reserve plus a share of the traffic, and the rest is refused at once.
+     * Half of the endpoints are lost and every request fails. Without a budget each request would be tried three times;
+     * with it, the retries are limited to the reserve plus a share of the traffic, and the rest are refused at once.
      */
     @Test
     void retriesAreBoundedByAShareOfTheTraffic() {
--- a/src/test/java/org/gooseberryhill/decision/routing/RoutePolicyTest.java
+++ b/src/test/java/org/gooseberryhill/decision/routing/RoutePolicyTest.java
@@ -63,7 +63,7 @@
         }
     }
 
-    /** An endpoint joins; most prompts keep theirs, so that the engines' caches stay of use. */
+    /** When an endpoint is added, most prompts keep their endpoint, so that the engines' prefix caches stay useful. */
     @Test
     void aNewEndpointTakesOnlyItsShareOfThePrefixes() {
         RoutePolicy policy = new PrefixAffinityPolicy(new RoundRobinPolicy(), 0.5);
