--- a/src/main/java/org/gooseberryhill/decision/admission/DeadlineAdmissionPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/admission/DeadlineAdmissionPolicy.java
@@ -13,15 +13,15 @@
 public final class DeadlineAdmissionPolicy implements AdmissionPolicy {
     private static final long LIMITED_RETRY_AFTER_MILLIS = 1000;
 
-    private final double waitShareOfDeadline;
+    private final double maxWaitShare;
 
     /**
      * Creates a policy.
      *
-     * @param waitShareOfDeadline the share of the time until the deadline that may be spent waiting, such as 0.5
+     * @param maxWaitShare the share of the time until the deadline that may be spent waiting, such as 0.5
      */
-    public DeadlineAdmissionPolicy(double waitShareOfDeadline) {
-        this.waitShareOfDeadline = waitShareOfDeadline;
+    public DeadlineAdmissionPolicy(double maxWaitShare) {
+        this.maxWaitShare = maxWaitShare;
     }
 
     @Override
@@ -35,7 +35,7 @@
         if (admission.remainingMillis() <= 0) {
             return Optional.of(Refusal.notRun(ErrorCode.DEADLINE_EXCEEDED, "the deadline has passed"));
         }
-        if (admission.predictedWaitMillis() > waitShareOfDeadline * admission.remainingMillis()) {
+        if (admission.predictedWaitMillis() > maxWaitShare * admission.remainingMillis()) {
             long waitMillis = (long) Math.ceil(admission.predictedWaitMillis());
             return Optional.of(Refusal.notRun(ErrorCode.OVERLOADED, "no room within the deadline", waitMillis));
         }
--- a/src/main/java/org/gooseberryhill/decision/batch/EndpointBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/EndpointBatch.java
@@ -19,20 +19,20 @@
  */
 public final class EndpointBatch {
     /** How long an entry host's last report is used without a newer one; reports are repeated every 5 s. */
-    private static final long REPORT_LIFE_NANOS = TimeUnit.MILLISECONDS.toNanos(12_000);
+    private static final long REPORT_RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(12_000);
 
     /** How long the engine's own count is used; it lags, so it must not outlive newer reports. */
-    private static final long ENGINE_LIFE_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
+    private static final long ENGINE_COUNT_RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private final BatchSlotPolicy slotPolicy;
     private final YieldOrder yieldOrder;
-    private final TailCap tailCap;
+    private final TailLatencyCap tailLatencyCap;
     private final Map<HostId, Report> onlineByEntry = new HashMap<>();
     private final Map<Long, RunningItem> running = new LinkedHashMap<>();
     private EndpointSettings settings;
     private int weightPercent;
-    private int engineOthers;
-    private long engineNanos = Long.MIN_VALUE;
+    private int engineOnlineInFlight;
+    private long engineReportedNanos = Long.MIN_VALUE;
     private boolean leaving;
     private long pausedUntilNanos = Long.MIN_VALUE;
 
@@ -43,7 +43,7 @@
         this.weightPercent = weightPercent;
         this.slotPolicy = slotPolicy;
         this.yieldOrder = yieldOrder;
-        this.tailCap = new TailCap(settings.slots());
+        this.tailLatencyCap = new TailLatencyCap(settings.slots());
     }
 
     /** Returns the endpoint's settings. */
@@ -65,9 +65,9 @@
     public List<RunningItem> onlineReported(HostId entry, int inFlight, boolean slow, long nowNanos) {
         onlineByEntry.put(entry, new Report(inFlight, nowNanos));
         if (slow) {
-            tailCap.slow(running.size(), nowNanos);
+            tailLatencyCap.recordSlow(running.size(), nowNanos);
         }
-        return excess(nowNanos);
+        return itemsToYield(nowNanos);
     }
 
     /** Discards the reports of entry hosts that are not present: a lost host has no requests in flight. */
@@ -77,9 +77,9 @@
 
     /** Applies the engine's own, lagging count of requests in flight and returns the items that must yield now. */
     public List<RunningItem> engineReported(int active, long nowNanos) {
-        engineOthers = Math.max(0, active - running.size());
-        engineNanos = nowNanos;
-        return excess(nowNanos);
+        engineOnlineInFlight = Math.max(0, active - running.size());
+        engineReportedNanos = nowNanos;
+        return itemsToYield(nowNanos);
     }
 
     /** Sets whether the endpoint is leaving; a leaving endpoint gets no new items. */
@@ -98,7 +98,7 @@
         if (leaving || settings.leaving() || paused) {
             return 0;
         }
-        return Math.max(0, allowed(nowNanos) - running.size());
+        return Math.max(0, allowedItems(nowNanos) - running.size());
     }
 
     /** Records the start of an item. */
@@ -118,26 +118,28 @@
 
     /** Returns the best available estimate of the online requests in flight. */
     public int online(long nowNanos) {
-        onlineByEntry.values().removeIf(report -> nowNanos - report.atNanos > REPORT_LIFE_NANOS);
+        onlineByEntry.values().removeIf(report -> nowNanos - report.receivedNanos > REPORT_RETENTION_NANOS);
         int reported = onlineByEntry.values().stream()
                 .mapToInt(report -> report.inFlight)
                 .sum();
-        boolean engineFresh = engineNanos != Long.MIN_VALUE && nowNanos - engineNanos < ENGINE_LIFE_NANOS;
+        boolean engineFresh =
+                engineReportedNanos != Long.MIN_VALUE && nowNanos - engineReportedNanos < ENGINE_COUNT_RETENTION_NANOS;
         boolean reportsFresh = !onlineByEntry.isEmpty();
         // The engine's count lags by design. It is used only when no entry host reports; otherwise it would keep
         // batch items out long after a burst has ended.
-        return engineFresh && !reportsFresh ? Math.max(reported, engineOthers) : reported;
+        return engineFresh && !reportsFresh ? Math.max(reported, engineOnlineInFlight) : reported;
     }
 
-    private List<RunningItem> excess(long nowNanos) {
-        return yieldOrder.choose(running.values(), running.size() - allowed(nowNanos));
+    private List<RunningItem> itemsToYield(long nowNanos) {
+        return yieldOrder.choose(running.values(), running.size() - allowedItems(nowNanos));
     }
 
-    private int allowed(long nowNanos) {
-        SlotCase slotCase = new SlotCase(settings.slots(), online(nowNanos), weightPercent, tailCap.value(nowNanos));
+    private int allowedItems(long nowNanos) {
+        SlotCase slotCase =
+                new SlotCase(settings.slots(), online(nowNanos), weightPercent, tailLatencyCap.value(nowNanos));
         return slotPolicy.slots(slotCase);
     }
 
     /** The last report of an entry host. */
-    private record Report(int inFlight, long atNanos) {}
+    private record Report(int inFlight, long receivedNanos) {}
 }
--- a/src/main/java/org/gooseberryhill/decision/batch/LeftoverSlotsPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/LeftoverSlotsPolicy.java
@@ -25,6 +25,6 @@
         // The reserve stays free in addition to the slots in use by online requests.
         int left = slotCase.slots() - Math.max(slotCase.online(), 0) - reserve;
         int weighted = Math.max(0, left) * slotCase.weightPercent() / PERCENT;
-        return Math.min(weighted, slotCase.tailCap());
+        return Math.min(weighted, slotCase.tailLatencyCap());
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/batch/TailWatch.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/TailWatch.java
@@ -12,8 +12,8 @@
  * it. Older samples lose weight exponentially, so that a past burst does not hold back batch items.
  */
 public final class TailWatch {
-    private static final double ALLOWED_SHARE = 0.05;
-    private static final double FADE = 0.98;
+    private static final double MAX_SLOW_SHARE = 0.05;
+    private static final double DECAY_PER_SAMPLE = 0.98;
     private static final double MIN_SAMPLES = 10;
 
     private final Map<String, Samples> byEndpoint = new HashMap<>();
@@ -46,13 +46,13 @@
         private double beyond;
 
         void add(int number, int numberBeyond) {
-            double decay = Math.pow(FADE, number);
+            double decay = Math.pow(DECAY_PER_SAMPLE, number);
             total = total * decay + number;
             beyond = beyond * decay + numberBeyond;
         }
 
         boolean isSlow() {
-            return total >= MIN_SAMPLES && beyond > ALLOWED_SHARE * total;
+            return total >= MIN_SAMPLES && beyond > MAX_SLOW_SHARE * total;
         }
 
         void clear() {
--- a/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
@@ -16,7 +16,7 @@
  */
 public final class WorkSources {
     private final Map<HostId, Map<String, Long>> dueByOwner = new HashMap<>();
-    private final Map<HostId, Set<String>> asked = new HashMap<>();
+    private final Map<HostId, Set<String>> openRequests = new HashMap<>();
 
     /**
      * Applies a heartbeat of an owner, which replaces what was known of it.
@@ -42,19 +42,19 @@
      */
     public Optional<HostId> nextToAsk(String service) {
         Optional<HostId> owner = dueByOwner.entrySet().stream()
-                .filter(entry -> entry.getValue().containsKey(service) && !isAsked(entry.getKey(), service))
+                .filter(entry -> entry.getValue().containsKey(service) && !hasOpenRequest(entry.getKey(), service))
                 .min(Comparator.comparingLong((Map.Entry<HostId, Map<String, Long>> entry) ->
                                 entry.getValue().get(service))
                         .thenComparing(Map.Entry::getKey))
                 .map(Map.Entry::getKey);
-        owner.ifPresent(
-                found -> asked.computeIfAbsent(found, key -> new HashSet<>()).add(service));
+        owner.ifPresent(found ->
+                openRequests.computeIfAbsent(found, key -> new HashSet<>()).add(service));
         return owner;
     }
 
     /** Closes a request to an owner. An owner without items is not asked again until its next heartbeat or notice. */
     public void answered(HostId owner, String service, boolean hadItems) {
-        Set<String> openServices = asked.get(owner);
+        Set<String> openServices = openRequests.get(owner);
         if (openServices != null) {
             openServices.remove(service);
         }
@@ -67,10 +67,10 @@
     /** Removes a lost owner. */
     public void lost(HostId owner) {
         dueByOwner.remove(owner);
-        asked.remove(owner);
+        openRequests.remove(owner);
     }
 
-    private boolean isAsked(HostId owner, String service) {
-        return asked.getOrDefault(owner, Set.of()).contains(service);
+    private boolean hasOpenRequest(HostId owner, String service) {
+        return openRequests.getOrDefault(owner, Set.of()).contains(service);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
@@ -14,14 +14,14 @@
  * absent.
  */
 public final class Claim {
-    private static final int MAX_UNCERTAIN_ANSWERS = 3;
+    private static final int MAX_UNCERTAIN_RESULTS = 3;
     private static final long RETRY_AFTER_MILLIS = 2000;
 
     /** Age at which the holder of an unanswered claim is considered lost; longer than any deadline. */
-    private static final long LOST_AFTER_MILLIS = 600_000;
+    private static final long HOLDER_LOST_AFTER_MILLIS = 600_000;
 
     private final ClaimRecord own;
-    private int uncertainAnswers;
+    private int uncertainResults;
     private boolean sent;
 
     /** Creates a claim that writes the given record. */
@@ -43,7 +43,7 @@
     public ClaimStep read(Optional<ClaimRecord> found, long nowMillis) {
         if (found.isEmpty()) {
             // An unanswered creation that is still on its way carries the same claim id, so creating again is safe.
-            return countUncertain(new ClaimStep.Create());
+            return afterUncertainResult(new ClaimStep.Create());
         }
         ClaimRecord record = found.get();
         if (record.claimId().equals(own.claimId())) {
@@ -53,8 +53,8 @@
             return new ClaimStep.Refuse(Refusal.notRun(
                     ErrorCode.CONFLICT, "the idempotency key belongs to another request of this caller"));
         }
-        boolean holderLost =
-                record.state() == ClaimRecord.State.CLAIMED && nowMillis - record.claimedMillis() > LOST_AFTER_MILLIS;
+        boolean holderLost = record.state() == ClaimRecord.State.CLAIMED
+                && nowMillis - record.claimedMillis() > HOLDER_LOST_AFTER_MILLIS;
         return switch (holderLost ? ClaimRecord.State.ANSWER_LOST : record.state()) {
             case ANSWERED -> new ClaimStep.Replay(record);
             case ANSWER_LOST ->
@@ -71,7 +71,7 @@
 
     /** Returns the next step after a creation or read without an answer; the creation may have taken effect. */
     public ClaimStep unanswered() {
-        return countUncertain(new ClaimStep.Read());
+        return afterUncertainResult(new ClaimStep.Read());
     }
 
     /** Returns whether {@link ClaimStep.Send} was returned. */
@@ -81,12 +81,12 @@
 
     /** Returns whether a result was missing or uncertain, so that the record of an unsent call may exist. */
     public boolean isUncertain() {
-        return uncertainAnswers > 0;
+        return uncertainResults > 0;
     }
 
-    private ClaimStep countUncertain(ClaimStep next) {
-        uncertainAnswers++;
-        if (uncertainAnswers <= MAX_UNCERTAIN_ANSWERS) {
+    private ClaimStep afterUncertainResult(ClaimStep next) {
+        uncertainResults++;
+        if (uncertainResults <= MAX_UNCERTAIN_RESULTS) {
             return next;
         }
         // The record may exist by now, but this call was never sent, so it has certainly not run.
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
@@ -26,8 +26,8 @@
 /**
  * Decides on the admission, routing and retries of the online requests of one entry host. Not thread-safe.
  *
- * <p>Invariants: each admitted request is finished exactly once; the call that gives up a request also returns its
- * refusal; a request that must not be repeated is sent again only if no byte of it reached an endpoint.
+ * <p>Invariants: each admitted request is finished exactly once; the call that gives up a request returns its
+ * refusal at once; a request that must not be repeated is sent again only if no byte of it reached an endpoint.
  */
 public final class OnlineCore {
     private static final long NO_ENDPOINT_RETRY_AFTER_MILLIS = 2000;
@@ -71,9 +71,9 @@
             return Either.left(quarantined.get());
         }
         OnlineRequest request = new OnlineRequest(intake);
-        Optional<EndpointState> best = choose(request, nowNanos);
+        Optional<EndpointState> best = chooseEndpoint(request, nowNanos);
         if (best.isEmpty()) {
-            return Either.left(noEndpoint(Outcome.NOT_RUN));
+            return Either.left(noEndpointRefusal(Outcome.NOT_RUN));
         }
         int inFlight = inFlightByCaller.getOrDefault(intake.caller(), 0);
         AdmissionCase admission = new AdmissionCase(
@@ -86,7 +86,7 @@
             return Either.left(refusal.get());
         }
         inFlightByCaller.put(intake.caller(), inFlight + 1);
-        policies.retry().firstAttempt();
+        policies.retry().recordFirstAttempt();
         return Either.right(request);
     }
 
@@ -99,9 +99,9 @@
         if (suspects.verdict(request.intake().fingerprint(), nowNanos) == Verdict.SUSPECT) {
             return askPermit(request, nowNanos);
         }
-        Optional<EndpointState> chosen = choose(request, nowNanos);
+        Optional<EndpointState> chosen = chooseEndpoint(request, nowNanos);
         if (chosen.isEmpty()) {
-            return new OnlineDecision.Refuse(noEndpoint(request.outcome()));
+            return new OnlineDecision.Refuse(noEndpointRefusal(request.outcome()));
         }
         return send(request, chosen.get(), nowNanos);
     }
@@ -114,7 +114,7 @@
     public OnlineDecision permitted(OnlineRequest request, Optional<String> endpoint, long nowNanos) {
         Optional<EndpointState> granted = endpoint.flatMap(endpoints::find);
         if (granted.isPresent()) {
-            request.permit(true);
+            request.setHoldsPermit(true);
             return send(request, granted.get(), nowNanos);
         }
         if (request.mayWaitForPermit(nowNanos)) {
@@ -130,15 +130,15 @@
     /** Records a failed attempt and returns the next step: a retry at another endpoint or the final refusal. */
     public OnlineDecision attemptFailed(OnlineRequest request, AttemptFailure failure, long nowNanos) {
         boolean unreachable = failure.outcome() == Outcome.NOT_RUN;
-        request.endpoint().ifPresent(name -> endpoints.failed(name, unreachable, nowNanos));
-        request.failed(failure.outcome());
-        request.permit(false);
+        request.endpoint().ifPresent(name -> endpoints.recordFailure(name, unreachable, nowNanos));
+        request.attemptFailed(failure.outcome());
+        request.setHoldsPermit(false);
         RetryCase retryCase = new RetryCase(
                 request.intake().idempotent(),
                 request.isAnswerStarted(),
                 request.attempts(),
                 request.remainingMillis(nowNanos));
-        AttemptFailure overall = new AttemptFailure(request.outcome(), failure.cutInside(), failure.detail());
+        AttemptFailure overall = new AttemptFailure(request.outcome(), failure.crashSuspected(), failure.detail());
         Optional<Refusal> refusal = policies.retry().giveUp(retryCase, overall);
         if (refusal.isPresent()) {
             return new OnlineDecision.Refuse(refusal.get());
@@ -148,15 +148,15 @@
 
     /** Records an attempt that returned the complete answer, and clears the request if it was a suspect. */
     public void attemptSucceeded(OnlineRequest request, long nowNanos) {
-        request.endpoint().ifPresent(name -> endpoints.succeeded(name, request.runNanos(nowNanos)));
-        request.ended();
+        request.endpoint().ifPresent(name -> endpoints.recordSuccess(name, request.attemptRunNanos(nowNanos)));
+        request.attemptEnded();
         suspects.completed(request.intake().fingerprint());
     }
 
     /** Records that the caller disconnected, or that its deadline passed, while an attempt was in progress. */
     public void attemptAbandoned(OnlineRequest request) {
-        request.endpoint().ifPresent(endpoints::abandoned);
-        request.ended();
+        request.endpoint().ifPresent(endpoints::recordCancellation);
+        request.attemptEnded();
     }
 
     /** Records that the caller got its final answer or disconnected. */
@@ -166,8 +166,8 @@
     }
 
     private OnlineDecision send(OnlineRequest request, EndpointState endpoint, long nowNanos) {
-        endpoints.started(endpoint.name());
-        request.started(endpoint.name(), nowNanos);
+        endpoints.recordStart(endpoint.name());
+        request.attemptStarted(endpoint.name(), nowNanos);
         return new OnlineDecision.Send(endpoint.settings());
     }
 
@@ -180,12 +180,12 @@
                 .map(EndpointState::name)
                 .toList();
         if (candidates.isEmpty()) {
-            return new OnlineDecision.Refuse(noEndpoint(request.outcome()));
+            return new OnlineDecision.Refuse(noEndpointRefusal(request.outcome()));
         }
         return new OnlineDecision.AskPermit(candidates);
     }
 
-    private Optional<EndpointState> choose(OnlineRequest request, long nowNanos) {
+    private Optional<EndpointState> chooseEndpoint(OnlineRequest request, long nowNanos) {
         RouteRequest route = new RouteRequest(zone, request.intake().prefixHash(), request.tried());
         return endpoints
                 .pool(request.intake().service())
@@ -209,7 +209,7 @@
         return settings == null ? Integer.MAX_VALUE : settings.maxInFlight();
     }
 
-    private static Refusal noEndpoint(Outcome outcome) {
+    private static Refusal noEndpointRefusal(Outcome outcome) {
         return new Refusal(
                 ErrorCode.NO_ENDPOINT,
                 outcome,
--- a/src/main/java/org/gooseberryhill/decision/online/OnlinePolicies.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlinePolicies.java
@@ -21,19 +21,19 @@
  * @param retry decides whether a failed request is retried
  */
 public record OnlinePolicies(RoutePolicy route, AdmissionPolicy admission, RetryPolicy retry) {
-    private static final double RETRY_SHARE = 0.2;
-    private static final double RETRY_RESERVE = 24;
+    private static final double RETRIES_PER_REQUEST = 0.2;
+    private static final double MAX_RETRY_BURST = 24;
     private static final int MAX_ATTEMPTS = 3;
     private static final long MIN_REMAINING_MILLIS = 20;
-    private static final double WAIT_SHARE_OF_DEADLINE = 0.5;
+    private static final double MAX_WAIT_SHARE = 0.5;
     private static final double AFFINITY_MAX_LOAD = 0.6;
 
     /** Returns the policies for production use. */
     public static OnlinePolicies product(Random random) {
-        RetryBudget budget = new RetryBudget(RETRY_SHARE, RETRY_RESERVE);
+        RetryBudget budget = new RetryBudget(RETRIES_PER_REQUEST, MAX_RETRY_BURST);
         return new OnlinePolicies(
                 new PrefixAffinityPolicy(new TwoChoicesPolicy(random), AFFINITY_MAX_LOAD),
-                new DeadlineAdmissionPolicy(WAIT_SHARE_OF_DEADLINE),
+                new DeadlineAdmissionPolicy(MAX_WAIT_SHARE),
                 new BudgetedRetryPolicy(budget, MAX_ATTEMPTS, MIN_REMAINING_MILLIS));
     }
 
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineRequest.java
@@ -23,7 +23,7 @@
     private boolean answerStarted;
     private int attempts;
     private long attemptStartNanos;
-    private Optional<Long> permitAskedNanos = Optional.empty();
+    private Optional<Long> permitWaitStartNanos = Optional.empty();
 
     OnlineRequest(OnlineIntake intake) {
         this.intake = intake;
@@ -67,7 +67,7 @@
         return holdsPermit;
     }
 
-    void permit(boolean held) {
+    void setHoldsPermit(boolean held) {
         holdsPermit = held;
     }
 
@@ -78,10 +78,10 @@
      * limit the caller gets an immediate refusal with a retry-after time.
      */
     boolean mayWaitForPermit(long nowNanos) {
-        if (permitAskedNanos.isEmpty()) {
-            permitAskedNanos = Optional.of(nowNanos);
+        if (permitWaitStartNanos.isEmpty()) {
+            permitWaitStartNanos = Optional.of(nowNanos);
         }
-        long waitedNanos = nowNanos - permitAskedNanos.get();
+        long waitedNanos = nowNanos - permitWaitStartNanos.get();
         return waitedNanos < MAX_PERMIT_WAIT_NANOS && remainingMillis(nowNanos) > 0;
     }
 
@@ -89,21 +89,21 @@
         return TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos);
     }
 
-    void started(String name, long nowNanos) {
+    void attemptStarted(String name, long nowNanos) {
         endpoint = Optional.of(name);
         attempts++;
         attemptStartNanos = nowNanos;
     }
 
-    long runNanos(long nowNanos) {
+    long attemptRunNanos(long nowNanos) {
         return nowNanos - attemptStartNanos;
     }
 
-    void ended() {
+    void attemptEnded() {
         endpoint = Optional.empty();
     }
 
-    void failed(Outcome attemptOutcome) {
+    void attemptFailed(Outcome attemptOutcome) {
         endpoint.ifPresent(tried::add);
         endpoint = Optional.empty();
         if (attemptOutcome == Outcome.MAY_HAVE_RUN) {
--- a/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
@@ -28,11 +28,11 @@
     }
 
     private static final int CRASHES_BEFORE_QUARANTINE = 2;
-    private static final long SAME_CRASH_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long SAME_CRASH_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    private final long memoryNanos;
+    private final long retentionNanos;
     private final int maxSuspects;
-    private final Map<Fingerprint, Record> records = new LinkedHashMap<>();
+    private final Map<Fingerprint, CrashHistory> histories = new LinkedHashMap<>();
 
     /**
      * Creates an empty instance.
@@ -41,7 +41,7 @@
      * @param maxSuspects the maximum number of requests kept; the one recorded first is evicted first
      */
     public CrashSuspects(long retentionMillis, int maxSuspects) {
-        this.memoryNanos = TimeUnit.MILLISECONDS.toNanos(retentionMillis);
+        this.retentionNanos = TimeUnit.MILLISECONDS.toNanos(retentionMillis);
         this.maxSuspects = maxSuspects;
     }
 
@@ -52,66 +52,66 @@
      * the same endpoint less than 2 s apart count as one crash.
      */
     public void crashed(String endpoint, Collection<Fingerprint> inFlight, long nowNanos) {
-        forgetOld(nowNanos);
+        removeExpired(nowNanos);
         for (Fingerprint fingerprint : inFlight) {
-            Record record = records.computeIfAbsent(fingerprint, key -> new Record());
-            record.add(new Crash(endpoint, nowNanos));
+            CrashHistory history = histories.computeIfAbsent(fingerprint, key -> new CrashHistory());
+            history.add(new Crash(endpoint, nowNanos));
         }
-        while (records.size() > maxSuspects) {
-            records.remove(records.keySet().iterator().next());
+        while (histories.size() > maxSuspects) {
+            histories.remove(histories.keySet().iterator().next());
         }
     }
 
     /** Clears a request that completed: it does not crash endpoints. */
     public void completed(Fingerprint fingerprint) {
-        records.remove(fingerprint);
+        histories.remove(fingerprint);
     }
 
     /** Returns how a request must be treated now. */
     public Verdict verdict(Fingerprint fingerprint, long nowNanos) {
-        Record record = records.get(fingerprint);
-        if (record == null || nowNanos - record.sinceNanos > memoryNanos) {
+        CrashHistory history = histories.get(fingerprint);
+        if (history == null || nowNanos - history.lastCrashNanos > retentionNanos) {
             return Verdict.CLEAR;
         }
-        return record.crashes.size() >= CRASHES_BEFORE_QUARANTINE ? Verdict.QUARANTINED : Verdict.SUSPECT;
+        return history.crashes.size() >= CRASHES_BEFORE_QUARANTINE ? Verdict.QUARANTINED : Verdict.SUSPECT;
     }
 
     /** Returns the time until the record of a request expires, in milliseconds; 0 if there is none. */
     public long remainingMillis(Fingerprint fingerprint, long nowNanos) {
-        Record record = records.get(fingerprint);
-        if (record == null) {
+        CrashHistory history = histories.get(fingerprint);
+        if (history == null) {
             return 0;
         }
-        return TimeUnit.NANOSECONDS.toMillis(Math.max(0, memoryNanos - (nowNanos - record.sinceNanos)));
+        return TimeUnit.NANOSECONDS.toMillis(Math.max(0, retentionNanos - (nowNanos - history.lastCrashNanos)));
     }
 
     /** Returns the number of requests recorded, including expired ones that have not been removed yet. */
     public int size() {
-        return records.size();
+        return histories.size();
     }
 
-    private void forgetOld(long nowNanos) {
-        records.values().removeIf(record -> nowNanos - record.sinceNanos > memoryNanos);
+    private void removeExpired(long nowNanos) {
+        histories.values().removeIf(history -> nowNanos - history.lastCrashNanos > retentionNanos);
     }
 
     /** The crashes at which one request was in flight. */
-    private static final class Record {
+    private static final class CrashHistory {
         private final List<Crash> crashes = new ArrayList<>();
-        private long sinceNanos;
+        private long lastCrashNanos;
 
         void add(Crash crash) {
             boolean known = crashes.stream().anyMatch(crash::isSameAs);
             if (!known && crashes.size() < CRASHES_BEFORE_QUARANTINE) {
                 crashes.add(crash);
             }
-            sinceNanos = crash.atNanos;
+            lastCrashNanos = crash.atNanos;
         }
     }
 
     /** A crash of an endpoint. */
     private record Crash(String endpoint, long atNanos) {
         boolean isSameAs(Crash other) {
-            return endpoint.equals(other.endpoint) && Math.abs(atNanos - other.atNanos) < SAME_CRASH_NANOS;
+            return endpoint.equals(other.endpoint) && Math.abs(atNanos - other.atNanos) < SAME_CRASH_WINDOW_NANOS;
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/quarantine/SuspectArbiter.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/SuspectArbiter.java
@@ -16,7 +16,7 @@
  * more crash.
  */
 public final class SuspectArbiter {
-    private final long grantNanos;
+    private final long grantDurationNanos;
     private final Map<Fingerprint, Grant> grants = new HashMap<>();
 
     /**
@@ -25,12 +25,12 @@
      * @param grantMillis the time after which a grant expires, in milliseconds
      */
     public SuspectArbiter(long grantMillis) {
-        this.grantNanos = TimeUnit.MILLISECONDS.toNanos(grantMillis);
+        this.grantDurationNanos = TimeUnit.MILLISECONDS.toNanos(grantMillis);
     }
 
     /** Grants the first of the endpoints that no other suspect holds; returns empty if the suspect has to wait. */
     public Optional<String> ask(Fingerprint suspect, List<String> endpoints, long nowNanos) {
-        grants.values().removeIf(grant -> nowNanos - grant.sinceNanos > grantNanos);
+        grants.values().removeIf(grant -> nowNanos - grant.grantedNanos > grantDurationNanos);
         if (grants.containsKey(suspect)) {
             return Optional.empty();
         }
@@ -47,5 +47,5 @@
     }
 
     /** The endpoint granted to a suspect. */
-    private record Grant(String endpoint, long sinceNanos) {}
+    private record Grant(String endpoint, long grantedNanos) {}
 }
--- a/src/main/java/org/gooseberryhill/decision/quarantine/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Identifies requests that crash endpoints, runs them apart and then refuses them on all hosts for a time. */
+/** Identifies requests that crash endpoints, isolates suspects and refuses confirmed ones on all hosts for a time. */
 package org.gooseberryhill.decision.quarantine;
--- a/src/main/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicy.java
@@ -31,8 +31,8 @@
     }
 
     @Override
-    public void firstAttempt() {
-        budget.firstAttempt();
+    public void recordFirstAttempt() {
+        budget.recordFirstAttempt();
     }
 
     @Override
@@ -51,7 +51,7 @@
         if (retryCase.attempts() >= maxAttempts) {
             return refusal(ErrorCode.ENDPOINT_FAILED, failure, "all attempts failed");
         }
-        if (!budget.tryTake()) {
+        if (!budget.tryAcquire()) {
             return refusal(ErrorCode.OVERLOADED, failure, "too many requests are being retried");
         }
         return Optional.empty();
--- a/src/main/java/org/gooseberryhill/decision/retry/RetryBudget.java
+++ b/src/main/java/org/gooseberryhill/decision/retry/RetryBudget.java
@@ -7,30 +7,30 @@
  * remaining endpoints are overloaded by three times the normal load.
  */
 public final class RetryBudget {
-    private final double share;
-    private final double reserve;
+    private final double tokensPerRequest;
+    private final double maxTokens;
     private double tokens;
 
     /**
      * Creates a full budget.
      *
-     * @param share the retries earned by each first attempt, such as 0.2
-     * @param reserve the maximum number of retries in a burst, such as 20, since a crash interrupts all requests of an
+     * @param tokensPerRequest the retries earned by each first attempt, such as 0.2
+     * @param maxTokens the maximum number of retries in a burst, such as 20, since a crash interrupts all requests of an
      *     endpoint at once
      */
-    public RetryBudget(double share, double reserve) {
-        this.share = share;
-        this.reserve = reserve;
-        this.tokens = reserve;
+    public RetryBudget(double tokensPerRequest, double maxTokens) {
+        this.tokensPerRequest = tokensPerRequest;
+        this.maxTokens = maxTokens;
+        this.tokens = maxTokens;
     }
 
     /** Records a first attempt, which adds to the budget. */
-    public void firstAttempt() {
-        tokens = Math.min(reserve, tokens + share);
+    public void recordFirstAttempt() {
+        tokens = Math.min(maxTokens, tokens + tokensPerRequest);
     }
 
     /** Takes one retry from the budget; returns false if none is left. */
-    public boolean tryTake() {
+    public boolean tryAcquire() {
         if (tokens < 1) {
             return false;
         }
--- a/src/main/java/org/gooseberryhill/decision/routing/EndpointState.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/EndpointState.java
@@ -11,9 +11,9 @@
  */
 public final class EndpointState {
     /** Weight of the newest sample in the exponential moving average of the run time. */
-    private static final double MEAN_WEIGHT = 0.1;
+    private static final double NEWEST_SAMPLE_WEIGHT = 0.1;
 
-    private static final double INITIAL_RUN_MILLIS = 200;
+    private static final double INITIAL_MEAN_RUN_MILLIS = 200;
     private static final int FAILURES_BEFORE_EJECTION = 3;
     private static final long FIRST_EJECTION_MILLIS = 500;
     private static final int MAX_EJECTION_DOUBLINGS = 6;
@@ -22,9 +22,9 @@
     private int ownInFlight;
     private int othersInFlight;
     private int batchInFlight;
-    private double meanRunMillis = INITIAL_RUN_MILLIS;
-    private int failuresInRow;
-    private int ejections;
+    private double meanRunMillis = INITIAL_MEAN_RUN_MILLIS;
+    private int consecutiveFailures;
+    private int consecutiveEjections;
     private long ejectedUntilNanos = Long.MIN_VALUE;
     private boolean leaving;
 
@@ -72,7 +72,7 @@
     }
 
     /** Returns whether the endpoint is in the availability zone. */
-    public boolean isIn(AvailabilityZone zone) {
+    public boolean isInZone(AvailabilityZone zone) {
         return settings.zone().equals(zone);
     }
 
@@ -91,44 +91,44 @@
         return leaving || settings.leaving();
     }
 
-    void settings(EndpointSettings newSettings) {
+    void setSettings(EndpointSettings newSettings) {
         settings = newSettings;
     }
 
-    void leaving(boolean nowLeaving) {
+    void setLeaving(boolean nowLeaving) {
         leaving = nowLeaving;
     }
 
-    void reported(int online, int batch) {
+    void recordReport(int online, int batch) {
         othersInFlight = Math.max(0, online - ownInFlight);
         batchInFlight = batch;
     }
 
-    void started() {
+    void recordStart() {
         ownInFlight++;
     }
 
-    void ended() {
+    void recordEnd() {
         ownInFlight--;
     }
 
-    void succeeded(long runNanos) {
-        failuresInRow = 0;
-        ejections = 0;
+    void recordSuccess(long runNanos) {
+        consecutiveFailures = 0;
+        consecutiveEjections = 0;
         ejectedUntilNanos = Long.MIN_VALUE;
         double runMillis = (double) runNanos / TimeUnit.MILLISECONDS.toNanos(1);
-        meanRunMillis += MEAN_WEIGHT * (runMillis - meanRunMillis);
+        meanRunMillis += NEWEST_SAMPLE_WEIGHT * (runMillis - meanRunMillis);
     }
 
     /** Counts a failure and returns whether the endpoint should be ejected. */
-    boolean failed(boolean unreachable) {
-        failuresInRow++;
-        return unreachable || failuresInRow >= FAILURES_BEFORE_EJECTION;
+    boolean recordFailure(boolean unreachable) {
+        consecutiveFailures++;
+        return unreachable || consecutiveFailures >= FAILURES_BEFORE_EJECTION;
     }
 
     void eject(long nowNanos) {
-        long millis = FIRST_EJECTION_MILLIS << Math.min(ejections, MAX_EJECTION_DOUBLINGS);
-        ejections++;
+        long millis = FIRST_EJECTION_MILLIS << Math.min(consecutiveEjections, MAX_EJECTION_DOUBLINGS);
+        consecutiveEjections++;
         ejectedUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/routing/EndpointTable.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/EndpointTable.java
@@ -26,7 +26,7 @@
         Map<String, List<EndpointState>> byService = new HashMap<>();
         for (EndpointSettings settings : configuration.endpoints().values()) {
             EndpointState state = byName.computeIfAbsent(settings.name(), name -> new EndpointState(settings));
-            state.settings(settings);
+            state.setSettings(settings);
             byService
                     .computeIfAbsent(settings.service(), service -> new ArrayList<>())
                     .add(state);
@@ -38,12 +38,12 @@
 
     /** Replaces the set of endpoints that are leaving according to the host list, a steward or their own status. */
     public void leaving(Set<String> names) {
-        byName.values().forEach(state -> state.leaving(names.contains(state.name())));
+        byName.values().forEach(state -> state.setLeaving(names.contains(state.name())));
     }
 
     /** Applies a steward's report of the online requests and batch items in flight at an endpoint. */
     public void reported(String name, int online, int batch) {
-        find(name).ifPresent(state -> state.reported(online, batch));
+        find(name).ifPresent(state -> state.recordReport(online, batch));
     }
 
     /** Returns the endpoints of a service, or empty if none is configured. */
@@ -62,21 +62,21 @@
     }
 
     /** Records the start of an attempt at an endpoint. */
-    public void started(String name) {
-        find(name).ifPresent(EndpointState::started);
+    public void recordStart(String name) {
+        find(name).ifPresent(EndpointState::recordStart);
     }
 
     /** Records an attempt that ended with a complete answer. */
-    public void succeeded(String name, long runNanos) {
+    public void recordSuccess(String name, long runNanos) {
         find(name).ifPresent(state -> {
-            state.ended();
-            state.succeeded(runNanos);
+            state.recordEnd();
+            state.recordSuccess(runNanos);
         });
     }
 
     /** Records an attempt that this host cancelled. It does not count for or against the endpoint's health. */
-    public void abandoned(String name) {
-        find(name).ifPresent(EndpointState::ended);
+    public void recordCancellation(String name) {
+        find(name).ifPresent(EndpointState::recordEnd);
     }
 
     /**
@@ -84,10 +84,10 @@
      *
      * @param unreachable whether no connection could be made, which ejects the endpoint at the first failure
      */
-    public void failed(String name, boolean unreachable, long nowNanos) {
+    public void recordFailure(String name, boolean unreachable, long nowNanos) {
         find(name).ifPresent(state -> {
-            state.ended();
-            if (state.failed(unreachable) && mayEject(state, nowNanos)) {
+            state.recordEnd();
+            if (state.recordFailure(unreachable) && mayEject(state, nowNanos)) {
                 state.eject(nowNanos);
             }
         });
--- a/src/main/java/org/gooseberryhill/decision/routing/PrefixAffinityPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/PrefixAffinityPolicy.java
@@ -9,7 +9,7 @@
  * <p>Implements consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016).
  */
 public final class PrefixAffinityPolicy implements RoutePolicy {
-    private static final int MAX_STEPS = 4;
+    private static final int MAX_RING_STEPS = 4;
 
     private final RoutePolicy fallback;
     private final double maxLoad;
@@ -30,8 +30,8 @@
         if (request.prefixHash() == 0 || pool.endpoints().isEmpty()) {
             return fallback.choose(pool, request, nowNanos);
         }
-        for (int step = 0; step < MAX_STEPS; step++) {
-            EndpointState candidate = pool.onRing(request.prefixHash(), step);
+        for (int step = 0; step < MAX_RING_STEPS; step++) {
+            EndpointState candidate = pool.ringOwnerAt(request.prefixHash(), step);
             boolean usable = candidate.isEligible(nowNanos)
                     && !request.tried().contains(candidate.name())
                     && candidate.load() < maxLoad;
--- a/src/main/java/org/gooseberryhill/decision/routing/ServicePool.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/ServicePool.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns the owner of the ring point that is the given number of steps after the first one at or after a hash. */
-    public EndpointState onRing(long hash, int step) {
+    public EndpointState ringOwnerAt(long hash, int step) {
         int found = Arrays.binarySearch(ringHashes, hash);
         int start = found >= 0 ? found : -found - 1;
         return ringOwners[(start + step) % ringOwners.length];
--- a/src/main/java/org/gooseberryhill/decision/routing/TwoChoicesPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/TwoChoicesPolicy.java
@@ -15,10 +15,10 @@
     private static final int MAX_PICKS = 8;
 
     /** Round trip to another availability zone, in milliseconds: twice the specified 1.5 ms. */
-    private static final double OTHER_ZONE_MILLIS = 3;
+    private static final double OTHER_ZONE_ROUND_TRIP_MILLIS = 3;
 
     /** Extra response time of a fully loaded endpoint, in milliseconds: it slows down even before requests queue. */
-    private static final double FULL_LOAD_MILLIS = 40;
+    private static final double FULL_LOAD_DELAY_MILLIS = 40;
 
     private final Random random;
 
@@ -29,18 +29,18 @@
 
     @Override
     public Optional<EndpointState> choose(ServicePool pool, RouteRequest request, long nowNanos) {
-        Optional<EndpointState> first = pick(pool.endpoints(), request, nowNanos);
+        Optional<EndpointState> first = pickRandom(pool.endpoints(), request, nowNanos);
         if (first.isEmpty()) {
-            return scan(pool.endpoints(), request, nowNanos);
+            return findCheapest(pool.endpoints(), request, nowNanos);
         }
-        Optional<EndpointState> second = pick(pool.endpoints(), request, nowNanos);
+        Optional<EndpointState> second = pickRandom(pool.endpoints(), request, nowNanos);
         if (second.isEmpty()) {
             return first;
         }
-        return cost(second.get(), request) < cost(first.get(), request) ? second : first;
+        return costMillis(second.get(), request) < costMillis(first.get(), request) ? second : first;
     }
 
-    private Optional<EndpointState> pick(List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
+    private Optional<EndpointState> pickRandom(List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
         for (int i = 0; i < MAX_PICKS && !endpoints.isEmpty(); i++) {
             EndpointState candidate = endpoints.get(random.nextInt(endpoints.size()));
             if (isUsable(candidate, request, nowNanos)) {
@@ -50,10 +50,11 @@
         return Optional.empty();
     }
 
-    private static Optional<EndpointState> scan(List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
+    private static Optional<EndpointState> findCheapest(
+            List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
         EndpointState best = null;
         for (EndpointState candidate : endpoints) {
-            boolean better = best == null || cost(candidate, request) < cost(best, request);
+            boolean better = best == null || costMillis(candidate, request) < costMillis(best, request);
             if (better && isUsable(candidate, request, nowNanos)) {
                 best = candidate;
             }
@@ -65,9 +66,9 @@
         return candidate.isEligible(nowNanos) && !request.tried().contains(candidate.name());
     }
 
-    static double cost(EndpointState endpoint, RouteRequest request) {
-        double zoneMillis = endpoint.isIn(request.entryZone()) ? 0 : OTHER_ZONE_MILLIS;
-        double loadMillis = (endpoint.load() + endpoint.batchLoad() / 2) * FULL_LOAD_MILLIS;
+    static double costMillis(EndpointState endpoint, RouteRequest request) {
+        double zoneMillis = endpoint.isInZone(request.entryZone()) ? 0 : OTHER_ZONE_ROUND_TRIP_MILLIS;
+        double loadMillis = (endpoint.load() + endpoint.batchLoad() / 2) * FULL_LOAD_DELAY_MILLIS;
         return endpoint.predictedWaitMillis() + loadMillis + zoneMillis;
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
@@ -23,7 +23,7 @@
     private long nextRun;
 
     @Test
-    void batchFillsWhatOnlineLeavesButForAReserve() {
+    void batchFillsTheSlotsThatOnlineLeavesExceptForAReserve() {
         assertThat(endpoint.free(0)).isEqualTo(7);
         endpoint.onlineReported(ENTRY, 3, false, 0);
         assertThat(endpoint.free(0)).isEqualTo(4);
@@ -55,7 +55,7 @@
 
     /** When an entry host stops reporting, its last report is used for 12 s; then its slots are free again. */
     @Test
-    void aReportThatIsNotRepeatedFades() {
+    void aReportThatIsNotRepeatedExpires() {
         endpoint.onlineReported(ENTRY, 7, false, 0);
 
         assertThat(endpoint.free(11_000 * MILLI)).isZero();
@@ -74,14 +74,14 @@
 
     /** When no entry host reaches the steward, the engine's lagging count keeps slots free for online requests. */
     @Test
-    void theEnginesOwnCountStandsInForReportsThatDoNotCome() {
+    void theEnginesOwnCountIsUsedWhenNoEntryReports() {
         fill();
 
         assertThat(endpoint.engineReported(12, 0)).hasSize(5);
     }
 
     @Test
-    void aSlowTailHalvesTheBatchShareAndItComesBackSlowly() {
+    void aSlowTailHalvesTheBatchCapAndItRisesSlowly() {
         fill();
 
         assertThat(endpoint.onlineReported(ENTRY, 0, true, 0)).hasSize(4);
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
@@ -22,7 +22,7 @@
     private static final String KEY = "call";
 
     @Property(seed = "20261203")
-    void aCallIsSentAtMostOnceThroughAllHosts(@ForAll long seed) {
+    void aCallIsSentAtMostOnceAcrossAllHosts(@ForAll long seed) {
         Random random = new Random(seed);
         FakeKeyValue<ClaimRecord> store = new FakeKeyValue<>(random, 40);
         List<Call> calls = new ArrayList<>();
@@ -46,7 +46,7 @@
     }
 
     @Property(seed = "20261203", tries = 50)
-    void withoutFaultsOneCallIsSentAndTheOthersHearOfIt(@ForAll long seed) {
+    void withoutFaultsOneCallIsSentAndTheOthersAreRefused(@ForAll long seed) {
         Random random = new Random(seed);
         FakeKeyValue<ClaimRecord> store = new FakeKeyValue<>(random, 0);
         List<Call> calls = List.of(new Call("a"), new Call("b"), new Call("c"));
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
@@ -15,7 +15,7 @@
     private final Claim claim = new Claim(own);
 
     @Test
-    void aResendGetsTheKeptAnswer() {
+    void aResendGetsTheStoredAnswer() {
         claim.created(false);
 
         ClaimStep step = claim.read(Optional.of(others.answered(201, Map.of(), new byte[] {1})), 0);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aResendDuringTheCallIsToldToComeBack() {
+    void aResendDuringTheCallIsRefusedWithARetryAfterTime() {
         Refusal refusal = refusal(claim.read(Optional.of(others), 0));
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.IN_PROGRESS);
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
@@ -26,8 +26,8 @@
     private static final int STEPS = 300;
 
     @Property(seed = "20261203")
-    void whatIsSaidOfARequestIsTrueOfWhatWasSent(@ForAll long seed) {
-        new Run(seed).play();
+    void theReportedOutcomeMatchesWhatWasSent(@ForAll long seed) {
+        new Run(seed).execute();
     }
 
     /** One random sequence, run against the core and the model. */
@@ -46,7 +46,7 @@
             core = OnlineCoreFixture.core(4, seed);
         }
 
-        void play() {
+        void execute() {
             for (int step = 0; step < STEPS; step++) {
                 now += random.nextInt((int) (SECOND / 10));
                 switch (random.nextInt(6)) {
@@ -54,7 +54,7 @@
                     case 2 -> succeed();
                     case 3 -> fail(Outcome.NOT_RUN, false);
                     case 4 -> fail(Outcome.MAY_HAVE_RUN, random.nextBoolean());
-                    default -> leave();
+                    default -> changeLeavingEndpoints();
                 }
             }
             while (!sent.isEmpty()) {
@@ -131,7 +131,7 @@
             follow(request, core.attemptFailed(request, new AttemptFailure(outcome, crash, ""), now));
         }
 
-        private void leave() {
+        private void changeLeavingEndpoints() {
             leaving = random.nextBoolean() ? Set.of("e" + random.nextInt(4)) : Set.of();
             core.endpoints().leaving(leaving);
         }
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
@@ -50,7 +50,7 @@
         for (int i = 0; i < 20; i++) {
             OnlineDecision.Send send = (OnlineDecision.Send) core.next(admit(i, true), 0);
             assertThat(send.endpoint().name()).isEqualTo("e3");
-            core.endpoints().abandoned("e3");
+            core.endpoints().recordCancellation("e3");
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aSuspectRunsApartAndIsRefusedAtOnceAfterItsSecondCrash() {
+    void aSuspectNeedsAPermitAndIsRefusedAtOnceAfterItsSecondCrash() {
         OnlineRequest request = admit(1, true);
         OnlineDecision.Send first = (OnlineDecision.Send) core.next(request, 0);
         core.suspects()
--- a/src/test/java/org/gooseberryhill/decision/quarantine/CrashSuspectsTest.java
+++ b/src/test/java/org/gooseberryhill/decision/quarantine/CrashSuspectsTest.java
@@ -10,50 +10,50 @@
 
 class CrashSuspectsTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-    private static final Fingerprint GUILTY = new Fingerprint("guilty");
-    private static final Fingerprint INNOCENT = new Fingerprint("innocent");
+    private static final Fingerprint CRASHING = new Fingerprint("guilty");
+    private static final Fingerprint HARMLESS = new Fingerprint("innocent");
 
     private final CrashSuspects suspects = new CrashSuspects(TimeUnit.MINUTES.toMillis(10), 3);
 
     @Test
     void allRequestsInFlightAtACrashAreSuspect() {
-        suspects.crashed("e1", List.of(GUILTY, INNOCENT), 0);
+        suspects.crashed("e1", List.of(CRASHING, HARMLESS), 0);
 
-        assertThat(suspects.verdict(GUILTY, 0)).isEqualTo(Verdict.SUSPECT);
-        assertThat(suspects.verdict(INNOCENT, 0)).isEqualTo(Verdict.SUSPECT);
+        assertThat(suspects.verdict(CRASHING, 0)).isEqualTo(Verdict.SUSPECT);
+        assertThat(suspects.verdict(HARMLESS, 0)).isEqualTo(Verdict.SUSPECT);
     }
 
     @Test
-    void theSecondCrashQuarantinesAndTheInnocentIsClearedByItsAnswer() {
-        suspects.crashed("e1", List.of(GUILTY, INNOCENT), 0);
-        suspects.completed(INNOCENT);
-        suspects.crashed("e2", List.of(GUILTY), SECOND);
+    void aSecondCrashQuarantinesARequestAndACompletionClearsIt() {
+        suspects.crashed("e1", List.of(CRASHING, HARMLESS), 0);
+        suspects.completed(HARMLESS);
+        suspects.crashed("e2", List.of(CRASHING), SECOND);
 
-        assertThat(suspects.verdict(GUILTY, SECOND)).isEqualTo(Verdict.QUARANTINED);
-        assertThat(suspects.verdict(INNOCENT, SECOND)).isEqualTo(Verdict.CLEAR);
+        assertThat(suspects.verdict(CRASHING, SECOND)).isEqualTo(Verdict.QUARANTINED);
+        assertThat(suspects.verdict(HARMLESS, SECOND)).isEqualTo(Verdict.CLEAR);
     }
 
     /** Three hosts had the same popular prompt in flight at the crashed endpoint, and each reports the crash. */
     @Test
-    void oneCrashToldByManyHostsCountsOnce() {
-        suspects.crashed("e1", List.of(INNOCENT), 0);
-        suspects.crashed("e1", List.of(INNOCENT), SECOND / 10);
-        suspects.crashed("e1", List.of(INNOCENT), SECOND);
+    void oneCrashReportedByManyHostsCountsOnce() {
+        suspects.crashed("e1", List.of(HARMLESS), 0);
+        suspects.crashed("e1", List.of(HARMLESS), SECOND / 10);
+        suspects.crashed("e1", List.of(HARMLESS), SECOND);
 
-        assertThat(suspects.verdict(INNOCENT, SECOND)).isEqualTo(Verdict.SUSPECT);
+        assertThat(suspects.verdict(HARMLESS, SECOND)).isEqualTo(Verdict.SUSPECT);
     }
 
     @Test
-    void aQuarantineEndsAfterItsTime() {
-        suspects.crashed("e1", List.of(GUILTY), 0);
-        suspects.crashed("e2", List.of(GUILTY), SECOND);
+    void aQuarantineExpires() {
+        suspects.crashed("e1", List.of(CRASHING), 0);
+        suspects.crashed("e2", List.of(CRASHING), SECOND);
 
-        assertThat(suspects.remainingMillis(GUILTY, SECOND)).isEqualTo(600_000);
-        assertThat(suspects.verdict(GUILTY, 602 * SECOND)).isEqualTo(Verdict.CLEAR);
+        assertThat(suspects.remainingMillis(CRASHING, SECOND)).isEqualTo(600_000);
+        assertThat(suspects.verdict(CRASHING, 602 * SECOND)).isEqualTo(Verdict.CLEAR);
     }
 
     @Test
-    void theMemoryIsBounded() {
+    void theNumberOfSuspectsIsBounded() {
         for (int i = 0; i < 10; i++) {
             suspects.crashed("e" + i, List.of(new Fingerprint("f" + i)), i * SECOND);
         }
--- a/src/test/java/org/gooseberryhill/decision/quarantine/SuspectArbiterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/quarantine/SuspectArbiterTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void theGrantOfALostHostEndsAfterItsTime() {
+    void theGrantOfALostHostExpires() {
         arbiter.ask(ONE, ENDPOINTS, 0);
 
         assertThat(arbiter.ask(ONE, ENDPOINTS, TimeUnit.MILLISECONDS.toNanos(1001)))
--- a/src/test/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicyTest.java
+++ b/src/test/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicyTest.java
@@ -28,7 +28,7 @@
         "true,  NOT_RUN,      false, 1, 10,   DEADLINE_EXCEEDED",
         "false, MAY_HAVE_RUN, false, 1, 10,   ENDPOINT_FAILED"
     })
-    void aFailureIsFollowedByARetryOrAFinalAnswer(
+    void aFailureLeadsToARetryOrAFinalRefusal(
             boolean idempotent,
             Outcome outcome,
             boolean answerStarted,
@@ -53,7 +53,7 @@
         AttemptFailure failure = new AttemptFailure(Outcome.NOT_RUN, false, "");
         int retries = 0;
         for (int request = 0; request < 1000; request++) {
-            policy.firstAttempt();
+            policy.recordFirstAttempt();
             if (policy.giveUp(retryCase, failure).isEmpty()) {
                 retries++;
             }
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void anEmptyBudgetTellsWhenToComeBack() {
+    void anExhaustedBudgetReturnsARetryAfterTime() {
         RetryCase retryCase = new RetryCase(true, false, 1, 1000);
         AttemptFailure failure = new AttemptFailure(Outcome.NOT_RUN, false, "");
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/org/gooseberryhill/decision/routing/RoutePolicyTest.java
+++ b/src/test/java/org/gooseberryhill/decision/routing/RoutePolicyTest.java
@@ -22,14 +22,14 @@
     void twoChoicesSpreadLoadEvenly() {
         RoutePolicy policy = new TwoChoicesPolicy(new Random(1));
         for (int i = 0; i < 48; i++) {
-            table.started(choose(policy, 0, Set.of()));
+            table.recordStart(choose(policy, 0, Set.of()));
         }
 
         assertThat(pool.endpoints()).allMatch(endpoint -> endpoint.ownInFlight() >= 2 && endpoint.ownInFlight() <= 6);
     }
 
     @Test
-    void requestsWithTheSameBeginningGoToTheSameEndpointUntilItIsLoaded() {
+    void requestsWithTheSamePrefixGoToTheSameEndpointUntilItIsLoaded() {
         RoutePolicy policy = new PrefixAffinityPolicy(new TwoChoicesPolicy(new Random(1)), 0.5);
         Set<String> chosen = new HashSet<>();
         for (int i = 0; i < 20; i++) {
@@ -38,7 +38,7 @@
         assertThat(chosen).hasSize(1);
 
         for (int i = 0; i < 16; i++) {
-            table.started(choose(policy, 4711, Set.of()));
+            table.recordStart(choose(policy, 4711, Set.of()));
         }
         assertThat(pool.endpoints().stream()
                         .mapToDouble(EndpointState::load)
