--- a/src/main/java/org/gooseberryhill/decision/admission/DeadlineAdmissionPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/admission/DeadlineAdmissionPolicy.java
@@ -5,23 +5,23 @@
 import org.gooseberryhill.contract.Refusal;
 
 /**
- * Refuses what could not be answered in time, and a caller beyond its limit. Stateless.
+ * Refuses requests that are unlikely to be answered in time, and those of callers at their limit. Stateless.
  *
- * <p>Failure: under overload each request waits until its caller has gone, so that all work is wasted. A refusal at
- * once, with the time when a slot is likely free, costs nothing and keeps the rest prompt.
+ * <p>Without it, under overload every request waits until its caller has given up, so that all work is wasted. An
+ * immediate refusal with the time at which a slot is likely to be free costs nothing and keeps other requests fast.
  */
 public final class DeadlineAdmissionPolicy implements AdmissionPolicy {
     private static final long LIMITED_RETRY_AFTER_MILLIS = 1000;
 
-    private final double waitShareOfDeadline;
+    private final double maxWaitShare;
 
     /**
-     * A policy with a bound for waiting.
+     * Creates a policy.
      *
-     * @param waitShareOfDeadline the share of the remaining time that may be spent waiting, such as 0.5
+     * @param maxWaitShare the share of the time until the deadline that may be spent waiting, such as 0.5
      */
-    public DeadlineAdmissionPolicy(double waitShareOfDeadline) {
-        this.waitShareOfDeadline = waitShareOfDeadline;
+    public DeadlineAdmissionPolicy(double maxWaitShare) {
+        this.maxWaitShare = maxWaitShare;
     }
 
     @Override
@@ -35,7 +35,7 @@
         if (admission.remainingMillis() <= 0) {
             return Optional.of(Refusal.notRun(ErrorCode.DEADLINE_EXCEEDED, "the deadline has passed"));
         }
-        if (admission.predictedWaitMillis() > waitShareOfDeadline * admission.remainingMillis()) {
+        if (admission.predictedWaitMillis() > maxWaitShare * admission.remainingMillis()) {
             long waitMillis = (long) Math.ceil(admission.predictedWaitMillis());
             return Optional.of(Refusal.notRun(ErrorCode.OVERLOADED, "no room within the deadline", waitMillis));
         }
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
@@ -24,11 +24,10 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * Decides about the online requests of one entry host. Not thread-safe.
+ * Decides on the admission, routing and retries of the online requests of one entry host. Not thread-safe.
  *
- * <p>Invariants: each request taken in is finished exactly once; a request that is given up gets its refusal from the
- * very call that gives it up, never later; a request that may not be repeated is sent again only if no byte of it
- * reached an endpoint.
+ * <p>Invariants: each admitted request is finished exactly once; the call that gives up a request returns its
+ * refusal at once; a request that must not be repeated is sent again only if no byte of it reached an endpoint.
  */
 public final class OnlineCore {
     private static final long NO_ENDPOINT_RETRY_AFTER_MILLIS = 2000;
@@ -42,39 +41,39 @@
     private final Map<String, Integer> inFlightByCaller = new HashMap<>();
     private Configuration configuration = Configuration.EMPTY;
 
-    /** A core without a configuration: it refuses everything until {@link #configure}. */
+    /** Creates a core without a configuration, which refuses every request until {@link #configure} is called. */
     public OnlineCore(AvailabilityZone zone, OnlinePolicies policies, CrashSuspects suspects) {
         this.zone = zone;
         this.policies = policies;
         this.suspects = suspects;
     }
 
-    /** Takes a configuration into force. */
+    /** Applies a configuration. */
     public void configure(Configuration newConfiguration) {
         configuration = newConfiguration;
         endpoints.configure(newConfiguration);
     }
 
-    /** The endpoints, for reports that come in and go out. */
+    /** Returns the endpoints, to apply load reports and to read the loads to report. */
     public EndpointTable endpoints() {
         return endpoints;
     }
 
-    /** What is known of crashes. */
+    /** Returns the requests that were in flight at crashes. */
     public CrashSuspects suspects() {
         return suspects;
     }
 
-    /** Takes a request in, or refuses it. A request taken in must end with {@link #finished}. */
+    /** Admits or refuses a request. An admitted request must end with {@link #finished}. */
     public Either<Refusal, OnlineRequest> admit(OnlineIntake intake, long nowNanos) {
         Optional<Refusal> quarantined = refuseQuarantined(intake, Outcome.NOT_RUN, nowNanos);
         if (quarantined.isPresent()) {
             return Either.left(quarantined.get());
         }
         OnlineRequest request = new OnlineRequest(intake);
-        Optional<EndpointState> best = choose(request, nowNanos);
+        Optional<EndpointState> best = chooseEndpoint(request, nowNanos);
         if (best.isEmpty()) {
-            return Either.left(noEndpoint(Outcome.NOT_RUN));
+            return Either.left(noEndpointRefusal(Outcome.NOT_RUN));
         }
         int inFlight = inFlightByCaller.getOrDefault(intake.caller(), 0);
         AdmissionCase admission = new AdmissionCase(
@@ -87,11 +86,11 @@
             return Either.left(refusal.get());
         }
         inFlightByCaller.put(intake.caller(), inFlight + 1);
-        policies.retry().firstAttempt();
+        policies.retry().recordFirstAttempt();
         return Either.right(request);
     }
 
-    /** Where to send a request that has no attempt in progress. */
+    /** Returns the next step for a request that has no attempt in progress. */
     public OnlineDecision next(OnlineRequest request, long nowNanos) {
         Optional<Refusal> quarantined = refuseQuarantined(request.intake(), request.outcome(), nowNanos);
         if (quarantined.isPresent()) {
@@ -100,18 +99,22 @@
         if (suspects.verdict(request.intake().fingerprint(), nowNanos) == Verdict.SUSPECT) {
             return askPermit(request, nowNanos);
         }
-        Optional<EndpointState> chosen = choose(request, nowNanos);
+        Optional<EndpointState> chosen = chooseEndpoint(request, nowNanos);
         if (chosen.isEmpty()) {
-            return new OnlineDecision.Refuse(noEndpoint(request.outcome()));
+            return new OnlineDecision.Refuse(noEndpointRefusal(request.outcome()));
         }
         return send(request, chosen.get(), nowNanos);
     }
 
-    /** The arbiter's answer to {@link OnlineDecision.AskPermit}; empty if the suspect has to wait. */
+    /**
+     * Returns the next step after the arbiter has answered {@link OnlineDecision.AskPermit}.
+     *
+     * @param endpoint the endpoint at which the suspect may run, or empty if it has to wait
+     */
     public OnlineDecision permitted(OnlineRequest request, Optional<String> endpoint, long nowNanos) {
         Optional<EndpointState> granted = endpoint.flatMap(endpoints::find);
         if (granted.isPresent()) {
-            request.permit(true);
+            request.setHoldsPermit(true);
             return send(request, granted.get(), nowNanos);
         }
         if (request.mayWaitForPermit(nowNanos)) {
@@ -124,18 +127,18 @@
                 Optional.of(SUSPECT_RETRY_AFTER_MILLIS)));
     }
 
-    /** An attempt failed: another endpoint, or the final answer. */
+    /** Records a failed attempt and returns the next step: a retry at another endpoint or the final refusal. */
     public OnlineDecision attemptFailed(OnlineRequest request, AttemptFailure failure, long nowNanos) {
         boolean unreachable = failure.outcome() == Outcome.NOT_RUN;
-        request.endpoint().ifPresent(name -> endpoints.failed(name, unreachable, nowNanos));
-        request.failed(failure.outcome());
-        request.permit(false);
+        request.endpoint().ifPresent(name -> endpoints.recordFailure(name, unreachable, nowNanos));
+        request.attemptFailed(failure.outcome());
+        request.setHoldsPermit(false);
         RetryCase retryCase = new RetryCase(
                 request.intake().idempotent(),
                 request.isAnswerStarted(),
                 request.attempts(),
                 request.remainingMillis(nowNanos));
-        AttemptFailure overall = new AttemptFailure(request.outcome(), failure.cutInside(), failure.detail());
+        AttemptFailure overall = new AttemptFailure(request.outcome(), failure.crashSuspected(), failure.detail());
         Optional<Refusal> refusal = policies.retry().giveUp(retryCase, overall);
         if (refusal.isPresent()) {
             return new OnlineDecision.Refuse(refusal.get());
@@ -143,28 +146,28 @@
         return next(request, nowNanos);
     }
 
-    /** An attempt brought the whole answer. */
+    /** Records an attempt that returned the complete answer, and clears the request if it was a suspect. */
     public void attemptSucceeded(OnlineRequest request, long nowNanos) {
-        request.endpoint().ifPresent(name -> endpoints.succeeded(name, request.runNanos(nowNanos)));
-        request.ended();
+        request.endpoint().ifPresent(name -> endpoints.recordSuccess(name, request.attemptRunNanos(nowNanos)));
+        request.attemptEnded();
         suspects.completed(request.intake().fingerprint());
     }
 
-    /** The caller went away, or its deadline passed, while an attempt was in progress. */
+    /** Records that the caller disconnected, or that its deadline passed, while an attempt was in progress. */
     public void attemptAbandoned(OnlineRequest request) {
-        request.endpoint().ifPresent(endpoints::abandoned);
-        request.ended();
+        request.endpoint().ifPresent(endpoints::recordCancellation);
+        request.attemptEnded();
     }
 
-    /** The caller has its final answer, or has gone. */
+    /** Records that the caller got its final answer or disconnected. */
     public void finished(OnlineRequest request) {
         inFlightByCaller.computeIfPresent(
                 request.intake().caller(), (caller, inFlight) -> inFlight <= 1 ? null : inFlight - 1);
     }
 
     private OnlineDecision send(OnlineRequest request, EndpointState endpoint, long nowNanos) {
-        endpoints.started(endpoint.name());
-        request.started(endpoint.name(), nowNanos);
+        endpoints.recordStart(endpoint.name());
+        request.attemptStarted(endpoint.name(), nowNanos);
         return new OnlineDecision.Send(endpoint.settings());
     }
 
@@ -177,12 +180,12 @@
                 .map(EndpointState::name)
                 .toList();
         if (candidates.isEmpty()) {
-            return new OnlineDecision.Refuse(noEndpoint(request.outcome()));
+            return new OnlineDecision.Refuse(noEndpointRefusal(request.outcome()));
         }
         return new OnlineDecision.AskPermit(candidates);
     }
 
-    private Optional<EndpointState> choose(OnlineRequest request, long nowNanos) {
+    private Optional<EndpointState> chooseEndpoint(OnlineRequest request, long nowNanos) {
         RouteRequest route = new RouteRequest(zone, request.intake().prefixHash(), request.tried());
         return endpoints
                 .pool(request.intake().service())
@@ -206,7 +209,7 @@
         return settings == null ? Integer.MAX_VALUE : settings.maxInFlight();
     }
 
-    private static Refusal noEndpoint(Outcome outcome) {
+    private static Refusal noEndpointRefusal(Outcome outcome) {
         return new Refusal(
                 ErrorCode.NO_ENDPOINT,
                 outcome,
--- a/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
@@ -9,107 +9,109 @@
 import org.gooseberryhill.contract.Fingerprint;
 
 /**
- * The requests that were in flight when an endpoint crashed. Not thread-safe; bounded.
+ * Records the requests that were in flight when an endpoint crashed. Bounded in size. Not thread-safe.
  *
- * <p>Failure: one request crashes each endpoint that runs it, and its caller sends it again through other hosts until
- * none is left. Everything in flight at a crash is suspect; a suspect runs apart from other suspects, so the second
- * crash tells which one it was; that one is refused at once everywhere until its time is over. A suspect that
- * completes is cleared.
+ * <p>Guards against a request that crashes each endpoint that runs it and that its caller resends through other hosts
+ * until no endpoint is left. Every request in flight at a crash becomes a suspect. A suspect runs at an endpoint
+ * without other suspects, so that a second crash identifies the cause; that request is then refused on all hosts until
+ * its quarantine expires. A suspect that completes is cleared.
  */
 public final class CrashSuspects {
-    /** What may be done with a request. */
+    /** How a request must be treated. */
     public enum Verdict {
-        /** Nothing is known against it. */
+        /** The request is not known to have been in flight at a crash. */
         CLEAR,
-        /** It was in flight at one crash: it runs apart. */
+        /** The request was in flight at one crash and runs apart from other suspects. */
         SUSPECT,
-        /** It was in flight at two: it is refused. */
+        /** The request was in flight at two crashes and is refused. */
         QUARANTINED
     }
 
     private static final int CRASHES_BEFORE_QUARANTINE = 2;
-    private static final long SAME_CRASH_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long SAME_CRASH_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    private final long memoryNanos;
+    private final long retentionNanos;
     private final int maxSuspects;
-    private final Map<Fingerprint, Record> records = new LinkedHashMap<>();
+    private final Map<Fingerprint, CrashHistory> histories = new LinkedHashMap<>();
 
     /**
-     * An empty memory.
+     * Creates an empty instance.
      *
-     * @param memoryMillis how long a suspect or a quarantined request is remembered
-     * @param maxSuspects how many are remembered; the oldest goes first
+     * @param retentionMillis how long a request is kept after its last crash, in milliseconds
+     * @param maxSuspects the maximum number of requests kept; the one recorded first is evicted first
      */
-    public CrashSuspects(long memoryMillis, int maxSuspects) {
-        this.memoryNanos = TimeUnit.MILLISECONDS.toNanos(memoryMillis);
+    public CrashSuspects(long retentionMillis, int maxSuspects) {
+        this.retentionNanos = TimeUnit.MILLISECONDS.toNanos(retentionMillis);
         this.maxSuspects = maxSuspects;
     }
 
     /**
-     * An endpoint crashed with these requests in flight. Several hosts tell of the same crash, each of the requests it
-     * had there: reports of one endpoint within a short time are the same crash and count once for a request.
+     * Records that an endpoint crashed with requests in flight.
+     *
+     * <p>Several hosts report the same crash, each with the requests that it had there. For each request, reports of
+     * the same endpoint less than 2 s apart count as one crash.
      */
     public void crashed(String endpoint, Collection<Fingerprint> inFlight, long nowNanos) {
-        forgetOld(nowNanos);
+        removeExpired(nowNanos);
         for (Fingerprint fingerprint : inFlight) {
-            Record record = records.computeIfAbsent(fingerprint, key -> new Record());
-            record.add(new Crash(endpoint, nowNanos));
+            CrashHistory history = histories.computeIfAbsent(fingerprint, key -> new CrashHistory());
+            history.add(new Crash(endpoint, nowNanos));
         }
-        while (records.size() > maxSuspects) {
-            records.remove(records.keySet().iterator().next());
+        while (histories.size() > maxSuspects) {
+            histories.remove(histories.keySet().iterator().next());
         }
     }
 
-    /** The request got its whole answer: it crashes nothing. */
+    /** Clears a request that completed: it does not crash endpoints. */
     public void completed(Fingerprint fingerprint) {
-        records.remove(fingerprint);
+        histories.remove(fingerprint);
     }
 
-    /** What may be done with a request now. */
+    /** Returns how a request must be treated now. */
     public Verdict verdict(Fingerprint fingerprint, long nowNanos) {
-        Record record = records.get(fingerprint);
-        if (record == null || nowNanos - record.sinceNanos > memoryNanos) {
+        CrashHistory history = histories.get(fingerprint);
+        if (history == null || nowNanos - history.lastCrashNanos > retentionNanos) {
             return Verdict.CLEAR;
         }
-        return record.crashes.size() >= CRASHES_BEFORE_QUARANTINE ? Verdict.QUARANTINED : Verdict.SUSPECT;
+        return history.crashes.size() >= CRASHES_BEFORE_QUARANTINE ? Verdict.QUARANTINED : Verdict.SUSPECT;
     }
 
-    /** How long the request stays refused, in milliseconds. */
+    /** Returns the time until the record of a request expires, in milliseconds; 0 if there is none. */
     public long remainingMillis(Fingerprint fingerprint, long nowNanos) {
-        Record record = records.get(fingerprint);
-        if (record == null) {
+        CrashHistory history = histories.get(fingerprint);
+        if (history == null) {
             return 0;
         }
-        return TimeUnit.NANOSECONDS.toMillis(Math.max(0, memoryNanos - (nowNanos - record.sinceNanos)));
+        return TimeUnit.NANOSECONDS.toMillis(Math.max(0, retentionNanos - (nowNanos - history.lastCrashNanos)));
     }
 
-    /** How many are remembered. */
+    /** Returns the number of requests recorded, including expired ones that have not been removed yet. */
     public int size() {
-        return records.size();
+        return histories.size();
     }
 
-    private void forgetOld(long nowNanos) {
-        records.values().removeIf(record -> nowNanos - record.sinceNanos > memoryNanos);
+    private void removeExpired(long nowNanos) {
+        histories.values().removeIf(history -> nowNanos - history.lastCrashNanos > retentionNanos);
     }
 
-    /** The crashes of one fingerprint. */
-    private static final class Record {
+    /** The crashes at which one request was in flight. */
+    private static final class CrashHistory {
         private final List<Crash> crashes = new ArrayList<>();
-        private long sinceNanos;
+        private long lastCrashNanos;
 
         void add(Crash crash) {
             boolean known = crashes.stream().anyMatch(crash::isSameAs);
             if (!known && crashes.size() < CRASHES_BEFORE_QUARANTINE) {
                 crashes.add(crash);
             }
-            sinceNanos = crash.atNanos;
+            lastCrashNanos = crash.atNanos;
         }
     }
 
     /** A crash of an endpoint. */
     private record Crash(String endpoint, long atNanos) {
         boolean isSameAs(Crash other) {
-            return endpoint.equals(other.endpoint) && Math.abs(atNanos - other.atNanos) < SAME_CRASH_NANOS;
+            return endpoint.equals(other.endpoint) && Math.abs(atNanos - other.atNanos) < SAME_CRASH_WINDOW_NANOS;
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/routing/EndpointState.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/EndpointState.java
@@ -5,13 +5,15 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * What one entry host knows of an endpoint: its own requests exactly, the others' as last reported. Not thread-safe.
+ * Tracks the load and health of an endpoint as seen by one entry host. Not thread-safe.
+ *
+ * <p>The host's own requests in flight are counted exactly; those of other hosts are as last reported.
  */
 public final class EndpointState {
-    /** Weight of the newest sample in the mean run time. */
-    private static final double MEAN_WEIGHT = 0.1;
+    /** Weight of the newest sample in the exponential moving average of the run time. */
+    private static final double NEWEST_SAMPLE_WEIGHT = 0.1;
 
-    private static final double INITIAL_RUN_MILLIS = 200;
+    private static final double INITIAL_MEAN_RUN_MILLIS = 200;
     private static final int FAILURES_BEFORE_EJECTION = 3;
     private static final long FIRST_EJECTION_MILLIS = 500;
     private static final int MAX_EJECTION_DOUBLINGS = 6;
@@ -20,9 +22,9 @@
     private int ownInFlight;
     private int othersInFlight;
     private int batchInFlight;
-    private double meanRunMillis = INITIAL_RUN_MILLIS;
-    private int failuresInRow;
-    private int ejections;
+    private double meanRunMillis = INITIAL_MEAN_RUN_MILLIS;
+    private int consecutiveFailures;
+    private int consecutiveEjections;
     private long ejectedUntilNanos = Long.MIN_VALUE;
     private boolean leaving;
 
@@ -30,27 +32,27 @@
         this.settings = settings;
     }
 
-    /** The endpoint's name. */
+    /** Returns the endpoint's name. */
     public String name() {
         return settings.name();
     }
 
-    /** The endpoint's settings. */
+    /** Returns the endpoint's settings. */
     public EndpointSettings settings() {
         return settings;
     }
 
-    /** Online requests in flight, own and others'. */
+    /** Returns the online requests in flight, from this host and as reported for others. */
     public int onlineInFlight() {
         return ownInFlight + othersInFlight;
     }
 
-    /** This entry's own online requests in flight. */
+    /** Returns the online requests in flight from this entry host. */
     public int ownInFlight() {
         return ownInFlight;
     }
 
-    /** How long a request would wait for a slot, in milliseconds; batch doesn't count, since it yields. */
+    /** Returns the expected wait for a slot, in milliseconds; batch items are not counted, since they yield. */
     public double predictedWaitMillis() {
         int waiting = onlineInFlight() - settings.slots() + 1;
         if (waiting <= 0) {
@@ -59,74 +61,74 @@
         return waiting * meanRunMillis / settings.slots();
     }
 
-    /** Online requests in flight as a share of the slots. */
+    /** Returns the online requests in flight as a share of the slots. */
     public double load() {
         return (double) onlineInFlight() / settings.slots();
     }
 
-    /** Batch items in flight as a share of the slots. */
+    /** Returns the batch items in flight as a share of the slots. */
     public double batchLoad() {
         return (double) batchInFlight / settings.slots();
     }
 
-    /** Whether the endpoint is in a zone. */
-    public boolean isIn(AvailabilityZone zone) {
+    /** Returns whether the endpoint is in the availability zone. */
+    public boolean isInZone(AvailabilityZone zone) {
         return settings.zone().equals(zone);
     }
 
-    /** Whether new requests may go there: it is not leaving and not ejected. */
+    /** Returns whether the endpoint may get new requests: it is neither leaving nor ejected. */
     public boolean isEligible(long nowNanos) {
         return !isLeaving() && !isEjected(nowNanos);
     }
 
-    /** Whether failures have taken it out for now. */
+    /** Returns whether the endpoint is temporarily excluded because of failures. */
     public boolean isEjected(long nowNanos) {
         return ejectedUntilNanos != Long.MIN_VALUE && nowNanos - ejectedUntilNanos < 0;
     }
 
-    /** Whether it is known to be leaving, from any source. */
+    /** Returns whether any source says that the endpoint is leaving. */
     public boolean isLeaving() {
         return leaving || settings.leaving();
     }
 
-    void settings(EndpointSettings newSettings) {
+    void setSettings(EndpointSettings newSettings) {
         settings = newSettings;
     }
 
-    void leaving(boolean nowLeaving) {
+    void setLeaving(boolean nowLeaving) {
         leaving = nowLeaving;
     }
 
-    void reported(int online, int batch) {
+    void recordReport(int online, int batch) {
         othersInFlight = Math.max(0, online - ownInFlight);
         batchInFlight = batch;
     }
 
-    void started() {
+    void recordStart() {
         ownInFlight++;
     }
 
-    void ended() {
+    void recordEnd() {
         ownInFlight--;
     }
 
-    void succeeded(long runNanos) {
-        failuresInRow = 0;
-        ejections = 0;
+    void recordSuccess(long runNanos) {
+        consecutiveFailures = 0;
+        consecutiveEjections = 0;
         ejectedUntilNanos = Long.MIN_VALUE;
         double runMillis = (double) runNanos / TimeUnit.MILLISECONDS.toNanos(1);
-        meanRunMillis += MEAN_WEIGHT * (runMillis - meanRunMillis);
+        meanRunMillis += NEWEST_SAMPLE_WEIGHT * (runMillis - meanRunMillis);
     }
 
-    /** Counts a failure; returns whether it is time to eject. */
-    boolean failed(boolean unreachable) {
-        failuresInRow++;
-        return unreachable || failuresInRow >= FAILURES_BEFORE_EJECTION;
+    /** Counts a failure and returns whether the endpoint should be ejected. */
+    boolean recordFailure(boolean unreachable) {
+        consecutiveFailures++;
+        return unreachable || consecutiveFailures >= FAILURES_BEFORE_EJECTION;
     }
 
     void eject(long nowNanos) {
-        long millis = FIRST_EJECTION_MILLIS << Math.min(ejections, MAX_EJECTION_DOUBLINGS);
-        ejections++;
+        long millis = FIRST_EJECTION_MILLIS << Math.min(consecutiveEjections, MAX_EJECTION_DOUBLINGS);
+        consecutiveEjections++;
         ejectedUntilNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/routing/TwoChoicesPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/TwoChoicesPolicy.java
@@ -5,41 +5,42 @@
 import java.util.Random;
 
 /**
- * Takes the better of two random endpoints by predicted wait (Mitzenmacher, 2001). Not thread-safe.
+ * Chooses the cheaper of two random endpoints (power of two choices; Mitzenmacher, 2001). Not thread-safe.
  *
- * <p>The cost does not grow with the number of endpoints; only if several random picks in a row are not eligible are
- * all looked at. Two random picks also keep entries with the same stale reports from all choosing the same endpoint.
+ * <p>The cost of an endpoint is its predicted wait plus allowances for its load and its availability zone. The effort
+ * does not grow with the number of endpoints: all are examined only after several random picks in a row were unusable.
+ * Random picks also keep entry hosts that have the same outdated reports from all choosing the same endpoint.
  */
 public final class TwoChoicesPolicy implements RoutePolicy {
     private static final int MAX_PICKS = 8;
 
-    /** A trip to another zone and back, in milliseconds: twice the brief's 1.5. */
-    private static final double OTHER_ZONE_MILLIS = 3;
+    /** Round trip to another availability zone, in milliseconds: twice the specified 1.5 ms. */
+    private static final double OTHER_ZONE_ROUND_TRIP_MILLIS = 3;
 
-    /** A fully loaded endpoint answers slower than an idle one even before it queues. */
-    private static final double FULL_LOAD_MILLIS = 40;
+    /** Extra response time of a fully loaded endpoint, in milliseconds: it slows down even before requests queue. */
+    private static final double FULL_LOAD_DELAY_MILLIS = 40;
 
     private final Random random;
 
-    /** A policy that draws from a seeded source. */
+    /** Creates a policy that draws from a seeded random number generator. */
     public TwoChoicesPolicy(Random random) {
         this.random = random;
     }
 
     @Override
     public Optional<EndpointState> choose(ServicePool pool, RouteRequest request, long nowNanos) {
-        Optional<EndpointState> one = pick(pool.endpoints(), request, nowNanos);
-        if (one.isEmpty()) {
-            return scan(pool.endpoints(), request, nowNanos);
+        Optional<EndpointState> first = pickRandom(pool.endpoints(), request, nowNanos);
+        if (first.isEmpty()) {
+            return findCheapest(pool.endpoints(), request, nowNanos);
         }
-        Optional<EndpointState> other = pick(pool.endpoints(), request, nowNanos);
-        if (other.isEmpty()) {
-            return one;
+        Optional<EndpointState> second = pickRandom(pool.endpoints(), request, nowNanos);
+        if (second.isEmpty()) {
+            return first;
         }
-        return cost(other.get(), request) < cost(one.get(), request) ? other : one;
+        return costMillis(second.get(), request) < costMillis(first.get(), request) ? second : first;
     }
 
-    private Optional<EndpointState> pick(List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
+    private Optional<EndpointState> pickRandom(List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
         for (int i = 0; i < MAX_PICKS && !endpoints.isEmpty(); i++) {
             EndpointState candidate = endpoints.get(random.nextInt(endpoints.size()));
             if (isUsable(candidate, request, nowNanos)) {
@@ -49,10 +50,11 @@
         return Optional.empty();
     }
 
-    private static Optional<EndpointState> scan(List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
+    private static Optional<EndpointState> findCheapest(
+            List<EndpointState> endpoints, RouteRequest request, long nowNanos) {
         EndpointState best = null;
         for (EndpointState candidate : endpoints) {
-            boolean better = best == null || cost(candidate, request) < cost(best, request);
+            boolean better = best == null || costMillis(candidate, request) < costMillis(best, request);
             if (better && isUsable(candidate, request, nowNanos)) {
                 best = candidate;
             }
@@ -64,9 +66,9 @@
         return candidate.isEligible(nowNanos) && !request.tried().contains(candidate.name());
     }
 
-    static double cost(EndpointState endpoint, RouteRequest request) {
-        double zoneMillis = endpoint.isIn(request.entryZone()) ? 0 : OTHER_ZONE_MILLIS;
-        double loadMillis = (endpoint.load() + endpoint.batchLoad() / 2) * FULL_LOAD_MILLIS;
+    static double costMillis(EndpointState endpoint, RouteRequest request) {
+        double zoneMillis = endpoint.isInZone(request.entryZone()) ? 0 : OTHER_ZONE_ROUND_TRIP_MILLIS;
+        double loadMillis = (endpoint.load() + endpoint.batchLoad() / 2) * FULL_LOAD_DELAY_MILLIS;
         return endpoint.predictedWaitMillis() + loadMillis + zoneMillis;
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
@@ -19,18 +19,18 @@
 import org.gooseberryhill.decision.retry.AttemptFailure;
 
 /**
- * Random interleavings of arrivals, failures, crashes, leavings and time over the core, checked against a small model:
- * what was sent, and what of it reached an endpoint.
+ * Runs random sequences of arrivals, successes, failures, crashes, leaving endpoints and passing time against the core,
+ * and checks its decisions against a small model of what was sent and what may have reached an endpoint.
  */
 class OnlineCoreProperties {
     private static final int STEPS = 300;
 
     @Property(seed = "20261203")
-    void whatIsSaidOfARequestIsTrueOfWhatWasSent(@ForAll long seed) {
-        new Run(seed).play();
+    void theReportedOutcomeMatchesWhatWasSent(@ForAll long seed) {
+        new Run(seed).execute();
     }
 
-    /** One run of the model beside the core. */
+    /** One random sequence, run against the core and the model. */
     private static final class Run {
         private final Random random;
         private final OnlineCore core;
@@ -46,7 +46,7 @@
             core = OnlineCoreFixture.core(4, seed);
         }
 
-        void play() {
+        void execute() {
             for (int step = 0; step < STEPS; step++) {
                 now += random.nextInt((int) (SECOND / 10));
                 switch (random.nextInt(6)) {
@@ -54,7 +54,7 @@
                     case 2 -> succeed();
                     case 3 -> fail(Outcome.NOT_RUN, false);
                     case 4 -> fail(Outcome.MAY_HAVE_RUN, random.nextBoolean());
-                    default -> leave();
+                    default -> changeLeavingEndpoints();
                 }
             }
             while (!sent.isEmpty()) {
@@ -83,9 +83,9 @@
 
         private void follow(OnlineRequest request, OnlineDecision decision) {
             String id = request.intake().id();
-            if (decision instanceof OnlineDecision.AskPermit question) {
+            if (decision instanceof OnlineDecision.AskPermit askPermit) {
                 Optional<String> granted =
-                        random.nextBoolean() ? Optional.of(question.endpoints().get(0)) : Optional.empty();
+                        random.nextBoolean() ? Optional.of(askPermit.endpoints().get(0)) : Optional.empty();
                 follow(request, core.permitted(request, granted, now));
             } else if (decision instanceof OnlineDecision.Wait wait) {
                 now += wait.delayMillis() * 1_000_000;
@@ -131,7 +131,7 @@
             follow(request, core.attemptFailed(request, new AttemptFailure(outcome, crash, ""), now));
         }
 
-        private void leave() {
+        private void changeLeavingEndpoints() {
             leaving = random.nextBoolean() ? Set.of("e" + random.nextInt(4)) : Set.of();
             core.endpoints().leaving(leaving);
         }
