--- a/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationEdit.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationEdit.java
@@ -3,21 +3,22 @@
 import java.util.Optional;
 
 /**
- * Decides what an edit does next after each answer of the key-value service. Not thread-safe.
+ * The state machine of a configuration edit: decides the next step after each answer of the key-value service. Not
+ * thread-safe.
  *
- * <p>Invariant: the edit takes effect at most once and reports success only if its own record was seen or confirmed;
- * it never overwrites an edit that its author has not seen.
+ * <p>Invariant: the edit takes effect at most once, reports success only if its own record was read or its write
+ * confirmed, and never overwrites an edit that its author has not seen.
  */
 public final class ConfigurationEdit {
-    /** What to do next. */
+    /** The next step of the caller. */
     public enum Step {
-        /** Write the record, if the key still has the base revision. */
+        /** Write the record on condition that the key still has the base revision. */
         WRITE,
         /** Read the key. */
         READ,
         /** Done: the edit is accepted. */
         ACCEPTED,
-        /** Done: another edit came first. */
+        /** Done: another edit took effect first. */
         CONFLICT,
         /** Done: the key-value service does not answer; the edit may or may not have taken effect. */
         UNKNOWN
@@ -29,24 +30,28 @@
     private final long baseRevision;
     private int uncertainAnswers;
 
-    /** An edit of the text that had this revision; 0 if there was none. */
+    /**
+     * Creates an edit.
+     *
+     * @param baseRevision the revision of the text that was edited; 0 if there was none
+     */
     public ConfigurationEdit(String editId, long baseRevision) {
         this.editId = editId;
         this.baseRevision = baseRevision;
     }
 
-    /** The first step. */
+    /** Returns the first step. */
     public Step begin() {
         return Step.WRITE;
     }
 
-    /** The write was answered. */
+    /** Returns the step after the write was answered. */
     public Step written(boolean succeeded) {
-        // A refused write may be the second try of one that took effect while its answer was lost: read to know.
+        // A refused write may be a retry of one that took effect but whose answer was lost; only a read can tell.
         return succeeded ? Step.ACCEPTED : Step.READ;
     }
 
-    /** The key was read. */
+    /** Returns the step after the key was read. */
     public Step read(Optional<ConfigurationRecord> record, long revision) {
         if (record.map(found -> found.editId().equals(editId)).orElse(false)) {
             return Step.ACCEPTED;
@@ -54,7 +59,7 @@
         return revision == baseRevision ? Step.WRITE : Step.CONFLICT;
     }
 
-    /** A write or read was not answered: it may have taken effect. */
+    /** Returns the step after a write or read was not answered; a write may have taken effect. */
     public Step unanswered() {
         uncertainAnswers++;
         return uncertainAnswers > MAX_UNCERTAIN_ANSWERS ? Step.UNKNOWN : Step.READ;
--- a/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationInForce.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationInForce.java
@@ -7,19 +7,19 @@
 import org.gooseberryhill.configuration.Finding;
 
 /**
- * The configuration in force on one host. Not thread-safe.
+ * Holds the active configuration of one host. Not thread-safe.
  *
- * <p>Invariant: the revision only grows. It comes from the key-value service, so a slow watcher, a peer that was cut
- * off, or a store that answers with an older revision can never bring an older text back.
+ * <p>Invariant: the revision, which the key-value service assigns, only grows. A slow watcher, a peer that was
+ * partitioned or a store that answers with an older revision can therefore never bring back an older text.
  */
 public final class ConfigurationInForce {
-    /** What became of an offered text. */
+    /** The result of offering a text. */
     public enum Offer {
-        /** It is in force now. */
+        /** The text is now active. */
         APPLIED,
-        /** It is not newer than the one in force. */
+        /** The text is not newer than the active one. */
         NOT_NEWER,
-        /** It breaks a rule; the one before stays in force. */
+        /** The text violates a rule; the previous one stays active. */
         INVALID
     }
 
@@ -28,15 +28,16 @@
     private Configuration configuration = Configuration.EMPTY;
     private List<Finding> findings = List.of();
 
-    /** Offers a text with the revision that the key-value service gave it. */
+    /** Activates a text, with the revision that the key-value service assigned to it, if it is newer and valid. */
     public Offer offer(long newRevision, String newText) {
         if (newRevision <= revision) {
             return Offer.NOT_NEWER;
         }
         Either<List<Finding>, Configuration> read = ConfigurationReader.read("configuration", newText);
         if (read.isLeft()) {
-            // The command line checks before it applies; this text was written past it. Serving goes on with the
-            // last good one, and the revision stays, so that the mended text is taken whatever its order.
+            // The command line validates texts before it applies them, so this one was written without it. Serving
+            // continues with the last valid text. The revision stays, so that a corrected text is applied in
+            // whatever order it arrives.
             findings = read.getLeft();
             return Offer.INVALID;
         }
@@ -47,22 +48,22 @@
         return Offer.APPLIED;
     }
 
-    /** The revision in force; 0 before the first. */
+    /** Returns the active revision; 0 before the first. */
     public long revision() {
         return revision;
     }
 
-    /** The text in force. */
+    /** Returns the active text; empty before the first. */
     public String text() {
         return text;
     }
 
-    /** The configuration in force. */
+    /** Returns the active configuration. */
     public Configuration configuration() {
         return configuration;
     }
 
-    /** What was wrong with the latest text that was not taken. */
+    /** Returns the findings on the latest text if it was invalid; empty once a valid text has been applied. */
     public List<Finding> findings() {
         return findings;
     }
--- a/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationRecord.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.configuration;
 
 /**
- * What the key-value service holds under the configuration's key. Immutable.
+ * The value that the key-value service holds under the configuration's key. Immutable.
  *
- * @param editId names the edit, so that its author can find out whether it took effect
- * @param author who applied it
- * @param appliedMillis when, in epoch milliseconds
- * @param text the operators' text
+ * @param editId the id of the edit, by which its author can find out whether it took effect
+ * @param author who applied the edit
+ * @param appliedMillis when the edit was applied, in epoch milliseconds
+ * @param text the configuration text
  */
 public record ConfigurationRecord(String editId, String author, long appliedMillis, String text) {}
--- a/src/main/java/org/gooseberryhill/decision/configuration/TextChange.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/TextChange.java
@@ -6,20 +6,21 @@
 import org.gooseberryhill.contract.Fingerprint;
 
 /**
- * What changed between two texts: the lines between a common beginning and a common end. Immutable.
+ * The difference between two texts: the new lines between a common beginning and a common end. Immutable.
  *
- * <p>Failure that the hash is for: a change that is put on another text than the one it was made from would give a
- * text that nobody wrote. The result is taken only if its hash is that of the new text; else the whole is asked for.
+ * <p>The hash guards against applying a change to a text other than the one it was made from, which would give a text
+ * that nobody wrote. The result is used only if its hash is that of the new text; otherwise the whole text has to be
+ * requested.
  *
- * @param sameAtBegin how many lines at the beginning stay
- * @param sameAtEnd how many lines at the end stay
+ * @param sameAtBegin the number of unchanged lines at the beginning
+ * @param sameAtEnd the number of unchanged lines at the end
  * @param between the new lines between them
- * @param newHash the SHA-256 of the new text
+ * @param newHash the SHA-256 hash of the new text
  */
 public record TextChange(int sameAtBegin, int sameAtEnd, List<String> between, String newHash) {
     private static final String LINE_END = "\n";
 
-    /** The change from one text to another. */
+    /** Computes the change from one text to another. */
     public static TextChange between(String oldText, String newText) {
         List<String> oldLines = lines(oldText);
         List<String> newLines = lines(newText);
@@ -36,7 +37,7 @@
         return new TextChange(begin, end, newLines.subList(begin, newLines.size() - end), hash(newText));
     }
 
-    /** The new text; empty if the change was not made from this one. */
+    /** Returns the new text; empty if the change was not made from the given text. */
     public Optional<String> applyTo(String oldText) {
         List<String> oldLines = lines(oldText);
         if (sameAtBegin < 0 || sameAtEnd < 0 || sameAtBegin + sameAtEnd > oldLines.size()) {
--- a/src/main/java/org/gooseberryhill/decision/configuration/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Which configuration is in force, and how an edit becomes one. */
+/** The active configuration of a host, and the edits that replace it. */
 package org.gooseberryhill.decision.configuration;
--- a/src/main/java/org/gooseberryhill/decision/drain/LeavingEndpoints.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/LeavingEndpoints.java
@@ -6,20 +6,21 @@
 import java.util.Set;
 
 /**
- * The endpoints that get no new work, from whichever source said so first. Not thread-safe.
+ * Tracks the leaving endpoints, which get no new work, as reported by several sources. Not thread-safe.
  *
- * <p>Failure: the host list lags by many seconds, and requests keep going to an endpoint that is about to end. The
- * endpoint's own answer and the peers' word count as well; an endpoint is back only when no source names it.
+ * <p>The platform's host list alone is not enough: it lags by many seconds, during which requests would still be sent to
+ * an endpoint that is about to end. Therefore the endpoint's own status and reports from peers count as well. An
+ * endpoint gets work again only when no source reports it as leaving.
  */
 public final class LeavingEndpoints {
     private final Map<LeavingSource, Set<String>> bySource = new EnumMap<>(LeavingSource.class);
 
-    /** A source's whole present set. */
+    /** Replaces the set of endpoints that a source reports as leaving. */
     public void replace(LeavingSource source, Set<String> endpoints) {
         bySource.put(source, new HashSet<>(endpoints));
     }
 
-    /** A source's word on one endpoint. */
+    /** Records whether a source reports one endpoint as leaving. */
     public void update(LeavingSource source, String endpoint, boolean leaving) {
         Set<String> endpoints = bySource.computeIfAbsent(source, key -> new HashSet<>());
         if (leaving) {
@@ -29,14 +30,17 @@
         }
     }
 
-    /** All endpoints that some source names. */
+    /** Returns the endpoints that at least one source reports as leaving. */
     public Set<String> all() {
         Set<String> union = new HashSet<>();
         bySource.values().forEach(union::addAll);
         return union;
     }
 
-    /** What this host knows at first hand, to tell its peers; hearsay isn't passed on, or it would never end. */
+    /**
+     * Returns the endpoints to announce to peers as leaving: those known from sources other than peers. If hosts passed
+     * on what peers told them, such reports would circulate forever.
+     */
     public Set<String> firstHand() {
         Set<String> union = new HashSet<>();
         bySource.forEach((source, endpoints) -> {
--- a/src/main/java/org/gooseberryhill/decision/drain/LeavingSource.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/LeavingSource.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.drain;
 
-/** Who says that an endpoint is leaving. Immutable. */
+/** The sources that report an endpoint as leaving. */
 public enum LeavingSource {
     /** The platform's host list, which lags. */
     HOST_LIST,
-    /** The endpoint's own status. */
+    /** The status that the endpoint itself reports. */
     ENDPOINT,
-    /** A steward or another peer. */
+    /** Another host of the system, such as a steward. */
     PEER
 }
--- a/src/main/java/org/gooseberryhill/decision/drain/PlannedStop.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/PlannedStop.java
@@ -3,34 +3,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The planned stop of one process. Not thread-safe, but any thread may ask for the phase.
+ * The state machine of a process's planned stop. Not thread-safe, except that any thread may read the phase.
  *
- * <p>Invariants: the process ends only when nothing is in progress and nothing can come in any more, or when the bound has
- * passed. That nothing is in progress is not enough while callers are connected: their next request would be taken in
- * and lost. Asking again changes nothing, so a second signal can't cut what the first waits for. A grace period comes
- * first in which new requests are still served, since the balancer and the peers need time to learn of the stop; it takes
- * half of the bound at the most. After it only that is taken in which is certainly over before the bound. Shortly before
- * the bound nothing comes in any more, so that nobody is connected whose request has no answer when the process ends.
+ * <p>The process ends only when nothing is in progress and no request can arrive any more, or when the time bound has
+ * passed. It is not enough that nothing is in progress: a connected caller could still send a request, which would be
+ * accepted and lost. Requesting the stop again has no effect, so a second signal cannot cut off work that the first one
+ * waits for.
+ *
+ * <p>The stop begins with a grace period in which all requests are still accepted, because the load balancer and the
+ * peers need time to learn of the stop; it takes at most half of the bound. After it, only requests that are certain to
+ * end before the bound are accepted. Shortly before the bound the process stops accepting requests altogether, so that
+ * no caller is left connected with an unanswered request when the process ends.
  */
 public final class PlannedStop {
-    /** How far the stop is. */
+    /** The phases of a planned stop, in order. */
     public enum Phase {
-        /** No stop was asked for. */
+        /** No stop was requested. */
         SERVING,
-        /** Announced as not ready; what still comes is served. */
+        /** The process reports itself as not ready; requests that still arrive are served. */
         ANNOUNCED,
-        /** What is in progress ends; connections that wait for a request are closed. */
+        /** Work in progress is completed; idle connections are closed. */
         DRAINING,
-        /** Nothing was in progress, or the bound is near: the process stops listening and closes what is still connected. */
+        /** Nothing was in progress, or the bound is near: the process stops listening and closes its connections. */
         CLOSING,
-        /** The process ends now. */
+        /** The stop is complete and the process exits. */
         ENDED
     }
 
-    /** How long before the bound nothing new comes in any more: what is on its way is turned away in that time. */
+    /** Time before the bound in which no request is accepted; those that still arrive are refused in that time. */
     private static final long CLOSING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    /** Of a short bound it is this part. */
+    /** Divisor of the bound that limits {@link #CLOSING_NANOS} if the bound is short. */
     private static final long CLOSING_PART = 10;
 
     private final long graceNanos;
@@ -39,24 +42,28 @@
     private long sinceNanos;
 
     /**
-     * A stop with its times.
+     * Creates a stop that has not been requested.
      *
-     * @param graceMillis how long requests are still taken in
-     * @param boundMillis after which the process ends even with requests in progress
+     * @param graceMillis how long all requests are still accepted
+     * @param boundMillis the time after which the process ends even with requests in progress
      */
     public PlannedStop(long graceMillis, long boundMillis) {
         this.graceNanos = TimeUnit.MILLISECONDS.toNanos(graceMillis);
         this.boundNanos = TimeUnit.MILLISECONDS.toNanos(boundMillis);
     }
 
-    /** Changes the bound, by a reload of the settings; one that was asked for already keeps its own. */
+    /** Changes the bound after a reload of the settings. A stop that has been requested keeps its bound. */
     public void bound(long boundMillis) {
         if (phase == Phase.SERVING) {
             boundNanos = TimeUnit.MILLISECONDS.toNanos(boundMillis);
         }
     }
 
-    /** Begins the stop that was asked for at a moment, from which its times count; a second time changes nothing. */
+    /**
+     * Begins the stop. Further calls have no effect.
+     *
+     * @param askedNanos when the stop was requested; the grace period and the bound count from then
+     */
     public void ask(long askedNanos) {
         if (phase == Phase.SERVING) {
             phase = Phase.ANNOUNCED;
@@ -65,10 +72,10 @@
     }
 
     /**
-     * Advances the stop.
+     * Advances the stop to the given time and returns its phase.
      *
-     * @param inProgress how much has begun and not ended
-     * @param reachable whether something new may still come in: callers are connected, or can connect
+     * @param inProgress the number of requests and other units of work that have begun and not ended
+     * @param reachable whether new requests may still arrive: callers are connected, or can connect
      */
     public Phase advance(int inProgress, boolean reachable, long nowNanos) {
         long elapsedNanos = nowNanos - sinceNanos;
@@ -88,21 +95,21 @@
     }
 
     /**
-     * Whether a request that comes now is taken in.
+     * Returns whether a request that arrives now is accepted.
      *
-     * @param allowedMillis how long the request may last at the most
+     * @param allowedMillis the longest time that the request may take
      */
     public boolean takes(long allowedMillis, long nowNanos) {
         long leftNanos = boundNanos - (nowNanos - sinceNanos);
         return takesAll() || leftNanos >= TimeUnit.MILLISECONDS.toNanos(allowedMillis);
     }
 
-    /** The phase as last advanced. */
+    /** Returns the phase as of the last call of {@link #advance}. */
     public Phase phase() {
         return phase;
     }
 
-    /** Whether requests are taken in however long they may last: no stop was asked for, or its grace is not over. */
+    /** Returns whether requests of any length are accepted: no stop was requested, or its grace period is not over. */
     public boolean takesAll() {
         return phase == Phase.SERVING || phase == Phase.ANNOUNCED;
     }
--- a/src/main/java/org/gooseberryhill/decision/drain/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/package-info.java
@@ -1,2 +1,2 @@
-/** Leaving: endpoints that get no new work, and this process's own planned stop. */
+/** Draining: the endpoints that get no new work, and the planned stop of this process. */
 package org.gooseberryhill.decision.drain;
--- a/src/main/java/org/gooseberryhill/decision/job/ChunkCommit.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ChunkCommit.java
@@ -3,41 +3,44 @@
 import java.util.Optional;
 
 /**
- * Decides about the commit of one chunk, after each answer of the key-value service. Not thread-safe.
+ * The state machine of one chunk's commit: decides the next step after each answer of the key-value service. Not
+ * thread-safe.
  *
- * <p>Invariant: a chunk has one record for ever. It is created only while the job's record is the one that the owner
- * read (a cancel changes it) and the owner's claim stands (a lapsed lease deletes it), and only where none is; trying
- * again after a lost answer is therefore safe.
+ * <p>Invariant: a chunk has at most one record, which never changes. It is created only while the job's record is the
+ * one that the owner read (a cancellation changes it), the owner's claim exists (an expired lease deletes it) and the
+ * chunk has no record. Retrying after a lost answer is therefore safe.
  */
 public final class ChunkCommit {
-    /** What to do next. */
+    /** The next step of the caller. */
     public enum Step {
-        /** Create the chunk's record under the conditions of this class. */
+        /** Create the chunk's record under the conditions that {@link ChunkCommit} names. */
         WRITE,
         /** Read the chunk's record. */
         READ,
-        /** Done: the chunk's completions are those of its record. */
+        /** Done: the chunk has its record, whose completions count. */
         COMMITTED,
-        /** Done: the job was cancelled or has another owner; stop it here. */
+        /** Done: the job was cancelled or has another owner; this host has to stop it. */
         REFUSED
     }
 
     private boolean uncertain;
 
-    /** The first step, once the results are durable on two zones' disks. */
+    /** Returns the first step, to be taken once the results are on disk in two availability zones. */
     public Step begin() {
         return Step.WRITE;
     }
 
-    /** The write was answered. */
+    /** Returns the step after the write was answered. */
     public Step written(boolean succeeded) {
         return succeeded ? Step.COMMITTED : Step.READ;
     }
 
-    /** The record was read. */
+    /** Returns the step after the chunk's record was read. */
     public Step read(Optional<ChunkRecord> found) {
         if (found.isPresent()) {
-            // This owner's or an earlier one's: in both cases the completions stand and this run's are dropped.
+            // The record is this owner's or an earlier owner's. In both cases its completions count and those of this
+            // run
+            // are discarded.
             return Step.COMMITTED;
         }
         if (uncertain) {
@@ -47,7 +50,7 @@
         return Step.REFUSED;
     }
 
-    /** A write or read was not answered: it may have taken effect. */
+    /** Returns the step after a write or read was not answered; a write may have taken effect. */
     public Step unanswered() {
         uncertain = true;
         return Step.READ;
--- a/src/main/java/org/gooseberryhill/decision/job/ChunkRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ChunkRecord.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.job;
 
 /**
- * A finished chunk's record: its existence is the completion of each item in it. Immutable.
+ * The record of a finished chunk in the key-value service; its existence completes all items of the chunk. Immutable.
  *
- * @param segment the name of the segment with the results, one line an item
- * @param items how many items it has
- * @param failed how many of them failed for good
- * @param fence the owner's fence at the commit
+ * @param segment the name of the segment with the results, one line per item
+ * @param items the number of items
+ * @param failed the number of items that failed permanently
+ * @param fence the owner's fencing token at the commit
  */
 public record ChunkRecord(String segment, int items, int failed, long fence) {}
--- a/src/main/java/org/gooseberryhill/decision/job/DispatchContext.java
+++ b/src/main/java/org/gooseberryhill/decision/job/DispatchContext.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * What a dispatch order may look at besides the jobs. Immutable.
+ * The information besides the jobs that a {@link DispatchOrder} decides on. Immutable.
  *
- * @param nowMillis the wall-clock time, in epoch milliseconds, since due times are given in it
- * @param runningByCaller items in flight by caller
+ * @param nowMillis the wall-clock time in epoch milliseconds, as due times are
+ * @param runningByCaller the number of items in flight by caller
  */
 public record DispatchContext(long nowMillis, Map<String, Integer> runningByCaller) {}
--- a/src/main/java/org/gooseberryhill/decision/job/EarliestDeadlineFairOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/job/EarliestDeadlineFairOrder.java
@@ -5,10 +5,11 @@
 import java.util.Optional;
 
 /**
- * Jobs that may miss their due time first, earliest due first; the rest fairly among callers. Stateless.
+ * Prefers jobs that may miss their due time, earliest due time first, and otherwise shares fairly among callers.
+ * Stateless.
  *
- * <p>A job is urgent when what is left, at its present pace, needs more than half of the time until it is due. Jobs
- * that are not urgent give way to the caller with the fewest items in flight, so that one caller's large job does not
+ * <p>A job is urgent if its remaining items, at its present throughput, need more than half of the time until it is due.
+ * If no job is urgent, the caller with the fewest items in flight comes first, so that one caller's large job does not
  * keep the others waiting for a day.
  */
 public final class EarliestDeadlineFairOrder implements DispatchOrder {
--- a/src/main/java/org/gooseberryhill/decision/job/FirstComeOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/job/FirstComeOrder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The baseline: the job that was accepted first. Stateless. */
+/** Prefers the job that was accepted first; the baseline to compare other orders with. Stateless. */
 public final class FirstComeOrder implements DispatchOrder {
     @Override
     public Optional<OwnedJob> pick(List<OwnedJob> jobs, DispatchContext context) {
--- a/src/main/java/org/gooseberryhill/decision/job/Intake.java
+++ b/src/main/java/org/gooseberryhill/decision/job/Intake.java
@@ -6,25 +6,27 @@
 import org.gooseberryhill.contract.Refusal;
 
 /**
- * Decides about the submission of a job, after each answer of the key-value service. Not thread-safe.
+ * The state machine of a job's submission: decides the next step after each answer of the key-value service. Not
+ * thread-safe.
  *
- * <p>Invariant: a job is accepted only by its own record or an equal one under its key. A resent job, also through
- * another host at the same moment, finds that record and is the same job; another body is a conflict.
+ * <p>Invariant: a job is accepted only if its key holds its own record or one with the same body. A job that is sent
+ * again, even concurrently through another host, finds that record and is recognized as the same job; a different body
+ * is a conflict.
  */
 public final class Intake {
-    /** What to do next. */
+    /** The next step of the caller. */
     public enum Step {
-        /** Create the record, if the key is absent. */
+        /** Create the record on condition that the key is absent. */
         CREATE,
         /** Read the record. */
         READ,
         /** Done: the job is accepted. */
         ACCEPTED,
-        /** Done: the same job was accepted before. */
+        /** Done: the same job had been accepted before. */
         SAME_JOB,
-        /** Done: another body stands under the id. */
+        /** Done: a job with another body was accepted under the id. */
         CONFLICT,
-        /** Done: the key-value service does not answer; a resend will tell. */
+        /** Done: the key-value service does not answer. Sending the job again shows whether it was accepted. */
         UNAVAILABLE
     }
 
@@ -35,22 +37,22 @@
     private boolean uncertain;
     private int uncertainAnswers;
 
-    /** The submission of a body with this hash. */
+    /** Creates the submission of a job whose body has this hash. */
     public Intake(String bodyHash) {
         this.bodyHash = bodyHash;
     }
 
-    /** The first step, once the items are durable on two zones' disks. */
+    /** Returns the first step, to be taken once the items are on disk in two availability zones. */
     public Step begin() {
         return Step.CREATE;
     }
 
-    /** The creation was answered. */
+    /** Returns the step after the creation was answered. */
     public Step created(boolean succeeded) {
         return succeeded ? Step.ACCEPTED : Step.READ;
     }
 
-    /** The record was read. */
+    /** Returns the step after the record was read. */
     public Step read(Optional<JobRecord> found) {
         if (found.isEmpty()) {
             return Step.CREATE;
@@ -61,18 +63,18 @@
         return uncertain ? Step.ACCEPTED : Step.SAME_JOB;
     }
 
-    /** A creation or read was not answered: it may have taken effect. */
+    /** Returns the step after a creation or read was not answered; a creation may have taken effect. */
     public Step unanswered() {
         uncertain = true;
         uncertainAnswers++;
         return uncertainAnswers > MAX_UNCERTAIN_ANSWERS ? Step.UNAVAILABLE : Step.READ;
     }
 
-    /** The refusal for a step that is one. */
+    /** Returns the refusal that a final step means for the caller; empty if the step is not a refusal. */
     public static Optional<Refusal> refusal(Step step) {
         return switch (step) {
             case CONFLICT -> Optional.of(Refusal.notRun(ErrorCode.CONFLICT, "another job was accepted under this id"));
-            // The record may have been written: the job may run. Sending it again is safe and tells.
+            // The record may have been written, so the job may run. Sending it again is safe and shows its state.
             case UNAVAILABLE ->
                 Optional.of(new Refusal(
                         ErrorCode.PLATFORM_UNAVAILABLE,
--- a/src/main/java/org/gooseberryhill/decision/job/ItemEnd.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ItemEnd.java
@@ -1,17 +1,17 @@
 package org.gooseberryhill.decision.job;
 
-/** How the run of an item ended at an endpoint. Immutable. */
+/** How a run of an item at an endpoint ended. */
 public enum ItemEnd {
-    /** With its result. */
+    /** The item has its result. */
     COMPLETED,
-    /** Given up for online work; it goes on later, from where it was. */
+    /** The run was stopped in favor of online work; a later run continues from the text generated so far. */
     YIELDED,
-    /** The endpoint broke off: counts as a crash. */
+    /** The endpoint broke off the answer, which counts as a crash. */
     CRASHED,
-    /** The endpoint answered with an error that another try may mend. */
+    /** The endpoint answered with an error that a retry may resolve. */
     FAILED,
-    /** The endpoint answered that the item can never be done. */
+    /** The endpoint answered with an error that a retry cannot resolve. */
     REJECTED,
-    /** No byte reached an endpoint: not an attempt. */
+    /** No byte reached an endpoint; does not count as an attempt. */
     NOT_RUN
 }
--- a/src/main/java/org/gooseberryhill/decision/job/ItemOutcome.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ItemOutcome.java
@@ -1,13 +1,13 @@
 package org.gooseberryhill.decision.job;
 
 /**
- * A steward's report on a run, as the owner takes it in. Immutable.
+ * A steward's report to the job's owner on a run of an item. Immutable.
  *
- * @param index the item's place in the job
- * @param fence the owner's claim that the hand-out belongs to
- * @param handout the hand-out that the report belongs to
+ * @param index the index of the item in the job
+ * @param fence the revision of the owner's claim under which the item was handed out
+ * @param handout the number of the hand-out that the report belongs to
  * @param end how the run ended
- * @param text the result, what was generated so far, or the reason
- * @param tokens how many tokens the text has
+ * @param text the result, the text generated so far, or the reason of the failure
+ * @param tokens the number of tokens of the text
  */
 public record ItemOutcome(int index, long fence, long handout, ItemEnd end, String text, int tokens) {}
--- a/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
@@ -6,17 +6,18 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * One item of an open chunk. Not thread-safe.
+ * The state of one item of a chunk that is in memory. Not thread-safe.
  *
- * <p>Invariant: it gets one completion; reports of hand-outs other than the latest change nothing.
+ * <p>Invariant: an item gets one completion; reports of hand-outs other than the latest have no effect.
  */
 final class ItemSlot {
-    /** Tries that end in an error before the item has failed for good. */
+    /** Number of attempts that end in an error after which the item has failed permanently. */
     private static final int MAX_FAILURES = 3;
 
     /**
-     * Crashes before the item has failed for good. One more than for online requests: there the refusal ends after
-     * a time, here it is final, and an innocent item may share two crashes with a guilty one by bad luck.
+     * Number of crashes after which the item has failed permanently. It is one more than for online requests: their
+     * refusal ends after some time, while this failure is final, and an item may by chance be running at two crashes that
+     * another item caused.
      */
     private static final int MAX_CRASHES = 3;
 
@@ -36,7 +37,7 @@
         this.body = body;
     }
 
-    /** When the item may run again; empty if at once. */
+    /** Returns the time before which the item must not run again; empty if it may run immediately. */
     Optional<Long> notBeforeNanos() {
         return notBeforeNanos;
     }
@@ -84,12 +85,12 @@
         return new WorkItem(job, index, fence, number, body, partial, partialTokens, isSuspect());
     }
 
-    /** The steward that had it is lost, or had it for too long: it waits again. */
+    /** Ends the current hand-out without a report, because its steward is lost or has had the item for too long. */
     void takeBack() {
         holder = Optional.empty();
     }
 
-    /** Takes in a report; returns whether it belonged to the latest hand-out. */
+    /** Applies a report and returns whether it belonged to the latest hand-out. */
     boolean report(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         if (holder.isEmpty() || outcome.handout() != handout) {
             return false;
@@ -103,7 +104,7 @@
             case CRASHED -> crashed(outcome, nowNanos, backoffNanos);
             case FAILED -> failedOnce(outcome, nowNanos, backoffNanos);
             case NOT_RUN -> notBeforeNanos = Optional.of(nowNanos + backoffNanos);
-            default -> throw new IllegalStateException("unknown end " + outcome.end());
+            default -> throw new IllegalStateException("unknown end of a run: " + outcome.end());
         }
         return true;
     }
@@ -125,7 +126,7 @@
 
     private void failedOnce(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         failures++;
-        // It may have failed because of what it was to be continued from: the next try begins anew.
+        // The partial text to continue from may have caused the failure, so the next attempt starts from scratch.
         partial = "";
         partialTokens = 0;
         notBeforeNanos = Optional.of(nowNanos + backoffNanos * failures);
--- a/src/main/java/org/gooseberryhill/decision/job/JobBoard.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobBoard.java
@@ -10,12 +10,12 @@
 import org.gooseberryhill.contract.JobKey;
 import org.gooseberryhill.host.HostId;
 
-/** All jobs that one host owns, and which of their items runs next. Not thread-safe. */
+/** Holds the jobs that one host owns and hands out their items in the given order. Not thread-safe. */
 public final class JobBoard {
     private final DispatchOrder order;
     private final Map<JobKey, OwnedJob> jobs = new LinkedHashMap<>();
 
-    /** An empty board. */
+    /** Creates an instance without jobs. */
     public JobBoard(DispatchOrder order) {
         this.order = order;
     }
@@ -25,24 +25,24 @@
         jobs.put(job.key(), job);
     }
 
-    /** Stops a job and forgets it. */
+    /** Stops a job and removes it. */
     public Optional<OwnedJob> remove(JobKey key) {
         Optional<OwnedJob> removed = Optional.ofNullable(jobs.remove(key));
         removed.ifPresent(OwnedJob::stop);
         return removed;
     }
 
-    /** A job by key. */
+    /** Returns the job with this key; empty if this host does not own it. */
     public Optional<OwnedJob> find(JobKey key) {
         return Optional.ofNullable(jobs.get(key));
     }
 
-    /** All jobs. */
+    /** Returns a copy of the owned jobs. */
     public Collection<OwnedJob> jobs() {
         return List.copyOf(jobs.values());
     }
 
-    /** Hands out up to a number of items of a service to a steward. */
+    /** Hands out at most the given number of items of a service to a steward. */
     public List<WorkItem> take(String service, int max, HostId steward, long nowNanos, long nowMillis) {
         List<WorkItem> items = new ArrayList<>();
         List<OwnedJob> ready = new ArrayList<>(ready(service, nowNanos));
@@ -61,7 +61,7 @@
         return items;
     }
 
-    /** The services with a waiting item, each with its earliest due time in epoch milliseconds. */
+    /** Returns the services with waiting items, each with its earliest due time in epoch milliseconds. */
     public Map<String, Long> waitingWork(long nowNanos) {
         Map<String, Long> work = new HashMap<>();
         for (OwnedJob job : jobs.values()) {
@@ -72,7 +72,7 @@
         return work;
     }
 
-    /** A steward is lost: what it had waits again. */
+    /** Makes the items of a lost steward wait again. */
     public void stewardLost(HostId steward) {
         jobs.values().forEach(job -> job.stewardLost(steward));
     }
--- a/src/main/java/org/gooseberryhill/decision/job/JobRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobRecord.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A job's record in the key-value service, written when it is accepted and when its state changes. Immutable.
+ * A job's record in the key-value service, written when the job is accepted and when its state changes. Immutable.
  *
- * @param state its state
- * @param bodyHash tells a resent job from another one under the same id
- * @param service the service that runs its items
- * @param model the model that callers named
- * @param dueMillis when it is due, in epoch milliseconds
- * @param acceptedMillis when it was accepted, in epoch milliseconds
- * @param items how many items it has
- * @param chunkItems how many items each chunk has, the last one fewer
- * @param chunks the names of the segments with the items, one a chunk
+ * @param state the state of the job
+ * @param bodyHash the hash of the request body, which distinguishes a resent job from another job under the same id
+ * @param service the service that runs the items
+ * @param model the model that the caller named
+ * @param dueMillis when the job is due, in epoch milliseconds
+ * @param acceptedMillis when the job was accepted, in epoch milliseconds
+ * @param items the number of items
+ * @param chunkItems the number of items per chunk; the last chunk may have fewer
+ * @param chunks the names of the segments with the items, one per chunk
  */
 public record JobRecord(
         JobState state,
@@ -25,12 +25,12 @@
         int items,
         int chunkItems,
         List<String> chunks) {
-    /** The same job in another state. */
+    /** Returns the record of the same job in another state. */
     public JobRecord in(JobState newState) {
         return new JobRecord(newState, bodyHash, service, model, dueMillis, acceptedMillis, items, chunkItems, chunks);
     }
 
-    /** How many items a chunk has. */
+    /** Returns the number of items of a chunk. */
     public int itemsInChunk(int chunk) {
         return Math.min(chunkItems, items - chunk * chunkItems);
     }
--- a/src/main/java/org/gooseberryhill/decision/job/JobState.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobState.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.job;
 
-/** The state of a job in its record. Immutable; the last two are final. */
+/** The state of a job in its record. {@link #DONE} and {@link #CANCELLED} are final. */
 public enum JobState {
-    /** Accepted; items wait or run. */
+    /** The job was accepted; items wait or run. */
     RUNNING,
-    /** Each item has its completion. */
+    /** Every item has its completion. */
     DONE,
-    /** Cancelled by its caller; no later result appears. */
+    /** The caller cancelled the job; no further results appear. */
     CANCELLED
 }
--- a/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
@@ -14,17 +14,22 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * A job as its owner runs it. Not thread-safe.
+ * The state of a job on the host that owns it. Not thread-safe.
  *
- * <p>Invariants: a chunk is handed on for commit once, when each of its items has its completion; only a window of
- * chunks is in memory, so a job of 270,000 items costs no more than one of a thousand; after {@link #stop} nothing is
- * handed out and no report counts; nor does a report of a hand-out under an earlier claim.
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li>A chunk is returned for commit once, when each of its items has its completion.
+ *   <li>Only a window of chunks is in memory, so a job of 270,000 items needs no more memory than one of a thousand.
+ *   <li>After {@link #stop} no item is handed out and no report has an effect.
+ *   <li>A report of a hand-out under an earlier claim has no effect.
+ * </ul>
  */
 public final class OwnedJob {
-    /** Chunks in memory at once. */
+    /** Maximum number of chunks that are loaded and not committed. */
     static final int CHUNK_WINDOW = 4;
 
-    /** Taken for the time of an item until some have run. */
+    /** Initial value of the mean item time, before any item has completed. */
     private static final double INITIAL_ITEM_MILLIS = 1000;
 
     private static final double MEAN_WEIGHT = 1.0 / 16;
@@ -45,10 +50,10 @@
     private boolean stopped;
 
     /**
-     * A job that this host owns from now on.
+     * Creates the state of a job that this host has claimed.
      *
-     * @param recordRevision the revision of the record, which commits compare against
-     * @param fence the revision of this host's claim
+     * @param recordRevision the revision of the record, which commits are conditional on
+     * @param fence the revision of this host's claim, used as the fencing token
      * @param committed the chunks that earlier owners committed
      */
     public OwnedJob(JobKey key, JobRecord record, long recordRevision, long fence, BitSet committed) {
@@ -61,52 +66,54 @@
         completedItems = committed.stream().map(record::itemsInChunk).sum();
     }
 
-    /** The job's key. */
+    /** Returns the job's key. */
     public JobKey key() {
         return key;
     }
 
-    /** The job's record. */
+    /** Returns the job's record. */
     public JobRecord record() {
         return record;
     }
 
-    /** The revision of the record that commits compare against. */
+    /** Returns the revision of the record, which commits are conditional on. */
     public long recordRevision() {
         return recordRevision;
     }
 
-    /** The revision of this host's claim. */
+    /** Returns the revision of this host's claim. */
     public long fence() {
         return fence;
     }
 
-    /** Items in flight at stewards. */
+    /** Returns the number of items that are handed out to stewards. */
     public int running() {
         return running;
     }
 
-    /** Whether the job is cancelled, lost to another owner or finished. */
+    /** Returns whether the job was stopped on this host: cancelled, lost to another owner or finished. */
     public boolean isStopped() {
         return stopped;
     }
 
-    /** How many items have no completion yet, those in flight included. */
+    /** Returns the number of items without a completion, including those in flight. */
     public int remainingItems() {
         return record.items() - completedItems;
     }
 
-    /** The mean time of an item from its hand-out to its completion, in milliseconds; newer items weigh more. */
+    /**
+     * Returns the exponentially weighted mean time of an item from its hand-out to its completion, in milliseconds.
+     */
     public double meanItemMillis() {
         return meanItemMillis;
     }
 
-    /** Whether each chunk is committed. */
+    /** Returns whether all chunks are committed. */
     public boolean isComplete() {
         return closedChunks.cardinality() == record.chunks().size();
     }
 
-    /** The next chunk to load, if the window has room; it is named once. */
+    /** Returns the next chunk to load if the window has room. Each chunk is returned once unless loading it fails. */
     public Optional<Integer> nextChunkToLoad() {
         int next = requestedChunks.nextClearBit(0);
         int open = requestedChunks.cardinality() - closedChunks.cardinality();
@@ -117,12 +124,12 @@
         return Optional.of(next);
     }
 
-    /** A chunk could not be loaded; it will be named again. */
+    /** Records that a chunk could not be loaded; {@link #nextChunkToLoad} will return it again. */
     public void chunkNotLoaded(int chunk) {
         requestedChunks.clear(chunk);
     }
 
-    /** A chunk's items came from a store. */
+    /** Adds the items of a chunk that was loaded from a store host. */
     public void chunkLoaded(int chunk, List<String> bodies) {
         if (closedChunks.get(chunk) || openChunks.containsKey(chunk)) {
             return;
@@ -133,12 +140,12 @@
         }
     }
 
-    /** Whether an item waits that may run now. */
+    /** Returns whether an item is waiting that may run now. */
     public boolean hasWaiting(long nowNanos) {
         return !stopped && waiting.hasReady(nowNanos);
     }
 
-    /** Hands out the first waiting item. */
+    /** Hands out the waiting item with the lowest index that may run now. */
     public Optional<WorkItem> take(HostId steward, long nowNanos) {
         OptionalInt index = stopped ? OptionalInt.empty() : waiting.poll(nowNanos);
         if (index.isEmpty()) {
@@ -149,7 +156,7 @@
                 .map(slot -> slot.handOut(key.path(), index.getAsInt(), fence, ++handouts, steward, nowNanos));
     }
 
-    /** Takes in a report; a chunk whose last item it completes is handed on for commit. */
+    /** Applies a report. Returns the chunk for commit if the report completed its last item. */
     public Optional<ChunkResult> report(ItemOutcome outcome, long nowNanos) {
         Optional<ItemSlot> slot = stopped || outcome.fence() != fence ? Optional.empty() : slot(outcome.index());
         if (slot.isEmpty() || !slot.get().report(outcome, nowNanos, BACKOFF_NANOS)) {
@@ -165,28 +172,29 @@
         return closeIfWhole(outcome.index() / record.chunkItems());
     }
 
-    /** A chunk's commit took effect. */
+    /** Records that a chunk's commit took effect. */
     public void chunkCommitted(int chunk) {
         closedChunks.set(chunk);
     }
 
-    /** The stewards that have items of this job. */
+    /** Returns the stewards that hold items of this job. */
     public Set<HostId> holders() {
         Set<HostId> holders = new TreeSet<>();
         openChunks.values().forEach(slots -> slots.forEach(slot -> slot.holder().ifPresent(holders::add)));
         return holders;
     }
 
-    /** A steward is lost: what it had waits again. */
+    /** Makes the items of a lost steward wait again. */
     public void stewardLost(HostId steward) {
         takeBackWhere(slot -> slot.isHeldBy(steward));
     }
 
     /**
-     * Takes back what a steward does not have although it was handed out to it a while ago.
+     * Reclaims items that were handed out to a steward more than the given time ago but that the steward does not hold.
      *
-     * <p>Failure: the answer with the items, or the report of an end, is lost on its way; nobody runs the item, and the
-     * job would wait for it until the longest hand-out is over. The age keeps out what is still on its way.
+     * <p>This happens if the answer that carried the items, or the report on the end of a run, was lost. Nobody runs such
+     * an item, and without this method the job would wait for it until the hand-out times out. The minimum age excludes
+     * messages that are still on their way.
      */
     public void takeBackMissing(HostId steward, Set<Long> held, long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
@@ -194,13 +202,13 @@
                 slot.isHeldBy(steward) && slot.isOlderThan(ageNanos, nowNanos) && !held.contains(slot.handout()));
     }
 
-    /** Takes back what was handed out too long ago; its late report will be ignored. */
+    /** Reclaims items that were handed out more than the given time ago; late reports on them will be ignored. */
     public void takeBackOlderThan(long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
         takeBackWhere(slot -> slot.isRunning() && slot.isOlderThan(ageNanos, nowNanos));
     }
 
-    /** The job is cancelled, lost to another owner or finished. */
+    /** Stops the job on this host, because it was cancelled, lost to another owner or finished. */
     public void stop() {
         stopped = true;
         openChunks.clear();
--- a/src/main/java/org/gooseberryhill/decision/job/WaitingItems.java
+++ b/src/main/java/org/gooseberryhill/decision/job/WaitingItems.java
@@ -6,22 +6,23 @@
 import java.util.TreeSet;
 
 /**
- * The items of a job that wait to be handed out, lowest index first, some of them not before a time. Not thread-safe.
+ * The queue of a job's items that wait to be handed out, lowest index first; an item may have a time before which it must
+ * not run. Not thread-safe.
  *
- * <p>Handing out costs the logarithm of what waits; a search over all open items was most of an owner's work when most
- * of them were in flight (docs/LOG.md, round 6).
+ * <p>Operations take time logarithmic in the number of waiting items. A search over all loaded items took most of an
+ * owner's processor time when most of the items were in flight.
  */
 final class WaitingItems {
     private final TreeSet<Integer> ready = new TreeSet<>();
     private final PriorityQueue<Delayed> delayed =
             new PriorityQueue<>(Comparator.comparingLong(Delayed::notBeforeNanos));
 
-    /** An item waits from now on. */
+    /** Adds an item that may run immediately. */
     void add(int index) {
         ready.add(index);
     }
 
-    /** An item waits and may not run before a time. */
+    /** Adds an item that must not run before the given time. */
     void addDelayed(int index, long notBeforeNanos) {
         delayed.add(new Delayed(index, notBeforeNanos));
     }
@@ -31,7 +32,7 @@
         return !ready.isEmpty();
     }
 
-    /** Takes the first item that may run now. */
+    /** Removes and returns the lowest item index that may run now. */
     OptionalInt poll(long nowNanos) {
         promote(nowNanos);
         Integer first = ready.pollFirst();
@@ -49,6 +50,6 @@
         }
     }
 
-    /** An item and its time. */
+    /** An item and the time before which it must not run. */
     private record Delayed(int index, long notBeforeNanos) {}
 }
--- a/src/main/java/org/gooseberryhill/decision/job/WorkOffers.java
+++ b/src/main/java/org/gooseberryhill/decision/job/WorkOffers.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When an owner tells all stewards that items wait. Not thread-safe.
+ * Limits how often an owner announces to all stewards that items are waiting. Not thread-safe.
  *
- * <p>Failure: an offer goes to each steward of the fleet; one for each item that yields to a burst would be a storm of
- * messages among hundreds of hosts just when they are busy. An offer is made when a service begins to have waiting
- * items, not again before they have run out, and never twice within a short time. Stewards that know of the owner go on
- * asking it, and heartbeats tell the rest.
+ * <p>An offer is sent to every steward. One offer for each item that yields during a burst of online requests would
+ * flood hundreds of hosts with messages just when they are busy. Therefore an offer is made when a service begins to
+ * have waiting items, not again until they have run out, and never twice within a minimum interval. Stewards that know
+ * of the owner keep asking it for items, and heartbeats inform the others.
  */
 public final class WorkOffers {
     private static final long MIN_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
@@ -18,7 +18,7 @@
     private final Map<String, Long> lastOfferNanos = new HashMap<>();
     private final Map<String, Boolean> offered = new HashMap<>();
 
-    /** Items of a service wait: whether to offer them now. */
+    /** Records that items of a service are waiting and returns whether to send an offer now. */
     public boolean waiting(String service, long nowNanos) {
         Long last = lastOfferNanos.get(service);
         boolean tooSoon = last != null && nowNanos - last < MIN_GAP_NANOS;
@@ -30,7 +30,7 @@
         return true;
     }
 
-    /** No item of the service waits any more. */
+    /** Records that no item of a service is waiting any more. */
     public void drained(String service) {
         offered.put(service, false);
     }
--- a/src/main/java/org/gooseberryhill/decision/job/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/job/package-info.java
@@ -1,2 +1,5 @@
-/** Jobs: their record in the key-value service, who owns them, which item runs next, what completes an item. */
+/**
+ * Batch jobs: their submission and records in the key-value service, their state on the owning host, the order in which
+ * items run, and the completion of items.
+ */
 package org.gooseberryhill.decision.job;
--- a/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
@@ -16,20 +16,29 @@
 import org.gooseberryhill.host.Role;
 
 /**
- * Which other hosts live, by the list that the key-value store keeps under their leases and by what they report. Not
- * thread-safe.
+ * Tracks which other hosts are alive, from the host list in the key-value store, where each host is registered under
+ * its lease, and from the reports that hosts send each other. Not thread-safe.
  *
- * <p>Neither source is enough: keys lapse while the store is away and their hosts live on, and keys outlive their hosts by
- * a lease, or by an outage. Invariants: a host that is heard lives, whatever the list says; one that lapsed from the list
- * counts only as long as it is heard; one that is listed and silent for long counts as lost only while most others are
- * heard, since a host that hears few of them is cut off itself, or has just woken. Hosts with a disk report nothing:
- * for them the list holds.
+ * <p>Neither source is sufficient. Keys expire during an outage of the store although their hosts are alive, and keys
+ * outlive their hosts by up to a lease, or by the length of an outage. Invariants:
+ *
+ * <ul>
+ *   <li>A host that has reported recently is alive, whatever the list says.
+ *   <li>A host that has disappeared from the list counts as alive only while its reports keep arriving.
+ *   <li>A listed host that has been silent for long counts as lost only while a majority of the hosts is heard: a host
+ *       that hears only a minority is itself partitioned, or has just resumed from a suspension.
+ * </ul>
+ *
+ * <p>Store hosts send no reports; for them the list alone decides.
  */
 public final class HostRoster {
-    /** A host that was not heard for this long is not asked for help: hosts report each second, and three are missing. */
+    /**
+     * Silence after which a host is no longer asked for help. Hosts report each second, so three reports are missing
+     * by then.
+     */
     private static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(3500);
 
-    /** A host that was not heard for this long does not live: as long as a lease, and five reports are missing. */
+    /** Silence after which a host counts as lost: the length of a lease, by which five reports are missing. */
     private static final long LOST_NANOS = TimeUnit.MILLISECONDS.toNanos(5000);
 
     private final HostId self;
@@ -41,16 +50,16 @@
     private List<Host> stores = List.of();
 
     /**
-     * A roster that knows nobody yet.
+     * Creates a roster without other hosts.
      *
-     * @param selfStart tells this host's process from an earlier one
+     * @param selfStart distinguishes this host's process from earlier processes on it
      */
     public HostRoster(HostId self, String selfStart) {
         this.self = self;
         this.selfStart = selfStart;
     }
 
-    /** Takes in the list of live hosts. */
+    /** Replaces the list of live hosts with a new reading from the key-value store. */
     public void listed(Collection<ListedHost> live, long nowNanos) {
         Map<HostId, ListedHost> others = new LinkedHashMap<>();
         live.stream()
@@ -66,17 +75,17 @@
         listed = others;
     }
 
-    /** A host's report came. */
+    /** Records a report from a host. */
     public void heard(HostId from, HostSign sign, long nowNanos) {
         heard.put(from, new Heard(sign, nowNanos));
     }
 
-    /** A host answered. */
+    /** Records an answer from a host; it counts as a sign of life if the host has reported before. */
     public void answered(HostId from, long nowNanos) {
         heard.computeIfPresent(from, (host, last) -> new Heard(last.sign, nowNanos));
     }
 
-    /** The hosts that have been silent for too long, each named once. */
+    /** Returns the hosts that have become silent, each once until it is heard again. */
     public List<HostId> takeSilent(long nowNanos) {
         List<HostId> silent = heard.entrySet().stream()
                 .filter(entry -> !entry.getValue().isFresh(nowNanos) && toldSilent.add(entry.getKey()))
@@ -89,7 +98,7 @@
         return silent;
     }
 
-    /** The process of each host, this one too, that is known to live now, by host. */
+    /** Returns the process starts of all hosts that are alive now, this one included, by host id. */
     public Map<String, String> liveStarts(long nowNanos) {
         Map<String, String> starts = new HashMap<>();
         boolean mostAreHeard = areMostHeard(nowNanos);
@@ -107,7 +116,7 @@
         return starts;
     }
 
-    /** The other hosts that serve callers. */
+    /** Returns the other gateways that are listed, or were listed and are still heard. */
     public List<Host> gateways(long nowNanos) {
         List<Host> gateways = new ArrayList<>();
         for (ListedHost entry : known(nowNanos).values()) {
@@ -118,26 +127,27 @@
         return gateways;
     }
 
-    /** The hosts with a disk. */
+    /** Returns the listed store hosts. */
     public List<Host> stores() {
         return stores;
     }
 
-    /** The other gateways that were heard lately and are not stopping. */
+    /** Returns the other gateways that were heard recently and are not stopping. */
     public List<Host> staying(long nowNanos) {
         return heardGateways(sign -> !sign.leaving(), nowNanos);
     }
 
     /**
-     * The other gateways that may call the key-value store for this host: those that reach it, or all that are listed while
-     * none was heard. A host that starts while the store turns it away is known to nobody and hears nothing.
+     * Returns the other gateways that may call the key-value store on behalf of this host: those that reach the store,
+     * or all known gateways while none has been heard. The fallback serves a host that starts while it cannot reach the
+     * store: it is on nobody's list yet and therefore receives no reports.
      */
     public List<Host> reachingStore(long nowNanos) {
         boolean noneIsHeard = heardGateways(sign -> true, nowNanos).isEmpty();
         return noneIsHeard ? gateways(nowNanos) : heardGateways(HostSign::storeReached, nowNanos);
     }
 
-    /** A host that is listed, or lapsed and heard. */
+    /** Returns a host, other than a store host, that is listed, or was listed and is still heard. */
     public Optional<Host> find(HostId id, long nowNanos) {
         return Optional.ofNullable(known(nowNanos).get(id)).map(ListedHost::host);
     }
@@ -148,7 +158,7 @@
                 .toList();
     }
 
-    /** The hosts on the list, and those that lapsed from it and are heard. */
+    /** Returns the listed hosts and those that have disappeared from the list but are still heard. */
     private Map<HostId, ListedHost> known(long nowNanos) {
         if (lapsed.isEmpty()) {
             return listed;
@@ -182,7 +192,7 @@
         return last != null && last.isFresh(nowNanos) && condition.test(last.sign);
     }
 
-    /** What was last heard of a host. */
+    /** The latest report of a host and when the host was last heard. */
     private record Heard(HostSign sign, long atNanos) {
         boolean isFresh(long nowNanos) {
             return nowNanos - atNanos < SILENT_NANOS;
--- a/src/main/java/org/gooseberryhill/decision/membership/HostSign.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostSign.java
@@ -1,10 +1,10 @@
 package org.gooseberryhill.decision.membership;
 
 /**
- * What a host says of itself with each report to the others. Immutable.
+ * The part of a host's periodic report to the other hosts that concerns the host itself. Immutable.
  *
- * @param processStart tells its process from an earlier one
- * @param leaving whether it is stopping as planned
- * @param storeReached whether the key-value store answers it
+ * @param processStart distinguishes the host's process from earlier processes on it
+ * @param leaving whether the host is in a planned stop
+ * @param storeReached whether the host gets answers from the key-value store
  */
 public record HostSign(String processStart, boolean leaving, boolean storeReached) {}
--- a/src/main/java/org/gooseberryhill/decision/membership/HostState.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostState.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.decision.membership;
 
-/** What a host thinks of another. Immutable; a later constant overrides an earlier one of the same incarnation. */
+/** The state of a host in another host's view. Within one incarnation a later constant overrides an earlier one. */
 public enum HostState {
-    /** It answers. */
+    /** The host answers probes. */
     ALIVE,
-    /** It did not answer this host nor those who asked for it; it may still refute. */
+    /** The host answered neither direct nor indirect probes; it may still refute the suspicion. */
     SUSPECT,
-    /** It did not refute in time, or left as planned. */
+    /** The host did not refute the suspicion in time, or left in a planned stop. */
     DEAD
 }
--- a/src/main/java/org/gooseberryhill/decision/membership/ListedHost.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/ListedHost.java
@@ -3,9 +3,9 @@
 import org.gooseberryhill.host.Host;
 
 /**
- * A live host as the key-value store lists it, under its host's lease. Immutable.
+ * An entry of the host list in the key-value store, which exists as long as the host's lease. Immutable.
  *
  * @param host the host
- * @param processStart tells its process from an earlier one
+ * @param processStart distinguishes the host's process from earlier processes on it
  */
 public record ListedHost(Host host, String processStart) {}
--- a/src/main/java/org/gooseberryhill/decision/membership/Membership.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/Membership.java
@@ -15,11 +15,12 @@
 import org.gooseberryhill.host.Role;
 
 /**
- * One host's view of the others, after the SWIM protocol (Das, Gupta and Motivala, 2002).
+ * One host's view of the other hosts, maintained by the SWIM protocol (Das, Gupta and Motivala, 2002).
  *
- * <p>Candidates come from the platform's host list, which lags; who is alive is decided by heartbeats alone. A host
- * that the list no longer names is forgotten only once it is also silent. Invariants: this host never thinks itself
- * dead; a state is overridden only by a greater incarnation or, within one, by a later state. Not thread-safe.
+ * <p>The candidates come from the platform's host list, which lags; heartbeats alone decide which of them are alive. A
+ * host that is no longer on the list is removed only once it is dead as well. Invariants: a host never considers itself
+ * dead; a rumor overrides a state only by a greater incarnation or, within the same incarnation, by a later state. Not
+ * thread-safe.
  */
 public final class Membership {
     private static final int RUMOR_REPEATS_PER_DOUBLING = 3;
@@ -35,14 +36,14 @@
     private long nextProbeNanos = Long.MIN_VALUE;
     private long version;
 
-    /** A view that knows nobody yet. */
+    /** Creates a view without other hosts. */
     public Membership(HostId self, MembershipSettings settings, Random random) {
         this.self = self;
         this.settings = settings;
         this.random = random;
     }
 
-    /** Takes in the host list; new hosts count as alive until they fail to answer. */
+    /** Applies the platform's host list. New hosts count as alive until they fail to answer. */
     public void candidates(Collection<Host> hosts, long nowNanos) {
         List<HostId> listed = new ArrayList<>();
         for (Host host : hosts) {
@@ -66,7 +67,10 @@
         }
     }
 
-    /** Advances the time: probes one peer a period, turns silence into suspicion and suspicion into death. */
+    /**
+     * Advances the protocol to the given time: probes one peer per period and moves peers that do not answer to {@link
+     * HostState#SUSPECT} and on to {@link HostState#DEAD}.
+     */
     public void tick(long nowNanos, MembershipCommands commands) {
         peers.values().forEach(peer -> advance(peer, nowNanos, commands));
         probeSuspects(nowNanos, commands);
@@ -83,9 +87,11 @@
     }
 
     /**
-     * Failure: a few lost messages in a row make a suspect, and the rumor that would let it refute is lost too, so that
-     * a live host is thought dead. Until its time is over a suspect is probed again and again by each host that holds
-     * it for one; one answer clears it. Suspects are few, so the cost stays flat.
+     * Probes suspects repeatedly until their suspicion time has passed; a single answer clears the suspicion.
+     *
+     * <p>Without this, a live host could be declared dead: a few messages lost in a row make it a suspect, and the rumor
+     * that would let it refute can be lost too. Every host that suspects a peer probes it. Suspects are few, so the cost
+     * stays flat.
      */
     private void probeSuspects(long nowNanos, MembershipCommands commands) {
         for (Peer peer : peers.values()) {
@@ -97,7 +103,7 @@
         }
     }
 
-    /** A sign of life came from a host: its own heartbeat, its reply, or another host's word for it. */
+    /** Records that a host is alive: it sent a heartbeat, replied to one, or was reached by another host. */
     public void heard(HostId from, long fromIncarnation, boolean leaving, List<Rumor> heardRumors, long nowNanos) {
         Peer peer = peers.get(from);
         if (peer != null) {
@@ -106,7 +112,7 @@
                 peer.leaving = leaving;
                 version++;
             }
-            // A reply proves more than a rumor: the host is alive even if others still call it dead.
+            // Direct evidence outweighs rumors: the host is alive even if other hosts still report it dead.
             if (peer.state != HostState.ALIVE || fromIncarnation > peer.incarnation) {
                 peer.incarnation = Math.max(peer.incarnation, fromIncarnation);
                 changeState(peer, HostState.ALIVE, nowNanos);
@@ -115,7 +121,7 @@
         heardRumors.forEach(rumor -> hear(rumor, nowNanos));
     }
 
-    /** Another host reached the target on this host's behalf. */
+    /** Records that another host reached the target in an indirect probe for this host. */
     public void reachedThrough(HostId target, long nowNanos) {
         Peer peer = peers.get(target);
         if (peer != null) {
@@ -124,8 +130,9 @@
     }
 
     /**
-     * What rides on the next message to a host, least told first and each a bounded number of times. A host that is
-     * thought suspect or dead is always told so: only it can refute, by a greater incarnation.
+     * Selects the rumors that the next message to a host carries: the least often sent first, each a bounded number of
+     * times. A host that is suspected or considered dead is always told so, since only it can refute that, with a
+     * greater incarnation.
      */
     public List<Rumor> rumorsFor(HostId target) {
         List<Rumor> chosen = rumorsToSend();
@@ -136,22 +143,22 @@
         return chosen;
     }
 
-    /** This host's incarnation. */
+    /** Returns this host's incarnation. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** Grows with each change of the view. */
+    /** Returns a counter that grows with each change of the view. */
     public long version() {
         return version;
     }
 
-    /** The state of a host; empty if it is not known. */
+    /** Returns the state of another host; empty if the host is not known. */
     public Optional<HostState> stateOf(HostId host) {
         return Optional.ofNullable(peers.get(host)).map(peer -> peer.state);
     }
 
-    /** The other hosts of a role that are not dead; a suspect still counts, since it may refute. */
+    /** Returns the other hosts of a role that are not dead. Suspects are included, since they may refute. */
     public List<Host> present(Role role) {
         return peers.values().stream()
                 .filter(peer -> peer.state != HostState.DEAD && peer.host.role() == role)
@@ -159,7 +166,7 @@
                 .toList();
     }
 
-    /** All other hosts that are not dead. */
+    /** Returns all other hosts that are not dead. */
     public List<Host> present() {
         return peers.values().stream()
                 .filter(peer -> peer.state != HostState.DEAD)
@@ -167,14 +174,14 @@
                 .toList();
     }
 
-    /** All known hosts with their states. */
+    /** Returns the states of all other known hosts. */
     public Map<HostId, HostState> states() {
         Map<HostId, HostState> states = new TreeMap<>();
         peers.forEach((id, peer) -> states.put(id, peer.state));
         return states;
     }
 
-    /** A host by its identity, dead or not. */
+    /** Returns another known host, dead or not. */
     public Optional<Host> find(HostId host) {
         return Optional.ofNullable(peers.get(host)).map(Peer::view);
     }
@@ -201,7 +208,7 @@
         long silentNanos = nowNanos - peer.probeSentNanos;
         long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(settings.replyTimeoutMillis());
         if (peer.probeOpen && !peer.askedOthers && silentNanos > timeoutNanos) {
-            // One lost message or one cut link between two hosts must not look like a lost host.
+            // Indirect probes keep a lost message or a broken link between two hosts from looking like a lost host.
             peer.askedOthers = true;
             helpers(peer).forEach(helper -> commands.probeThrough(helper, peer.host));
         }
@@ -259,8 +266,8 @@
         if (peers.isEmpty()) {
             return Optional.empty();
         }
-        // Round robin over a shuffled list: each peer is probed within one round, none is left out by bad luck.
-        // Dead peers stay in it, since one that comes back may be listed under its old name.
+        // Round robin over a shuffled list probes each peer once per round, which purely random choice would not.
+        // Dead peers stay in it, since a host that comes back may be listed under its old id.
         if (probeOrder.isEmpty()) {
             probeOrder.addAll(peers.keySet());
             Collections.shuffle(probeOrder, random);
@@ -268,7 +275,7 @@
         return Optional.ofNullable(peers.get(probeOrder.remove(probeOrder.size() - 1)));
     }
 
-    /** What is known of one other host. */
+    /** The state of one other host in this view. */
     private static final class Peer {
         private Host host;
         private HostState state = HostState.ALIVE;
@@ -300,7 +307,7 @@
         }
     }
 
-    /** A rumor and how often it was sent. */
+    /** A rumor and the number of times it was sent. */
     private static final class PendingRumor {
         private final Rumor rumor;
         private int sent;
--- a/src/main/java/org/gooseberryhill/decision/membership/MembershipCommands.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/MembershipCommands.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import org.gooseberryhill.host.Host;
 
-/** What the membership wants sent. Implemented by a process with sockets, by a test with a list. */
+/** Sends the probes that {@link Membership} decides on. Implemented over the network and, in tests, in memory. */
 public interface MembershipCommands {
-    /** Sends a heartbeat to a host; the answer comes back as {@link Membership#heard}. */
+    /** Sends a heartbeat to a host. Its reply has to be passed to {@link Membership#heard}. */
     void probe(Host target, long incarnation, List<Rumor> rumors);
 
-    /** Asks another host to probe the target. */
+    /** Asks another host to probe the target. Success has to be passed to {@link Membership#reachedThrough}. */
     void probeThrough(Host helper, Host target);
 }
--- a/src/main/java/org/gooseberryhill/decision/membership/MembershipSettings.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/MembershipSettings.java
@@ -1,13 +1,13 @@
 package org.gooseberryhill.decision.membership;
 
 /**
- * How fast failures are found, and at which cost. Immutable.
+ * Settings of the failure detector, which trade detection time for message load. Immutable.
  *
- * @param heartbeatPeriodMillis one peer is probed each period, so the cost does not grow with the fleet
- * @param replyTimeoutMillis how long a direct probe may take before others are asked to probe
- * @param suspicionMillis how long a suspect may refute before it counts as dead
- * @param indirectProbes how many others are asked
- * @param rumorsPerMessage how many rumors ride on one heartbeat
+ * @param heartbeatPeriodMillis probe period; one peer is probed each period, so the cost does not grow with the fleet
+ * @param replyTimeoutMillis how long a direct probe may take before other hosts are asked to probe
+ * @param suspicionMillis how long a suspect has to refute the suspicion before it counts as dead
+ * @param indirectProbes how many other hosts are asked to probe
+ * @param rumorsPerMessage how many queued rumors a heartbeat carries at most
  */
 public record MembershipSettings(
         long heartbeatPeriodMillis,
@@ -15,6 +15,6 @@
         long suspicionMillis,
         int indirectProbes,
         int rumorsPerMessage) {
-    /** The defaults that docs/OPERATIONS.md names. */
+    /** The defaults documented in docs/OPERATIONS.md. */
     public static final MembershipSettings DEFAULT = new MembershipSettings(400, 400, 2500, 2, 8);
 }
--- a/src/main/java/org/gooseberryhill/decision/membership/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/package-info.java
@@ -1,2 +1,5 @@
-/** Which of the system's own hosts are alive: heartbeats with suspicion before death, a few peers a period. */
+/**
+ * Failure detection among the system's own hosts: one peer is probed each period, and a host that does not answer is
+ * suspected before it counts as dead.
+ */
 package org.gooseberryhill.decision.membership;
--- a/src/main/java/org/gooseberryhill/decision/order/EndpointOrders.java
+++ b/src/main/java/org/gooseberryhill/decision/order/EndpointOrders.java
@@ -4,12 +4,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides about the orders to one endpoint. Not thread-safe.
+ * Decides when this host sends model orders to one endpoint. Not thread-safe.
  *
- * <p>Invariants: an order is sent only while this host's lease is usable and its claim stands, one at a time. Failure
- * this is for: a host pauses with an order on its way, another takes over, and the old order arrives last. An endpoint
- * that checks fences refuses it. For one that does not, the new holder waits out the old lease and the longest order
- * before its first, so the old one has arrived or never will.
+ * <p>Invariant: an order is sent only while this host's lease is usable and its claim on the endpoint exists, and only
+ * one order is in flight at a time.
+ *
+ * <p>This guards against orders that arrive out of sequence: a host pauses with an order on its way, another host takes
+ * over, and the old order arrives last. An endpoint that checks fencing tokens refuses the old order. For other
+ * endpoints, the new holder of the claim waits for the length of a lease plus the longest duration of an order before
+ * its first order; by then the old order has either arrived or never will.
  */
 public final class EndpointOrders {
     private final OrderSettings settings;
@@ -19,13 +22,23 @@
     private boolean ordering;
     private long notBeforeNanos = Long.MIN_VALUE;
 
-    /** Orders to an endpoint of which the operators say whether it checks fences. */
+    /**
+     * Creates the state for an endpoint that this host has no claim on.
+     *
+     * @param checksFences whether the endpoint checks fencing tokens, as configured by the operators
+     */
     public EndpointOrders(OrderSettings settings, boolean checksFences) {
         this.settings = settings;
         this.checksFences = checksFences;
     }
 
-    /** What to do, given what the endpoint holds and shall hold, and whether the lease is usable now. */
+    /**
+     * Returns the next step, which the caller has to carry out.
+     *
+     * @param held what the endpoint holds; empty if that is not known
+     * @param wanted what the endpoint is to hold
+     * @param leaseUsable whether this host's lease is usable now
+     */
     public OrderStep next(Optional<ModelHolding> held, ModelHolding wanted, boolean leaseUsable, long nowNanos) {
         boolean settled = held.isEmpty() || held.get().equals(wanted);
         if (settled || !leaseUsable || claiming || ordering) {
@@ -42,7 +55,11 @@
         return new OrderStep.Send(fence.get(), wanted);
     }
 
-    /** The claim was answered; empty if another host holds the endpoint or the answer is not known. */
+    /**
+     * Records the result of a claim.
+     *
+     * @param newFence the fencing token; empty if another host holds the endpoint or the answer is not known
+     */
     public void claimed(Optional<Long> newFence, long nowNanos) {
         claiming = false;
         fence = newFence;
@@ -52,18 +69,18 @@
         }
     }
 
-    /** The order was answered, or will not be any more. */
+    /** Records that the order was answered, or that its answer can no longer arrive. */
     public void orderEnded() {
         ordering = false;
     }
 
-    /** The lease or the claim is gone: a new claim is needed before the next order. */
+    /** Records that the lease or the claim is lost; a new claim is needed before the next order. */
     public void claimLost() {
         fence = Optional.empty();
         notBeforeNanos = Long.MIN_VALUE;
     }
 
-    /** The fence of the standing claim. */
+    /** Returns the fencing token of the current claim; empty if there is no claim. */
     public Optional<Long> fence() {
         return fence;
     }
--- a/src/main/java/org/gooseberryhill/decision/order/OrderSettings.java
+++ b/src/main/java/org/gooseberryhill/decision/order/OrderSettings.java
@@ -1,9 +1,9 @@
 package org.gooseberryhill.decision.order;
 
 /**
- * Times of the orders. Immutable.
+ * Durations that bound when an order may take effect. Immutable.
  *
  * @param leaseMillis how long a host's lease lasts after its last renewal
- * @param longestOrderMillis how long an order may be on its way and carried out
+ * @param longestOrderMillis the longest time from sending an order until it has been carried out
  */
 public record OrderSettings(long leaseMillis, long longestOrderMillis) {}
--- a/src/main/java/org/gooseberryhill/decision/order/OrderStep.java
+++ b/src/main/java/org/gooseberryhill/decision/order/OrderStep.java
@@ -1,18 +1,18 @@
 package org.gooseberryhill.decision.order;
 
-/** What to do next about an endpoint's model. Immutable. */
+/** The next step towards the model that an endpoint is to hold. Immutable. */
 public sealed interface OrderStep {
-    /** Nothing now. */
+    /** Do nothing now. */
     record Rest() implements OrderStep {}
 
-    /** Claim the endpoint under this host's lease; the answer goes to {@link EndpointOrders#claimed}. */
+    /** Claim the endpoint under this host's lease and pass the answer to {@link EndpointOrders#claimed}. */
     record Claim() implements OrderStep {}
 
     /**
-     * Send the order; its end goes to {@link EndpointOrders#orderEnded}.
+     * Send the order and call {@link EndpointOrders#orderEnded} at its end.
      *
-     * @param fence the claim's revision, which the order carries
-     * @param holding what the endpoint shall hold
+     * @param fence the revision of the claim, which the order carries as its fencing token
+     * @param holding what the endpoint is to hold
      */
     record Send(long fence, ModelHolding holding) implements OrderStep {}
 }
--- a/src/test/java/org/gooseberryhill/decision/FakeKeyValue.java
+++ b/src/test/java/org/gooseberryhill/decision/FakeKeyValue.java
@@ -8,8 +8,8 @@
 import java.util.Random;
 
 /**
- * A key-value service in memory for tests of decisions: one write takes effect at once, later, or never, and its answer
- * may be lost in each case.
+ * An in-memory key-value service with injected faults, for tests of the decision core. The answer to a read or write may
+ * be lost; a write whose answer is lost takes effect immediately, later or never.
  */
 public final class FakeKeyValue<V> {
     private final Random random;
@@ -23,7 +23,7 @@
         this.faultPercent = faultPercent;
     }
 
-    /** Writes if all conditions hold; empty if the answer is lost. */
+    /** Writes if all conditions hold and returns whether they did; empty if the answer is lost. */
     public Optional<Boolean> write(List<Condition> conditions, Map<String, V> writes) {
         int fault = random.nextInt(100) < faultPercent ? random.nextInt(3) : -1;
         return switch (fault) {
@@ -46,7 +46,7 @@
         return lost ? Optional.empty() : Optional.of(now(key));
     }
 
-    /** What the key holds, without faults. */
+    /** Returns what the key holds, without faults. */
     public Optional<Stored<V>> now(String key) {
         return Optional.ofNullable(values.get(key));
     }
@@ -56,7 +56,7 @@
         values.remove(key);
     }
 
-    /** Lets one delayed write arrive. */
+    /** Applies one delayed write, chosen at random. */
     public void arriveDelayed() {
         if (!delayed.isEmpty()) {
             delayed.remove(random.nextInt(delayed.size())).run();
@@ -79,10 +79,10 @@
         return true;
     }
 
-    /** A value with the revisions that created and last wrote it. */
+    /** A value with the revisions of its creation and its last write. */
     public record Stored<V>(V value, long created, long modified) {}
 
-    /** A key's revision that must be as expected; 0 for absent. */
+    /** A condition on the creation or modification revision of a key; revision 0 requires that the key is absent. */
     public record Condition(String key, boolean created, long revision) {
         public static Condition absent(String key) {
             return new Condition(key, true, 0);
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
@@ -14,8 +14,8 @@
 import org.gooseberryhill.decision.configuration.ConfigurationEdit.Step;
 
 /**
- * Operators apply edits of the same text at the same moment, while answers are lost and writes arrive late. An edit
- * that was accepted must have been in the service, and none may overwrite one that its author had not seen.
+ * Checks concurrent edits of the same text while answers are lost and writes arrive late: an accepted edit must be the
+ * stored one, and no edit may overwrite one that its author has not seen.
  */
 class ConfigurationEditProperties {
     private static final String KEY = "configuration";
@@ -43,7 +43,7 @@
                 assertThat(store.now(KEY).orElseThrow().value().editId()).isEqualTo(operator.record.editId()));
     }
 
-    /** An operator whose edit replaces the absent text. */
+    /** An operator who applies the first text. */
     private static final class Operator {
         private final ConfigurationRecord record;
         private final ConfigurationEdit edit;
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationInForceTest.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationInForceTest.java
@@ -14,7 +14,7 @@
 class ConfigurationInForceTest {
     private final ConfigurationInForce inForce = new ConfigurationInForce();
 
-    /** A watcher was cut off and pushes an old text when it is back; the newer one stays. */
+    /** A watcher that was partitioned offers an old text when it reconnects; the newer one stays active. */
     @Test
     void anOlderRevisionNeverReplacesANewerOne() {
         inForce.offer(7, text("new"));
@@ -23,7 +23,10 @@
         assertThat(inForce.configuration().models()).containsKey("new");
     }
 
-    /** A text was written past the command line's check: the last good one stays in force, with the findings kept. */
+    /**
+     * An invalid text was written without the command line's validation: the last valid one stays active and the findings
+     * are kept.
+     */
     @Test
     void aTextWithMistakesDoesNotComeIntoForce() {
         inForce.offer(7, text("new"));
@@ -34,7 +37,9 @@
         assertThat(inForce.offer(9, text("mended"))).isEqualTo(Offer.APPLIED);
     }
 
-    /** Texts come by watch, push, heartbeat and reading, late, twice and out of order: the greatest revision stays. */
+    /**
+     * Texts arrive by watch, push, heartbeat and read, late, twice and out of order; the greatest revision stays active.
+     */
     @Property(seed = "20261203")
     void whateverTheOrderOfOffersTheGreatestRevisionIsInForce(@ForAll long seed) {
         List<Integer> offers = new ArrayList<>();
--- a/src/test/java/org/gooseberryhill/decision/drain/PlannedStopTest.java
+++ b/src/test/java/org/gooseberryhill/decision/drain/PlannedStopTest.java
@@ -24,7 +24,7 @@
         assertThat(stop.advance(0, false, 9100 * MILLI)).isEqualTo(Phase.ENDED);
     }
 
-    /** Guards against requests that are lost because they come in after the process has found nothing in progress. */
+    /** Guards against losing requests that arrive after the process has found nothing in progress. */
     @Test
     void aStopDoesNotEndWhileSomethingMayStillComeIn() {
         stop.ask(0);
@@ -36,7 +36,7 @@
         assertThat(stop.advance(0, false, 1000 * MILLI)).isEqualTo(Phase.ENDED);
     }
 
-    /** Guards against a request that is taken long after the stop was asked for and cut at its bound. */
+    /** Guards against a request that is accepted after the grace period and cut off at the bound. */
     @Test
     void afterTheGraceOnlyThatIsTakenWhichIsOverBeforeTheBound() {
         stop.ask(0);
@@ -49,7 +49,7 @@
         assertThat(stop.takes(1, 10_000 * MILLI)).isFalse();
     }
 
-    /** Guards against a stop whose bound comes before its grace is over: all that is taken in would be cut. */
+    /** Guards against a bound before the end of the grace period, which would cut off all accepted requests. */
     @Test
     void theGraceLeavesHalfOfTheBoundToWhatWasTakenIn() {
         PlannedStop shortStop = new PlannedStop(2600, 2000);
@@ -60,7 +60,7 @@
         assertThat(shortStop.takes(1001, 1000 * MILLI)).isFalse();
     }
 
-    /** A caller whose connection does not close must not keep the process for ever. */
+    /** A caller that does not close its connection must not keep the process running forever. */
     @Test
     void aStopEndsAtItsBoundWhileCallersAreConnected() {
         stop.ask(0);
@@ -70,7 +70,7 @@
         assertThat(stop.advance(0, true, 10_000 * MILLI)).isEqualTo(Phase.ENDED);
     }
 
-    /** Guards against a request that is taken in right before the bound and cut as the process ends. */
+    /** Guards against a request that is accepted right before the bound and cut off when the process ends. */
     @Test
     void beforeItsBoundAStopLetsNothingNewComeInWhileSomethingIsInProgress() {
         stop.ask(0);
@@ -82,7 +82,7 @@
         assertThat(stop.advance(1, true, 10_000 * MILLI)).isEqualTo(Phase.ENDED);
     }
 
-    /** Guards against a stop with a short bound that turns everybody away when its grace is over. */
+    /** Guards against a stop with a short bound that refuses all requests as soon as its grace period is over. */
     @Test
     void aShortBoundLeavesTimeBetweenTheGraceAndTheClosing() {
         PlannedStop shortStop = new PlannedStop(2600, 1000);
@@ -93,7 +93,7 @@
         assertThat(shortStop.advance(1, true, 900 * MILLI)).isEqualTo(Phase.CLOSING);
     }
 
-    /** The operator loses patience and asks again: what is in progress still ends whole. */
+    /** The operator requests the stop again: work in progress is still completed. */
     @Test
     void aSecondStopCutsNothing() {
         stop.ask(0);
@@ -111,7 +111,7 @@
         assertThat(stop.advance(1, true, 10_000 * MILLI)).isEqualTo(Phase.ENDED);
     }
 
-    /** The host list lags; the endpoint itself has said that it is leaving, and later that it is back. */
+    /** The endpoint itself reports that it is leaving, and later that it is back, while the host list lags behind. */
     @Test
     void anEndpointIsLeavingWhileAnySourceSaysSo() {
         LeavingEndpoints leaving = new LeavingEndpoints();
@@ -127,7 +127,7 @@
         assertThat(leaving.all()).isEmpty();
     }
 
-    /** Hearsay that is passed on as one's own knowledge would keep an endpoint out for ever. */
+    /** If hosts passed on peers' reports as their own, the reports would circulate and exclude an endpoint forever. */
     @Test
     void hearsayIsNotPassedOn() {
         LeavingEndpoints leaving = new LeavingEndpoints();
--- a/src/test/java/org/gooseberryhill/decision/job/IntakeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/IntakeTest.java
@@ -17,8 +17,8 @@
     private static final String KEY = "job";
 
     /**
-     * The same job is sent through several hosts at once while another body comes under the same id, and answers are
-     * lost. All that are accepted are one and the same job; the other body is never taken for it.
+     * The same job is submitted through several hosts at once, together with another body under the same id, while answers
+     * are lost. All accepted submissions must be the same job, and the other body must never be mistaken for it.
      */
     @Property(seed = "20261203")
     void allAcceptedSubmissionsOfAnIdAreOneJob(@ForAll long seed) {
--- a/src/test/java/org/gooseberryhill/decision/job/JobModel.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobModel.java
@@ -15,8 +15,8 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * A job, two hosts that may own it, and a key-value service with faults, as small as the properties need. A lease lapses
- * while its holder is paused; the holder goes on as if nothing had happened until it is refused.
+ * A minimal model of a job, two hosts that may own it, and a key-value service with faults. A lease may expire while its
+ * holder is paused; the holder then continues until one of its writes is refused.
  */
 final class JobModel {
     static final String RECORD = "record";
@@ -57,7 +57,7 @@
         countChunks();
     }
 
-    /** The caller cancels; the answer comes only after the record says so. */
+    /** Cancels the job for its caller and returns only after the record says so. */
     void cancel() {
         FakeKeyValue.Stored<Object> stored = store.now(RECORD).orElseThrow();
         JobRecord found = (JobRecord) stored.value();
@@ -93,7 +93,7 @@
         }
     }
 
-    /** What one host believes. */
+    /** One host, with its own view of whether it owns the job. */
     final class HostView {
         private final HostId id;
         private final List<WorkItem> running = new ArrayList<>();
@@ -145,7 +145,7 @@
                 return;
             }
             WorkItem item = running.get(random.nextInt(running.size()));
-            // One in five reports comes twice, and an item may be reported after it was handed out again.
+            // One in five reports stays to be sent again, and an item may be reported after it was handed out again.
             if (random.nextInt(5) > 0) {
                 running.remove(item);
             }
--- a/src/test/java/org/gooseberryhill/decision/job/JobProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobProperties.java
@@ -7,8 +7,8 @@
 import net.jqwik.api.Property;
 
 /**
- * Two hosts own a job in turns and sometimes both believe they do: a lease lapses under a paused holder, reports come
- * late and twice, answers of the key-value service are lost and its writes arrive late.
+ * Checks a job that two hosts own in turn, while sometimes both consider themselves its owner: a lease expires while its
+ * holder is paused, reports arrive late and twice, answers of the key-value service are lost and writes arrive late.
  */
 class JobProperties {
     private static final int STEPS = 300;
@@ -33,7 +33,7 @@
         for (int step = 0; step < 20 * STEPS; step++) {
             model.step(false);
             if (step % 500 == 0) {
-                // The lease of a holder that is gone lapses in the end.
+                // The lease of a holder that has failed expires eventually.
                 model.store.delete(JobModel.OWNER);
             }
         }
@@ -41,7 +41,7 @@
         assertThat(model.committedItems()).isEqualTo(ITEMS);
     }
 
-    /** The caller's cancel is answered; commits that were on their way then must find the record changed. */
+    /** Once a cancellation is answered, commits that are still on their way must find the record changed. */
     @Property(seed = "20261203")
     void afterACancelNoResultAppears(@ForAll long seed) {
         JobModel model = new JobModel(new Random(seed), 20);
--- a/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
@@ -32,7 +32,7 @@
         assertThat(result.failed()).isZero();
     }
 
-    /** The engine rejects one portfolio for good; that is its one completion, and the rest of the job goes on. */
+    /** The endpoint rejects one item permanently: that is the item's completion, and the rest of the job continues. */
     @Test
     void anItemThatCanNeverBeDoneCompletesAsFailed() {
         report(take(), ItemEnd.REJECTED);
@@ -56,7 +56,10 @@
         assertThat(report(last, ItemEnd.CRASHED).orElseThrow().lines().get(1)).contains("crashed-endpoints");
     }
 
-    /** An item yields to a burst three times; it goes on from where it was, and no try is counted against it. */
+    /**
+     * An item yields to online requests repeatedly: it continues from the partial text, and the runs do not count as failed
+     * attempts.
+     */
     @Test
     void aYieldedItemGoesOnFromWhereItWas() {
         WorkItem item = take();
@@ -70,7 +73,10 @@
         assertThat(item.suspect()).isFalse();
     }
 
-    /** An engine can't continue the item from where it was; the next try begins anew instead of failing like it. */
+    /**
+     * An endpoint cannot continue the item from its partial text: the next attempt starts from scratch instead of failing
+     * in the same way.
+     */
     @Test
     void anItemThatFailedBeginsAnew() {
         WorkItem item = take();
@@ -81,7 +87,7 @@
         assertThat(take().partial()).isEmpty();
     }
 
-    /** A steward was thought lost, its item runs elsewhere, and then its late report comes: it changes nothing. */
+    /** A steward was considered lost and its item runs elsewhere; the steward's late report must have no effect. */
     @Test
     void aReportOfAnEarlierHandOutChangesNothing() {
         WorkItem early = take();
@@ -94,7 +100,7 @@
         assertThat(report(take(), ItemEnd.COMPLETED).orElseThrow().failed()).isZero();
     }
 
-    /** The answer that carried the items was lost: the steward does not know of them, and they wait again. */
+    /** The answer that carried an item was lost: the steward does not hold the item, so it must wait again. */
     @Test
     void anItemThatItsStewardDoesNotHaveWaitsAgain() {
         WorkItem lost = take();
@@ -111,7 +117,10 @@
         assertThat(take().index()).isEqualTo(lost.index());
     }
 
-    /** The host lost its claim and got it again: numbers of hand-outs begin anew, an old report must not fit one. */
+    /**
+     * The host lost its claim and regained it. The numbers of hand-outs start again from the beginning, so a report under
+     * the earlier claim must not match one of them.
+     */
     @Test
     void aReportUnderAnEarlierClaimChangesNothing() {
         WorkItem item = take();
@@ -131,7 +140,7 @@
         assertThat(report(item, ItemEnd.COMPLETED)).isEmpty();
     }
 
-    /** A chunk was on its way from a store when the job was cancelled: it brings nothing to hand out. */
+    /** A chunk was being loaded from a store host when the job was cancelled: its items must not be handed out. */
     @Test
     void aChunkThatComesAfterAStopIsNotHandedOut() {
         int chunk = job.nextChunkToLoad().orElseThrow();
@@ -152,7 +161,7 @@
         assertThat(named).isEqualTo(OwnedJob.CHUNK_WINDOW);
     }
 
-    /** Items of this job take a minute each: what seemed to have time enough has not, and the job becomes urgent. */
+    /** Items take a minute each, much longer than initially assumed, so the job becomes urgent. */
     @Test
     void aJobWhoseItemsAreSlowBecomesUrgent() {
         OwnedJob slow = loaded(job("caller", 100, 200_000));
--- a/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
@@ -20,7 +20,10 @@
         assertThat(offers.waiting("s", 2000 * MILLI)).isTrue();
     }
 
-    /** A burst makes hundreds of items yield, one after the other, and each is taken at once: few offers go out. */
+    /**
+     * A burst of online requests makes hundreds of items yield one after the other, and each is taken immediately: only a
+     * few offers must be sent.
+     */
     @Test
     void aStormOfYieldsMakesFewOffers() {
         int made = 0;
--- a/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Hosts with a disk say nothing to gateways. Failure: they count as hosts that are not heard, most hosts seem silent, and a
-     * gateway that is lost is never missed.
+     * Guards against a lost gateway that is never detected: store hosts send no reports to gateways, so if they counted
+     * as silent hosts, a majority would seem silent.
      */
     @Test
     void hostsWithADiskAreKnownAndCountNeitherAsGatewaysNorAsSilent() {
@@ -47,7 +47,10 @@
         assertThat(roster.liveStarts(at(6000))).doesNotContainKey("b").containsKey("a");
     }
 
-    /** The store was away, all leases lapsed at once, and the list is empty for a moment: the hosts live on. */
+    /**
+     * After an outage of the key-value store all leases expire at once and the list is empty for a moment, although the
+     * hosts are alive.
+     */
     @Test
     void aHostThatLapsedFromTheListLivesWhileItIsHeard() {
         list(0, "self", "a", "b");
@@ -61,8 +64,8 @@
     }
 
     /**
-     * A host is lost, its key goes with its lease while its last report is still young, and the list does not change any
-     * more. It must not count as alive for ever: its batches would wait for a host that never comes back.
+     * A lost host's key expires while its last report is still recent, and the list does not change afterwards. If the
+     * host counted as alive forever, its batches would wait for a host that never comes back.
      */
     @Test
     void aHostThatLapsedFromTheListAndFellSilentIsLost() {
@@ -79,7 +82,10 @@
         assertThat(roster.find(A, at(10_000))).isEmpty();
     }
 
-    /** Of three hosts one is lost while the store is out: its key stays, and the two that hear each other are the most. */
+    /**
+     * One of three hosts is lost during an outage of the key-value store, so that its key stays. The two remaining hosts
+     * hear each other and are a majority.
+     */
     @Test
     void aListedHostThatIsSilentForLongIsLostWhileMostAreHeard() {
         list(0, "self", "a", "b");
@@ -91,7 +97,7 @@
         assertThat(roster.liveStarts(at(5100))).doesNotContainKey("a").containsKey("b");
     }
 
-    /** This host was suspended for long, or is cut off: all others are silent, and none of them is lost. */
+    /** This host was suspended for long or is partitioned: all other hosts seem silent, but none of them is lost. */
     @Test
     void whoHearsFewOthersThinksNobodyLost() {
         list(0, "self", "a", "b");
@@ -133,8 +139,8 @@
     }
 
     /**
-     * A host starts while the store turns it away: nobody has it on the list yet, so nobody tells it anything, and it can't
-     * be put on the list since it knows of no host that would call for it.
+     * A host starts while it cannot reach the key-value store. It is on nobody's list, so it receives no reports, and it
+     * could never register if it asked only hosts that it has heard to call the store for it.
      */
     @Test
     void aHostThatNobodyKnowsYetAsksTheListedOnesForHelp() {
--- a/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
@@ -22,7 +22,7 @@
 class MembershipTest {
     private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    /** A host is lost without a word: all others find out, and nobody else is thought lost. */
+    /** A host crashes: all others detect it, and no other host is considered dead. */
     @Test
     void aLostHostIsFoundByAllOthersWithinSeconds() {
         Views views = new Views(9);
@@ -34,7 +34,7 @@
         views.forLive(view -> assertThat(view.present()).hasSize(7));
     }
 
-    /** One link between two hosts is cut; the others still reach both, so neither is thought lost. */
+    /** The link between two hosts is broken. The other hosts still reach both, so neither is considered dead. */
     @Test
     void aCutLinkBetweenTwoHostsIsNotALostHost() {
         Views views = new Views(6);
@@ -45,7 +45,7 @@
         views.forLive(view -> assertThat(view.present()).hasSize(5));
     }
 
-    /** A host is paused for a while, is thought dead, and wakes: it refutes with a greater incarnation. */
+    /** A host is paused until it is considered dead. When it resumes, it refutes that with a greater incarnation. */
     @Test
     void aPausedHostThatWakesIsPresentAgain() {
         Views views = new Views(6);
@@ -59,7 +59,7 @@
         views.forLive(view -> assertThat(view.present()).hasSize(5));
     }
 
-    /** One message in three is lost for a long time; nobody may be thought dead for that. */
+    /** One third of all messages is lost for a long time, which must not make any host be considered dead. */
     @Test
     void lostMessagesDoNotMakeALostHost() {
         Views views = new Views(8);
@@ -69,7 +69,7 @@
         assertThat(views.deaths).isZero();
     }
 
-    /** The cost of a host must not grow with the fleet: messages sent a second among 4 and among 64 hosts. */
+    /** Compares the messages per host among 4 and among 64 hosts: the cost of a host must not grow with the fleet. */
     @Test
     void theMessagesOfAHostDoNotGrowWithTheFleet() {
         Views few = new Views(4);
@@ -91,7 +91,7 @@
         assertThat(views.views.get("h0").present()).hasSize(3);
     }
 
-    /** A few hosts' views, and messages between them that arrive at once, or not at all. */
+    /** A simulated cluster whose messages are delivered immediately or lost. */
     private static final class Views {
         private final Map<String, Membership> views = new TreeMap<>();
         private final Set<String> down = new HashSet<>();
@@ -169,7 +169,7 @@
             return true;
         }
 
-        /** Sends for one host. */
+        /** The probes of one host. */
         private final class Sender implements MembershipCommands {
             private final String from;
 
--- a/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * The engine ignores fences. The old holder was paused with an order on its way; the new one must not order before
-     * that order has arrived or never will.
+     * The endpoint ignores fencing tokens and the old holder was paused with an order on its way. The new holder must not
+     * send an order until the old one has arrived or can no longer arrive.
      */
     @Test
     void withoutFencesTheNewHolderWaitsOutTheOldLeaseAndTheLongestOrder() {
@@ -60,8 +60,9 @@
     }
 
     /**
-     * Holders follow one another; each may be paused after it decided to send, so that its order arrives up to the
-     * longest time later. At an engine that ignores fences, orders must still arrive in the order of the claims.
+     * Hosts hold the claim in turn. Each may be paused after it has decided to send, so that its order arrives up to the
+     * longest duration of an order later. At an endpoint that ignores fencing tokens, orders must still arrive in the
+     * sequence of the claims.
      */
     @Property(seed = "20261203")
     void withoutFencesOrdersArriveInTheOrderOfTheClaims(@ForAll long seed) {
@@ -79,7 +80,7 @@
                     holder.orderEnded();
                 }
             }
-            // The lease may be given back early or lapse; the next claim can come as soon as it is gone.
+            // The lease may be released early or expire; the next claim can succeed as soon as the lease has ended.
             claimedAt = leaseUntil;
         }
         arrivals.sort((one, other) -> Long.compare(one[0], other[0]));
--- a/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What turning away, and telling callers when to come back, reach when load is at its worst. Each is played beside what it
- * replaces, under the same arrivals.
+ * Checks the effect of refusing requests under overload and of telling callers when to retry. Each policy is compared
+ * with the policy that it replaces, under the same arrivals.
  */
 class OverloadReplayTest {
     private static final double STREAMS_PER_SECOND = 56.5;
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Long bursts bring more than the slots can do. If requests may wait for twice their target, all of a wave wait and most
-     * are late; if those that would wait for long are turned away, the others are on time, and the trough serves most of
-     * those that come back.
+     * Long bursts exceed the capacity of the slots. If requests may wait for twice their target latency, all requests of a
+     * load peak wait and most are late. If those that would wait for long are refused, the others are on time, and most
+     * of the refused ones are served when they retry in the following trough.
      */
     @Test
     void inLongBurstsMoreStreamsAreOnTimeIfNoneWaitsForLong() {
@@ -53,7 +53,10 @@
                 .allSatisfy(result -> assertThat(result.servedShare()).isGreaterThan(0.95));
     }
 
-    /** Callers that come back all at once meet the wave that turned them away, and are turned away for good. */
+    /**
+     * Callers that are all told the same retry time come back together, in the load peak that caused their refusal, and are
+     * refused a second time.
+     */
     @Test
     void callersWithATimeOfTheirOwnAreSeldomTurnedAwayTwice() {
         Function<Random, DispatchPolicies> together =
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayCall.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayCall.java
@@ -5,15 +5,14 @@
 import org.gooseberryhill.route.Route;
 
 /**
- * A caller's streamed request with its attempts: after a refusal it comes back once, when it was told to, at another host.
- *
- * <p>A caller waits no longer than a third of the time that it has left before it comes back.
+ * A caller's streamed request with its attempts. After a refusal the caller retries once, at a random host and after the
+ * time that it was told, but it waits no longer than a third of the time that is left until its deadline.
  */
 final class ReplayCall {
     private static final double MAX_SHARE_OF_LEFT = 1.0 / 3;
     private static final double WAY_MILLIS = 1;
 
-    /** A refusal that came later than this share of the target leaves no way to be on time. */
+    /** Share of the target latency after which a refusal is too late for a retry to be on time. */
     private static final double EARLY_SHARE_OF_TARGET = 0.25;
 
     private final VirtualTime time;
@@ -80,7 +79,7 @@
         return answered && refusals == 0 && firstEventMillis.orElseThrow() <= route.targetLatencyMillis();
     }
 
-    /** On time from its second attempt, after a refusal that came at once. */
+    /** Returns whether the call was refused early and then on time, as measured from its second attempt. */
     boolean isOnTimeAfterRefusal() {
         return answered
                 && refusals == 1
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayEndpoint.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayEndpoint.java
@@ -7,11 +7,11 @@
 import org.gooseberryhill.directory.EndpointEntry;
 
 /**
- * An endpoint that generates: it runs as many requests as it has slots, in the order of their arrival, queues some more and
- * refuses the rest.
+ * A simulated endpoint that generates text. It runs as many requests as it has slots, in the order of their arrival,
+ * queues some more and refuses the rest.
  *
- * <p>The figures are those of the engines in use: 47 ms to the first token, eight tokens an event, 3.23 ms a token and a bit more
- * for each request beside it, 112 tokens of a prompt read in a millisecond.
+ * <p>The figures are those of the endpoints in use: 47 ms to the first token plus the prompt at 112 tokens per
+ * millisecond, eight tokens per event, and 3.23 ms per token plus a small amount for each running request.
  */
 final class ReplayEndpoint {
     private static final double FIRST_MILLIS = 47;
@@ -39,7 +39,7 @@
         return running.size();
     }
 
-    /** A request arrives. */
+    /** Starts, queues or refuses a request that arrives. */
     void take(Run run) {
         if (running.size() < entry.slots()) {
             start(run);
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The host has closed the connection of a request. */
+    /** Cancels a request whose connection the host has closed. */
     void drop(Run run) {
         run.dropped = true;
         queue.remove(run);
@@ -86,7 +86,7 @@
         }
     }
 
-    /** One request at the endpoint. */
+    /** A request at the endpoint. */
     static final class Run {
         private final double promptTokens;
         private final int allEvents;
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Where the answer goes, at the moment that the endpoint gives it. */
+    /** Receives the answer at the time at which the endpoint sends it, without network latency. */
     interface Caller {
         void event();
 
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
@@ -32,12 +32,15 @@
 import org.gooseberryhill.route.Route;
 import org.gooseberryhill.route.RouteTable;
 
-/** One host: the product's decisions about requests and items, carried out on the replay's endpoints in virtual time. */
+/**
+ * A simulated gateway host, which carries out the product's decisions on requests and batch items at the replay's
+ * endpoints in virtual time.
+ */
 final class ReplayHost {
-    /** From a host to an endpoint, one way, half of them in other zones. */
+    /** One-way network latency from a host to an endpoint; half of the endpoints are in other availability zones. */
     private static final double WAY_MILLIS = 0.8;
 
-    /** Changes are gathered for this long before they are told. */
+    /** Delay in which load changes are collected before they are reported to the other hosts. */
     private static final double REPORT_MILLIS = 25;
 
     private static final double TICK_MILLIS = 25;
@@ -83,7 +86,7 @@
         others = hosts.stream().filter(host -> host != this).toList();
     }
 
-    /** A caller's attempt arrives. */
+    /** Handles an attempt of a caller that arrives at this host. */
     void arrive(ReplayCall call, Route route, long deadlineNanos) {
         String name = id.value() + "-" + requests++;
         RoutedRequest request = core.arrived(new RoutedIntake(
@@ -98,7 +101,7 @@
         follow(request, core.first(request, time.nowNanos()));
     }
 
-    /** Takes a batch in, whose items have so many events each. */
+    /** Adds a batch that this host owns, with the number of events of each item. */
     void own(OwnedBatch batch, List<Integer> events) {
         batches.add(batch);
         for (int item = 0; item < events.size(); item++) {
@@ -194,7 +197,7 @@
         fleet.reported(from, load, time.nowNanos());
     }
 
-    /** One run of an item. */
+    /** A run of a batch item at an endpoint. */
     private final class ItemRun implements ReplayEndpoint.Caller {
         private static final int PROMPT_TOKENS = 350;
         private static final int EVENT_CHARACTERS = 70;
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayResult.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayResult.java
@@ -3,15 +3,15 @@
 import java.util.Locale;
 
 /**
- * What became of a replayed load. Immutable.
+ * The outcome of a replayed load, as counts. Immutable.
  *
  * @param calls streamed requests
- * @param onTime those whose first event came within the target latency
- * @param onTimeAfterRefusal those that were refused at once and on time from their second attempt
- * @param served those that got their whole answer
- * @param refusedTwice those that came back in vain
- * @param items items of batches
- * @param itemsOnTime those that were done when their batch was due
+ * @param onTime calls whose first event arrived within the target latency, without a refusal
+ * @param onTimeAfterRefusal calls that were refused early and then on time, as measured from their second attempt
+ * @param served calls that received their whole answer
+ * @param refusedTwice calls whose retry was refused as well
+ * @param items batch items
+ * @param itemsOnTime batch items that were done by the due time of their batch
  */
 record ReplayResult(
         int calls, int onTime, int onTimeAfterRefusal, int served, int refusedTwice, int items, int itemsOnTime) {
--- a/src/test/java/org/gooseberryhill/decision/replay/ServingReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ServingReplay.java
@@ -23,10 +23,11 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * Replays online requests and request batches over several hosts through the product's decisions, in virtual time.
+ * Replays online requests and request batches on several hosts through the product's decisions, in virtual time.
  *
- * <p>The load is that of the sites in use: 8 hosts, 13 endpoints of 8 slots, streams of about 25 events and 450 tokens of
- * prompt in waves of 2.4 s in each 6 s, batches of about 10 items of 173 events that are due after 18 s.
+ * <p>The load is that of the sites in use: 8 hosts; 13 endpoints of 8 slots; streams of about 25 events with prompts of
+ * about 450 tokens, with a load peak of 2.4 s in each period of 6 s; batches of about 10 items of 173 events, which are
+ * due after 18 s.
  */
 final class ServingReplay {
     static final String SERVICE = "s";
@@ -70,7 +71,7 @@
         hosts.forEach(host -> host.knows(hosts));
     }
 
-    /** Lets time pass under a load. */
+    /** Advances the time while requests and batches arrive at the given mean rates. */
     void load(double millis, double streamsPerSecond, double batchesPerSecond) {
         double untilMillis = time.nowMillis() + millis;
         double nextStream = 0;
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Lets all end. */
+    /** Advances the time without new arrivals until all work has ended. */
     void finish() {
         time.pass(2 * DUE_MILLIS);
     }
@@ -99,7 +100,7 @@
         return hosts.get(random.nextInt(HOSTS));
     }
 
-    /** What became of the load. */
+    /** Returns the outcome of the load so far. */
     ReplayResult result() {
         return new ReplayResult(
                 calls.size(),
--- a/src/test/java/org/gooseberryhill/decision/replay/VirtualTime.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/VirtualTime.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Runs actions in the order of their virtual times; of equal times, in the order of their planning. */
+/** A virtual clock that runs scheduled actions in the order of their times; of equal times, in scheduling order. */
 final class VirtualTime {
     private final PriorityQueue<Planned> planned = new PriorityQueue<>();
     private long nowNanos = TimeUnit.SECONDS.toNanos(1000);
@@ -22,7 +22,7 @@
         planned.add(new Planned(atNanos, number++, action));
     }
 
-    /** Lets a span of time pass. */
+    /** Advances the time and runs the actions that become due. */
     void pass(double millis) {
         long untilNanos = nowNanos + (long) (millis * TimeUnit.MILLISECONDS.toNanos(1));
         while (!planned.isEmpty() && planned.peek().atNanos <= untilNanos) {
@@ -33,7 +33,7 @@
         nowNanos = untilNanos;
     }
 
-    /** An action and its time. */
+    /** An action and the time at which it is due. */
     private record Planned(long atNanos, long number, Runnable action) implements Comparable<Planned> {
         @Override
         public int compareTo(Planned other) {
