--- a/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationEdit.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationEdit.java
@@ -24,11 +24,11 @@
         UNKNOWN
     }
 
-    private static final int MAX_UNCERTAIN_ANSWERS = 5;
+    private static final int MAX_MISSING_ANSWERS = 5;
 
     private final String editId;
     private final long baseRevision;
-    private int uncertainAnswers;
+    private int missingAnswers;
 
     /**
      * Creates an edit.
@@ -61,7 +61,7 @@
 
     /** Returns the step after a write or read was not answered; a write may have taken effect. */
     public Step unanswered() {
-        uncertainAnswers++;
-        return uncertainAnswers > MAX_UNCERTAIN_ANSWERS ? Step.UNKNOWN : Step.READ;
+        missingAnswers++;
+        return missingAnswers > MAX_MISSING_ANSWERS ? Step.UNKNOWN : Step.READ;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/configuration/TextChange.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/TextChange.java
@@ -12,12 +12,12 @@
  * that nobody wrote. The result is used only if its hash is that of the new text; otherwise the whole text has to be
  * requested.
  *
- * @param sameAtBegin the number of unchanged lines at the beginning
- * @param sameAtEnd the number of unchanged lines at the end
- * @param between the new lines between them
+ * @param commonPrefixLines the number of unchanged lines at the beginning
+ * @param commonSuffixLines the number of unchanged lines at the end
+ * @param newLines the new lines between them
  * @param newHash the SHA-256 hash of the new text
  */
-public record TextChange(int sameAtBegin, int sameAtEnd, List<String> between, String newHash) {
+public record TextChange(int commonPrefixLines, int commonSuffixLines, List<String> newLines, String newHash) {
     private static final String LINE_END = "\n";
 
     /** Computes the change from one text to another. */
@@ -40,13 +40,13 @@
     /** Returns the new text; empty if the change was not made from the given text. */
     public Optional<String> applyTo(String oldText) {
         List<String> oldLines = lines(oldText);
-        if (sameAtBegin < 0 || sameAtEnd < 0 || sameAtBegin + sameAtEnd > oldLines.size()) {
+        if (commonPrefixLines < 0 || commonSuffixLines < 0 || commonPrefixLines + commonSuffixLines > oldLines.size()) {
             return Optional.empty();
         }
         StringBuilder text = new StringBuilder();
-        append(text, oldLines.subList(0, sameAtBegin));
-        append(text, between);
-        append(text, oldLines.subList(oldLines.size() - sameAtEnd, oldLines.size()));
+        append(text, oldLines.subList(0, commonPrefixLines));
+        append(text, newLines);
+        append(text, oldLines.subList(oldLines.size() - commonSuffixLines, oldLines.size()));
         String newText = text.substring(0, Math.max(0, text.length() - 1));
         return Optional.of(newText).filter(found -> hash(found).equals(newHash));
     }
--- a/src/main/java/org/gooseberryhill/decision/drain/PlannedStop.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/PlannedStop.java
@@ -31,15 +31,15 @@
     }
 
     /** Time before the bound in which no request is accepted; those that still arrive are refused in that time. */
-    private static final long CLOSING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long CLOSING_WINDOW_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    /** Divisor of the bound that limits {@link #CLOSING_NANOS} if the bound is short. */
-    private static final long CLOSING_PART = 10;
+    /** Divisor of the bound that limits {@link #CLOSING_WINDOW_NANOS} if the bound is short. */
+    private static final long CLOSING_DIVISOR = 10;
 
     private final long graceNanos;
     private long boundNanos;
     private volatile Phase phase = Phase.SERVING;
-    private long sinceNanos;
+    private long requestedNanos;
 
     /**
      * Creates a stop that has not been requested.
@@ -62,12 +62,12 @@
     /**
      * Begins the stop. Further calls have no effect.
      *
-     * @param askedNanos when the stop was requested; the grace period and the bound count from then
+     * @param requestTimeNanos when the stop was requested; the grace period and the bound count from then
      */
-    public void ask(long askedNanos) {
+    public void ask(long requestTimeNanos) {
         if (phase == Phase.SERVING) {
             phase = Phase.ANNOUNCED;
-            sinceNanos = askedNanos;
+            requestedNanos = requestTimeNanos;
         }
     }
 
@@ -75,19 +75,19 @@
      * Advances the stop to the given time and returns its phase.
      *
      * @param inProgress the number of requests and other units of work that have begun and not ended
-     * @param reachable whether new requests may still arrive: callers are connected, or can connect
+     * @param requestsMayArrive whether new requests may still arrive: callers are connected, or can connect
      */
-    public Phase advance(int inProgress, boolean reachable, long nowNanos) {
-        long elapsedNanos = nowNanos - sinceNanos;
+    public Phase advance(int inProgress, boolean requestsMayArrive, long nowNanos) {
+        long elapsedNanos = nowNanos - requestedNanos;
         if (phase == Phase.ANNOUNCED && elapsedNanos >= Math.min(graceNanos, boundNanos / 2)) {
             phase = Phase.DRAINING;
         }
-        boolean boundIsNear = elapsedNanos >= boundNanos - Math.min(CLOSING_NANOS, boundNanos / CLOSING_PART);
+        boolean boundIsNear = elapsedNanos >= boundNanos - Math.min(CLOSING_WINDOW_NANOS, boundNanos / CLOSING_DIVISOR);
         if (phase == Phase.DRAINING && (inProgress == 0 || boundIsNear)) {
             phase = Phase.CLOSING;
         }
         boolean graceOver = phase == Phase.DRAINING || phase == Phase.CLOSING;
-        boolean nothingLeft = phase == Phase.CLOSING && inProgress == 0 && !reachable;
+        boolean nothingLeft = phase == Phase.CLOSING && inProgress == 0 && !requestsMayArrive;
         if (nothingLeft || graceOver && elapsedNanos >= boundNanos) {
             phase = Phase.ENDED;
         }
@@ -97,11 +97,11 @@
     /**
      * Returns whether a request that arrives now is accepted.
      *
-     * @param allowedMillis the longest time that the request may take
+     * @param maxDurationMillis the longest time that the request may take
      */
-    public boolean takes(long allowedMillis, long nowNanos) {
-        long leftNanos = boundNanos - (nowNanos - sinceNanos);
-        return takesAll() || leftNanos >= TimeUnit.MILLISECONDS.toNanos(allowedMillis);
+    public boolean takes(long maxDurationMillis, long nowNanos) {
+        long remainingNanos = boundNanos - (nowNanos - requestedNanos);
+        return takesAll() || remainingNanos >= TimeUnit.MILLISECONDS.toNanos(maxDurationMillis);
     }
 
     /** Returns the phase as of the last call of {@link #advance}. */
--- a/src/main/java/org/gooseberryhill/decision/job/Intake.java
+++ b/src/main/java/org/gooseberryhill/decision/job/Intake.java
@@ -30,12 +30,12 @@
         UNAVAILABLE
     }
 
-    private static final int MAX_UNCERTAIN_ANSWERS = 3;
+    private static final int MAX_MISSING_ANSWERS = 3;
     private static final long RETRY_AFTER_MILLIS = 2000;
 
     private final String bodyHash;
     private boolean uncertain;
-    private int uncertainAnswers;
+    private int missingAnswers;
 
     /** Creates the submission of a job whose body has this hash. */
     public Intake(String bodyHash) {
@@ -66,8 +66,8 @@
     /** Returns the step after a creation or read was not answered; a creation may have taken effect. */
     public Step unanswered() {
         uncertain = true;
-        uncertainAnswers++;
-        return uncertainAnswers > MAX_UNCERTAIN_ANSWERS ? Step.UNAVAILABLE : Step.READ;
+        missingAnswers++;
+        return missingAnswers > MAX_MISSING_ANSWERS ? Step.UNAVAILABLE : Step.READ;
     }
 
     /** Returns the refusal that a final step means for the caller; empty if the step is not a refusal. */
--- a/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
@@ -70,11 +70,11 @@
         return crashes > 0;
     }
 
-    double ranMillis(long nowNanos) {
+    double millisSinceHandOut(long nowNanos) {
         return (double) (nowNanos - handedOutNanos) / TimeUnit.MILLISECONDS.toNanos(1);
     }
 
-    boolean isOlderThan(long ageNanos, long nowNanos) {
+    boolean isHandedOutLongerThan(long ageNanos, long nowNanos) {
         return nowNanos - handedOutNanos > ageNanos;
     }
 
@@ -86,12 +86,12 @@
     }
 
     /** Ends the current hand-out without a report, because its steward is lost or has had the item for too long. */
-    void takeBack() {
+    void endHandOut() {
         holder = Optional.empty();
     }
 
     /** Applies a report and returns whether it belonged to the latest hand-out. */
-    boolean report(ItemOutcome outcome, long nowNanos, long backoffNanos) {
+    boolean applyReport(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         if (holder.isEmpty() || outcome.handout() != handout) {
             return false;
         }
@@ -99,10 +99,10 @@
         notBeforeNanos = Optional.empty();
         switch (outcome.end()) {
             case COMPLETED -> completion = Optional.of(succeededLine(outcome));
-            case REJECTED -> fail(outcome.index(), "rejected", outcome.text());
+            case REJECTED -> completeAsFailed(outcome.index(), "rejected", outcome.text());
             case YIELDED -> keepPartial(outcome);
-            case CRASHED -> crashed(outcome, nowNanos, backoffNanos);
-            case FAILED -> failedOnce(outcome, nowNanos, backoffNanos);
+            case CRASHED -> recordCrash(outcome, nowNanos, backoffNanos);
+            case FAILED -> recordFailure(outcome, nowNanos, backoffNanos);
             case NOT_RUN -> notBeforeNanos = Optional.of(nowNanos + backoffNanos);
             default -> throw new IllegalStateException("unknown end of a run: " + outcome.end());
         }
@@ -116,26 +116,27 @@
         }
     }
 
-    private void crashed(ItemOutcome outcome, long nowNanos, long backoffNanos) {
+    private void recordCrash(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         crashes++;
         notBeforeNanos = Optional.of(nowNanos + backoffNanos);
         if (crashes >= MAX_CRASHES) {
-            fail(outcome.index(), "crashed-endpoints", "each of " + crashes + " endpoints that ran it crashed");
+            completeAsFailed(
+                    outcome.index(), "crashed-endpoints", "each of " + crashes + " endpoints that ran it crashed");
         }
     }
 
-    private void failedOnce(ItemOutcome outcome, long nowNanos, long backoffNanos) {
+    private void recordFailure(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         failures++;
         // The partial text to continue from may have caused the failure, so the next attempt starts from scratch.
         partial = "";
         partialTokens = 0;
         notBeforeNanos = Optional.of(nowNanos + backoffNanos * failures);
         if (failures >= MAX_FAILURES) {
-            fail(outcome.index(), "endpoint-failed", outcome.text());
+            completeAsFailed(outcome.index(), "endpoint-failed", outcome.text());
         }
     }
 
-    private void fail(int index, String code, String message) {
+    private void completeAsFailed(int index, String code, String message) {
         failedForGood = true;
         completion = Optional.of(Json.text(Json.object()
                 .put("index", index)
--- a/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
@@ -32,18 +32,18 @@
     /** Initial value of the mean item time, before any item has completed. */
     private static final double INITIAL_ITEM_MILLIS = 1000;
 
-    private static final double MEAN_WEIGHT = 1.0 / 16;
+    private static final double NEW_ITEM_WEIGHT = 1.0 / 16;
     private static final long BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final JobKey key;
     private final JobRecord record;
     private final long recordRevision;
     private final long fence;
-    private final BitSet closedChunks = new BitSet();
+    private final BitSet committedChunks = new BitSet();
     private final BitSet requestedChunks = new BitSet();
-    private final Map<Integer, List<ItemSlot>> openChunks = new TreeMap<>();
+    private final Map<Integer, List<ItemSlot>> loadedChunks = new TreeMap<>();
     private final WaitingItems waiting = new WaitingItems();
-    private long handouts;
+    private long lastHandout;
     private int completedItems;
     private double meanItemMillis = INITIAL_ITEM_MILLIS;
     private int running;
@@ -61,7 +61,7 @@
         this.record = record;
         this.recordRevision = recordRevision;
         this.fence = fence;
-        closedChunks.or(committed);
+        committedChunks.or(committed);
         requestedChunks.or(committed);
         completedItems = committed.stream().map(record::itemsInChunk).sum();
     }
@@ -110,14 +110,14 @@
 
     /** Returns whether all chunks are committed. */
     public boolean isComplete() {
-        return closedChunks.cardinality() == record.chunks().size();
+        return committedChunks.cardinality() == record.chunks().size();
     }
 
     /** Returns the next chunk to load if the window has room. Each chunk is returned once unless loading it fails. */
     public Optional<Integer> nextChunkToLoad() {
         int next = requestedChunks.nextClearBit(0);
-        int open = requestedChunks.cardinality() - closedChunks.cardinality();
-        if (stopped || open >= CHUNK_WINDOW || next >= record.chunks().size()) {
+        int uncommitted = requestedChunks.cardinality() - committedChunks.cardinality();
+        if (stopped || uncommitted >= CHUNK_WINDOW || next >= record.chunks().size()) {
             return Optional.empty();
         }
         requestedChunks.set(next);
@@ -131,10 +131,10 @@
 
     /** Adds the items of a chunk that was loaded from a store host. */
     public void chunkLoaded(int chunk, List<String> bodies) {
-        if (closedChunks.get(chunk) || openChunks.containsKey(chunk)) {
+        if (committedChunks.get(chunk) || loadedChunks.containsKey(chunk)) {
             return;
         }
-        openChunks.put(chunk, bodies.stream().map(ItemSlot::new).toList());
+        loadedChunks.put(chunk, bodies.stream().map(ItemSlot::new).toList());
         for (int place = 0; place < bodies.size(); place++) {
             waiting.add(chunk * record.chunkItems() + place);
         }
@@ -152,41 +152,43 @@
             return Optional.empty();
         }
         running++;
-        return slot(index.getAsInt())
-                .map(slot -> slot.handOut(key.path(), index.getAsInt(), fence, ++handouts, steward, nowNanos));
+        return findSlot(index.getAsInt())
+                .map(slot -> slot.handOut(key.path(), index.getAsInt(), fence, ++lastHandout, steward, nowNanos));
     }
 
     /** Applies a report. Returns the chunk for commit if the report completed its last item. */
     public Optional<ChunkResult> report(ItemOutcome outcome, long nowNanos) {
-        Optional<ItemSlot> slot = stopped || outcome.fence() != fence ? Optional.empty() : slot(outcome.index());
-        if (slot.isEmpty() || !slot.get().report(outcome, nowNanos, BACKOFF_NANOS)) {
+        Optional<ItemSlot> slot = stopped || outcome.fence() != fence ? Optional.empty() : findSlot(outcome.index());
+        if (slot.isEmpty() || !slot.get().applyReport(outcome, nowNanos, BACKOFF_NANOS)) {
             return Optional.empty();
         }
         running--;
         if (slot.get().completion().isEmpty()) {
-            waitAgain(outcome.index(), slot.get());
+            enqueueAgain(outcome.index(), slot.get());
             return Optional.empty();
         }
         completedItems++;
-        learnItemTime(slot.get().ranMillis(nowNanos));
-        return closeIfWhole(outcome.index() / record.chunkItems());
+        updateMeanItemMillis(slot.get().millisSinceHandOut(nowNanos));
+        return removeIfComplete(outcome.index() / record.chunkItems());
     }
 
     /** Records that a chunk's commit took effect. */
     public void chunkCommitted(int chunk) {
-        closedChunks.set(chunk);
+        committedChunks.set(chunk);
     }
 
     /** Returns the stewards that hold items of this job. */
     public Set<HostId> holders() {
         Set<HostId> holders = new TreeSet<>();
-        openChunks.values().forEach(slots -> slots.forEach(slot -> slot.holder().ifPresent(holders::add)));
+        loadedChunks
+                .values()
+                .forEach(slots -> slots.forEach(slot -> slot.holder().ifPresent(holders::add)));
         return holders;
     }
 
     /** Makes the items of a lost steward wait again. */
     public void stewardLost(HostId steward) {
-        takeBackWhere(slot -> slot.isHeldBy(steward));
+        reclaimWhere(slot -> slot.isHeldBy(steward));
     }
 
     /**
@@ -198,56 +200,57 @@
      */
     public void takeBackMissing(HostId steward, Set<Long> held, long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
-        takeBackWhere(slot ->
-                slot.isHeldBy(steward) && slot.isOlderThan(ageNanos, nowNanos) && !held.contains(slot.handout()));
+        reclaimWhere(slot -> slot.isHeldBy(steward)
+                && slot.isHandedOutLongerThan(ageNanos, nowNanos)
+                && !held.contains(slot.handout()));
     }
 
     /** Reclaims items that were handed out more than the given time ago; late reports on them will be ignored. */
     public void takeBackOlderThan(long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
-        takeBackWhere(slot -> slot.isRunning() && slot.isOlderThan(ageNanos, nowNanos));
+        reclaimWhere(slot -> slot.isRunning() && slot.isHandedOutLongerThan(ageNanos, nowNanos));
     }
 
     /** Stops the job on this host, because it was cancelled, lost to another owner or finished. */
     public void stop() {
         stopped = true;
-        openChunks.clear();
+        loadedChunks.clear();
         waiting.clear();
         running = 0;
     }
 
-    private void learnItemTime(double millis) {
-        meanItemMillis += MEAN_WEIGHT * (millis - meanItemMillis);
+    private void updateMeanItemMillis(double millis) {
+        meanItemMillis += NEW_ITEM_WEIGHT * (millis - meanItemMillis);
     }
 
-    private Optional<ChunkResult> closeIfWhole(int chunk) {
-        List<ItemSlot> slots = openChunks.get(chunk);
-        boolean whole = slots.stream().allMatch(slot -> slot.completion().isPresent());
-        if (!whole) {
+    private Optional<ChunkResult> removeIfComplete(int chunk) {
+        List<ItemSlot> slots = loadedChunks.get(chunk);
+        boolean complete = slots.stream().allMatch(slot -> slot.completion().isPresent());
+        if (!complete) {
             return Optional.empty();
         }
-        openChunks.remove(chunk);
+        loadedChunks.remove(chunk);
         int failed = (int) slots.stream().filter(ItemSlot::isFailedForGood).count();
         List<String> lines =
                 slots.stream().map(slot -> slot.completion().orElseThrow()).toList();
         return Optional.of(new ChunkResult(chunk, lines, failed));
     }
 
-    private Optional<ItemSlot> slot(int index) {
-        List<ItemSlot> slots = openChunks.get(index / record.chunkItems());
+    private Optional<ItemSlot> findSlot(int index) {
+        List<ItemSlot> slots = loadedChunks.get(index / record.chunkItems());
         int place = index % record.chunkItems();
         return slots == null || place >= slots.size() ? Optional.empty() : Optional.of(slots.get(place));
     }
 
-    private void waitAgain(int index, ItemSlot slot) {
+    private void enqueueAgain(int index, ItemSlot slot) {
         slot.notBeforeNanos().ifPresentOrElse(time -> waiting.addDelayed(index, time), () -> waiting.add(index));
     }
 
-    private void takeBackWhere(Predicate<ItemSlot> condition) {
-        openChunks.forEach((chunk, slots) -> {
+    private void reclaimWhere(Predicate<ItemSlot> condition) {
+        loadedChunks.forEach((chunk, slots) -> {
             for (int place = 0; place < slots.size(); place++) {
                 if (condition.test(slots.get(place))) {
-                    slots.get(place).takeBack();
+                    slots.get(place).endHandOut();
                     running--;
                     waiting.add(chunk * record.chunkItems() + place);
                 }
--- a/src/main/java/org/gooseberryhill/decision/job/WorkOffers.java
+++ b/src/main/java/org/gooseberryhill/decision/job/WorkOffers.java
@@ -13,7 +13,7 @@
  * of the owner keep asking it for items, and heartbeats inform the others.
  */
 public final class WorkOffers {
-    private static final long MIN_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final Map<String, Long> lastOfferNanos = new HashMap<>();
     private final Map<String, Boolean> offered = new HashMap<>();
@@ -21,7 +21,7 @@
     /** Records that items of a service are waiting and returns whether to send an offer now. */
     public boolean waiting(String service, long nowNanos) {
         Long last = lastOfferNanos.get(service);
-        boolean tooSoon = last != null && nowNanos - last < MIN_GAP_NANOS;
+        boolean tooSoon = last != null && nowNanos - last < MIN_INTERVAL_NANOS;
         if (tooSoon || offered.getOrDefault(service, false)) {
             return false;
         }
--- a/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
@@ -36,27 +36,27 @@
      * Silence after which a host is no longer asked for help. Hosts report each second, so three reports are missing
      * by then.
      */
-    private static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(3500);
+    private static final long SILENT_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(3500);
 
     /** Silence after which a host counts as lost: the length of a lease, by which five reports are missing. */
-    private static final long LOST_NANOS = TimeUnit.MILLISECONDS.toNanos(5000);
+    private static final long LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(5000);
 
     private final HostId self;
-    private final String selfStart;
-    private final Map<HostId, Heard> heard = new HashMap<>();
-    private final Set<HostId> toldSilent = new HashSet<>();
-    private final Map<HostId, ListedHost> lapsed = new HashMap<>();
-    private Map<HostId, ListedHost> listed = Map.of();
+    private final String selfProcessStart;
+    private final Map<HostId, LastReport> lastReports = new HashMap<>();
+    private final Set<HostId> reportedSilent = new HashSet<>();
+    private final Map<HostId, ListedHost> lapsedHosts = new HashMap<>();
+    private Map<HostId, ListedHost> listedHosts = Map.of();
     private List<Host> stores = List.of();
 
     /**
      * Creates a roster without other hosts.
      *
-     * @param selfStart distinguishes this host's process from earlier processes on it
+     * @param selfProcessStart distinguishes this host's process from earlier processes on it
      */
-    public HostRoster(HostId self, String selfStart) {
+    public HostRoster(HostId self, String selfProcessStart) {
         this.self = self;
-        this.selfStart = selfStart;
+        this.selfProcessStart = selfProcessStart;
     }
 
     /** Replaces the list of live hosts with a new reading from the key-value store. */
@@ -70,56 +70,56 @@
                 .map(ListedHost::host)
                 .filter(host -> host.role() == Role.STORE)
                 .toList();
-        lapsed.putAll(known(nowNanos));
-        lapsed.keySet().removeAll(others.keySet());
-        listed = others;
+        lapsedHosts.putAll(knownHosts(nowNanos));
+        lapsedHosts.keySet().removeAll(others.keySet());
+        listedHosts = others;
     }
 
     /** Records a report from a host. */
-    public void heard(HostId from, HostSign sign, long nowNanos) {
-        heard.put(from, new Heard(sign, nowNanos));
+    public void heard(HostId from, HostSign report, long nowNanos) {
+        lastReports.put(from, new LastReport(report, nowNanos));
     }
 
     /** Records an answer from a host; it counts as a sign of life if the host has reported before. */
     public void answered(HostId from, long nowNanos) {
-        heard.computeIfPresent(from, (host, last) -> new Heard(last.sign, nowNanos));
+        lastReports.computeIfPresent(from, (host, last) -> new LastReport(last.report, nowNanos));
     }
 
     /** Returns the hosts that have become silent, each once until it is heard again. */
     public List<HostId> takeSilent(long nowNanos) {
-        List<HostId> silent = heard.entrySet().stream()
-                .filter(entry -> !entry.getValue().isFresh(nowNanos) && toldSilent.add(entry.getKey()))
+        List<HostId> silent = lastReports.entrySet().stream()
+                .filter(entry -> !entry.getValue().isFresh(nowNanos) && reportedSilent.add(entry.getKey()))
                 .map(Map.Entry::getKey)
                 .toList();
-        toldSilent.removeIf(host -> isHeard(host, sign -> true, nowNanos));
-        lapsed.keySet().removeAll(toldSilent);
-        heard.keySet().removeIf(host -> toldSilent.contains(host) && !listed.containsKey(host));
-        toldSilent.retainAll(heard.keySet());
+        reportedSilent.removeIf(host -> isHeard(host, report -> true, nowNanos));
+        lapsedHosts.keySet().removeAll(reportedSilent);
+        lastReports.keySet().removeIf(host -> reportedSilent.contains(host) && !listedHosts.containsKey(host));
+        reportedSilent.retainAll(lastReports.keySet());
         return silent;
     }
 
     /** Returns the process starts of all hosts that are alive now, this one included, by host id. */
     public Map<String, String> liveStarts(long nowNanos) {
         Map<String, String> starts = new HashMap<>();
-        boolean mostAreHeard = areMostHeard(nowNanos);
-        known(nowNanos).forEach((id, entry) -> {
-            if (!(mostAreHeard && isLongSilent(id, nowNanos))) {
+        boolean majorityHeard = isMajorityHeard(nowNanos);
+        knownHosts(nowNanos).forEach((id, entry) -> {
+            if (!(majorityHeard && isLongSilent(id, nowNanos))) {
                 starts.put(id.value(), entry.processStart());
             }
         });
-        heard.forEach((id, last) -> {
+        lastReports.forEach((id, last) -> {
             if (last.isFresh(nowNanos)) {
-                starts.put(id.value(), last.sign.processStart());
+                starts.put(id.value(), last.report.processStart());
             }
         });
-        starts.put(self.value(), selfStart);
+        starts.put(self.value(), selfProcessStart);
         return starts;
     }
 
     /** Returns the other gateways that are listed, or were listed and are still heard. */
     public List<Host> gateways(long nowNanos) {
         List<Host> gateways = new ArrayList<>();
-        for (ListedHost entry : known(nowNanos).values()) {
+        for (ListedHost entry : knownHosts(nowNanos).values()) {
             if (entry.host().role() == Role.GATEWAY) {
                 gateways.add(entry.host());
             }
@@ -134,7 +134,7 @@
 
     /** Returns the other gateways that were heard recently and are not stopping. */
     public List<Host> staying(long nowNanos) {
-        return heardGateways(sign -> !sign.leaving(), nowNanos);
+        return heardGateways(report -> !report.leaving(), nowNanos);
     }
 
     /**
@@ -143,13 +143,13 @@
      * store: it is on nobody's list yet and therefore receives no reports.
      */
     public List<Host> reachingStore(long nowNanos) {
-        boolean noneIsHeard = heardGateways(sign -> true, nowNanos).isEmpty();
+        boolean noneIsHeard = heardGateways(report -> true, nowNanos).isEmpty();
         return noneIsHeard ? gateways(nowNanos) : heardGateways(HostSign::storeReached, nowNanos);
     }
 
     /** Returns a host, other than a store host, that is listed, or was listed and is still heard. */
     public Optional<Host> find(HostId id, long nowNanos) {
-        return Optional.ofNullable(known(nowNanos).get(id)).map(ListedHost::host);
+        return Optional.ofNullable(knownHosts(nowNanos).get(id)).map(ListedHost::host);
     }
 
     private List<Host> heardGateways(Predicate<HostSign> condition, long nowNanos) {
@@ -159,43 +159,43 @@
     }
 
     /** Returns the listed hosts and those that have disappeared from the list but are still heard. */
-    private Map<HostId, ListedHost> known(long nowNanos) {
-        if (lapsed.isEmpty()) {
-            return listed;
+    private Map<HostId, ListedHost> knownHosts(long nowNanos) {
+        if (lapsedHosts.isEmpty()) {
+            return listedHosts;
         }
-        Map<HostId, ListedHost> known = new LinkedHashMap<>(listed);
-        lapsed.forEach((id, entry) -> {
-            Predicate<HostSign> samePresent =
-                    sign -> !sign.leaving() && sign.processStart().equals(entry.processStart());
-            if (isHeard(id, samePresent, nowNanos)) {
+        Map<HostId, ListedHost> known = new LinkedHashMap<>(listedHosts);
+        lapsedHosts.forEach((id, entry) -> {
+            Predicate<HostSign> sameProcessStaying =
+                    report -> !report.leaving() && report.processStart().equals(entry.processStart());
+            if (isHeard(id, sameProcessStaying, nowNanos)) {
                 known.putIfAbsent(id, entry);
             }
         });
         return known;
     }
 
-    private boolean areMostHeard(long nowNanos) {
-        long fresh = listed.keySet().stream()
-                .filter(id -> isHeard(id, sign -> true, nowNanos))
+    private boolean isMajorityHeard(long nowNanos) {
+        long heardCount = listedHosts.keySet().stream()
+                .filter(id -> isHeard(id, report -> true, nowNanos))
                 .count();
-        int allHosts = listed.size() + 1;
-        return (fresh + 1) * 2 > allHosts;
+        int hostCount = listedHosts.size() + 1;
+        return (heardCount + 1) * 2 > hostCount;
     }
 
     private boolean isLongSilent(HostId id, long nowNanos) {
-        Heard last = heard.get(id);
-        return last != null && nowNanos - last.atNanos >= LOST_NANOS;
+        LastReport last = lastReports.get(id);
+        return last != null && nowNanos - last.heardAtNanos >= LOST_AFTER_NANOS;
     }
 
     private boolean isHeard(HostId id, Predicate<HostSign> condition, long nowNanos) {
-        Heard last = heard.get(id);
-        return last != null && last.isFresh(nowNanos) && condition.test(last.sign);
+        LastReport last = lastReports.get(id);
+        return last != null && last.isFresh(nowNanos) && condition.test(last.report);
     }
 
     /** The latest report of a host and when the host was last heard. */
-    private record Heard(HostSign sign, long atNanos) {
+    private record LastReport(HostSign report, long heardAtNanos) {
         boolean isFresh(long nowNanos) {
-            return nowNanos - atNanos < SILENT_NANOS;
+            return nowNanos - heardAtNanos < SILENT_AFTER_NANOS;
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/membership/Membership.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/Membership.java
@@ -30,7 +30,7 @@
     private final MembershipSettings settings;
     private final Random random;
     private final Map<HostId, Peer> peers = new TreeMap<>();
-    private final Map<HostId, PendingRumor> rumors = new LinkedHashMap<>();
+    private final Map<HostId, PendingRumor> queuedRumors = new LinkedHashMap<>();
     private final List<HostId> probeOrder = new ArrayList<>();
     private long incarnation;
     private long nextProbeNanos = Long.MIN_VALUE;
@@ -56,7 +56,7 @@
                 peers.put(host.id(), new Peer(host, nowNanos));
                 version++;
             } else if (!known.host.equals(host)) {
-                known.refresh(host);
+                known.updateHost(host);
                 version++;
             }
         }
@@ -72,7 +72,7 @@
      * HostState#SUSPECT} and on to {@link HostState#DEAD}.
      */
     public void tick(long nowNanos, MembershipCommands commands) {
-        peers.values().forEach(peer -> advance(peer, nowNanos, commands));
+        peers.values().forEach(peer -> updateState(peer, nowNanos, commands));
         probeSuspects(nowNanos, commands);
         if (nowNanos < nextProbeNanos) {
             return;
@@ -80,8 +80,8 @@
         nextProbeNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(settings.heartbeatPeriodMillis());
         nextToProbe().ifPresent(peer -> {
             peer.probeSentNanos = nowNanos;
-            peer.probeOpen = true;
-            peer.askedOthers = false;
+            peer.probePending = true;
+            peer.indirectlyProbed = false;
             commands.probe(peer.host, incarnation, rumorsFor(peer.host.id()));
         });
     }
@@ -95,19 +95,19 @@
      */
     private void probeSuspects(long nowNanos, MembershipCommands commands) {
         for (Peer peer : peers.values()) {
-            boolean due = nowNanos - peer.suspectProbedNanos >= SUSPECT_PROBE_NANOS;
+            boolean due = nowNanos - peer.lastSuspectProbeNanos >= SUSPECT_PROBE_NANOS;
             if (peer.state == HostState.SUSPECT && due) {
-                peer.suspectProbedNanos = nowNanos;
+                peer.lastSuspectProbeNanos = nowNanos;
                 commands.probe(peer.host, incarnation, rumorsFor(peer.host.id()));
             }
         }
     }
 
     /** Records that a host is alive: it sent a heartbeat, replied to one, or was reached by another host. */
-    public void heard(HostId from, long fromIncarnation, boolean leaving, List<Rumor> heardRumors, long nowNanos) {
+    public void heard(HostId from, long fromIncarnation, boolean leaving, List<Rumor> receivedRumors, long nowNanos) {
         Peer peer = peers.get(from);
         if (peer != null) {
-            peer.probeOpen = false;
+            peer.probePending = false;
             if (peer.leaving != leaving) {
                 peer.leaving = leaving;
                 version++;
@@ -118,7 +118,7 @@
                 changeState(peer, HostState.ALIVE, nowNanos);
             }
         }
-        heardRumors.forEach(rumor -> hear(rumor, nowNanos));
+        receivedRumors.forEach(rumor -> applyRumor(rumor, nowNanos));
     }
 
     /** Records that another host reached the target in an indirect probe for this host. */
@@ -135,7 +135,7 @@
      * greater incarnation.
      */
     public List<Rumor> rumorsFor(HostId target) {
-        List<Rumor> chosen = rumorsToSend();
+        List<Rumor> chosen = takeQueuedRumors();
         Peer peer = peers.get(target);
         if (peer != null && peer.state != HostState.ALIVE) {
             chosen.add(new Rumor(target, peer.state, peer.incarnation));
@@ -162,7 +162,7 @@
     public List<Host> present(Role role) {
         return peers.values().stream()
                 .filter(peer -> peer.state != HostState.DEAD && peer.host.role() == role)
-                .map(Peer::view)
+                .map(Peer::currentHost)
                 .toList();
     }
 
@@ -170,7 +170,7 @@
     public List<Host> present() {
         return peers.values().stream()
                 .filter(peer -> peer.state != HostState.DEAD)
-                .map(Peer::view)
+                .map(Peer::currentHost)
                 .toList();
     }
 
@@ -183,36 +183,36 @@
 
     /** Returns another known host, dead or not. */
     public Optional<Host> find(HostId host) {
-        return Optional.ofNullable(peers.get(host)).map(Peer::view);
+        return Optional.ofNullable(peers.get(host)).map(Peer::currentHost);
     }
 
-    private List<Rumor> rumorsToSend() {
-        int repeats = RUMOR_REPEATS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(peers.size() + 1));
+    private List<Rumor> takeQueuedRumors() {
+        int maxSends = RUMOR_REPEATS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(peers.size() + 1));
         List<Rumor> chosen = new ArrayList<>();
-        List<PendingRumor> fresh = new ArrayList<>(rumors.values());
-        fresh.sort((one, other) -> Integer.compare(one.sent, other.sent));
-        for (PendingRumor pending : fresh) {
+        List<PendingRumor> pendingRumors = new ArrayList<>(queuedRumors.values());
+        pendingRumors.sort((one, other) -> Integer.compare(one.timesSent, other.timesSent));
+        for (PendingRumor pending : pendingRumors) {
             if (chosen.size() == settings.rumorsPerMessage()) {
                 break;
             }
             chosen.add(pending.rumor);
-            pending.sent++;
-            if (pending.sent >= repeats) {
-                rumors.remove(pending.rumor.host());
+            pending.timesSent++;
+            if (pending.timesSent >= maxSends) {
+                queuedRumors.remove(pending.rumor.host());
             }
         }
         return chosen;
     }
 
-    private void advance(Peer peer, long nowNanos, MembershipCommands commands) {
-        long silentNanos = nowNanos - peer.probeSentNanos;
+    private void updateState(Peer peer, long nowNanos, MembershipCommands commands) {
+        long sinceProbeNanos = nowNanos - peer.probeSentNanos;
         long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(settings.replyTimeoutMillis());
-        if (peer.probeOpen && !peer.askedOthers && silentNanos > timeoutNanos) {
+        if (peer.probePending && !peer.indirectlyProbed && sinceProbeNanos > timeoutNanos) {
             // Indirect probes keep a lost message or a broken link between two hosts from looking like a lost host.
-            peer.askedOthers = true;
-            helpers(peer).forEach(helper -> commands.probeThrough(helper, peer.host));
+            peer.indirectlyProbed = true;
+            chooseIndirectProbers(peer).forEach(helper -> commands.probeThrough(helper, peer.host));
         }
-        if (peer.probeOpen && peer.state == HostState.ALIVE && silentNanos > 2 * timeoutNanos) {
+        if (peer.probePending && peer.state == HostState.ALIVE && sinceProbeNanos > 2 * timeoutNanos) {
             changeState(peer, HostState.SUSPECT, nowNanos);
         }
         long suspicionNanos = TimeUnit.MILLISECONDS.toNanos(settings.suspicionMillis());
@@ -221,11 +221,11 @@
         }
     }
 
-    private void hear(Rumor rumor, long nowNanos) {
+    private void applyRumor(Rumor rumor, long nowNanos) {
         if (rumor.host().equals(self)) {
             if (rumor.state() != HostState.ALIVE && rumor.incarnation() >= incarnation) {
                 incarnation = rumor.incarnation() + 1;
-                spread(new Rumor(self, HostState.ALIVE, incarnation));
+                queueRumor(new Rumor(self, HostState.ALIVE, incarnation));
             }
             return;
         }
@@ -248,14 +248,14 @@
         }
         peer.state = state;
         peer.stateSinceNanos = nowNanos;
-        spread(new Rumor(peer.host.id(), state, peer.incarnation));
+        queueRumor(new Rumor(peer.host.id(), state, peer.incarnation));
     }
 
-    private void spread(Rumor rumor) {
-        rumors.put(rumor.host(), new PendingRumor(rumor));
+    private void queueRumor(Rumor rumor) {
+        queuedRumors.put(rumor.host(), new PendingRumor(rumor));
     }
 
-    private List<Host> helpers(Peer target) {
+    private List<Host> chooseIndirectProbers(Peer target) {
         List<Host> others = new ArrayList<>(present());
         others.removeIf(host -> host.id().equals(target.host.id()));
         Collections.shuffle(others, random);
@@ -282,9 +282,9 @@
         private long incarnation;
         private long stateSinceNanos;
         private long probeSentNanos;
-        private long suspectProbedNanos;
-        private boolean probeOpen;
-        private boolean askedOthers;
+        private long lastSuspectProbeNanos;
+        private boolean probePending;
+        private boolean indirectlyProbed;
         private boolean leaving;
 
         Peer(Host host, long nowNanos) {
@@ -292,17 +292,17 @@
             this.stateSinceNanos = nowNanos;
         }
 
-        void refresh(Host newHost) {
-            boolean replaced = !newHost.address().equals(host.address());
+        void updateHost(Host newHost) {
+            boolean addressChanged = !newHost.address().equals(host.address());
             host = newHost;
-            if (replaced) {
+            if (addressChanged) {
                 state = HostState.ALIVE;
-                probeOpen = false;
+                probePending = false;
                 leaving = false;
             }
         }
 
-        Host view() {
+        Host currentHost() {
             return leaving ? host.asLeaving() : host;
         }
     }
@@ -310,7 +310,7 @@
     /** A rumor and the number of times it was sent. */
     private static final class PendingRumor {
         private final Rumor rumor;
-        private int sent;
+        private int timesSent;
 
         PendingRumor(Rumor rumor) {
             this.rumor = rumor;
--- a/src/main/java/org/gooseberryhill/decision/order/EndpointOrders.java
+++ b/src/main/java/org/gooseberryhill/decision/order/EndpointOrders.java
@@ -18,8 +18,8 @@
     private final OrderSettings settings;
     private final boolean checksFences;
     private Optional<Long> fence = Optional.empty();
-    private boolean claiming;
-    private boolean ordering;
+    private boolean claimPending;
+    private boolean orderInFlight;
     private long notBeforeNanos = Long.MIN_VALUE;
 
     /**
@@ -40,18 +40,18 @@
      * @param leaseUsable whether this host's lease is usable now
      */
     public OrderStep next(Optional<ModelHolding> held, ModelHolding wanted, boolean leaseUsable, long nowNanos) {
-        boolean settled = held.isEmpty() || held.get().equals(wanted);
-        if (settled || !leaseUsable || claiming || ordering) {
-            return new OrderStep.Rest();
+        boolean upToDate = held.isEmpty() || held.get().equals(wanted);
+        if (upToDate || !leaseUsable || claimPending || orderInFlight) {
+            return new OrderStep.Idle();
         }
         if (fence.isEmpty()) {
-            claiming = true;
+            claimPending = true;
             return new OrderStep.Claim();
         }
         if (notBeforeNanos != Long.MIN_VALUE && nowNanos - notBeforeNanos < 0) {
-            return new OrderStep.Rest();
+            return new OrderStep.Idle();
         }
-        ordering = true;
+        orderInFlight = true;
         return new OrderStep.Send(fence.get(), wanted);
     }
 
@@ -61,7 +61,7 @@
      * @param newFence the fencing token; empty if another host holds the endpoint or the answer is not known
      */
     public void claimed(Optional<Long> newFence, long nowNanos) {
-        claiming = false;
+        claimPending = false;
         fence = newFence;
         if (newFence.isPresent() && !checksFences) {
             long waitMillis = settings.leaseMillis() + settings.longestOrderMillis();
@@ -71,7 +71,7 @@
 
     /** Records that the order was answered, or that its answer can no longer arrive. */
     public void orderEnded() {
-        ordering = false;
+        orderInFlight = false;
     }
 
     /** Records that the lease or the claim is lost; a new claim is needed before the next order. */
--- a/src/main/java/org/gooseberryhill/decision/order/OrderStep.java
+++ b/src/main/java/org/gooseberryhill/decision/order/OrderStep.java
@@ -3,7 +3,7 @@
 /** The next step towards the model that an endpoint is to hold. Immutable. */
 public sealed interface OrderStep {
     /** Do nothing now. */
-    record Rest() implements OrderStep {}
+    record Idle() implements OrderStep {}
 
     /** Claim the endpoint under this host's lease and pass the answer to {@link EndpointOrders#claimed}. */
     record Claim() implements OrderStep {}
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
@@ -21,7 +21,7 @@
     private static final String KEY = "configuration";
 
     @Property(seed = "20261203")
-    void oneOfTheEditsOfOneTextIsAcceptedAtTheMost(@ForAll long seed) {
+    void atMostOneOfSeveralEditsOfTheSameTextIsAccepted(@ForAll long seed) {
         Random random = new Random(seed);
         FakeKeyValue<ConfigurationRecord> store = new FakeKeyValue<>(random, 30);
         List<Operator> operators = new ArrayList<>();
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationInForceTest.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationInForceTest.java
@@ -28,7 +28,7 @@
      * are kept.
      */
     @Test
-    void aTextWithMistakesDoesNotComeIntoForce() {
+    void anInvalidTextIsNotApplied() {
         inForce.offer(7, text("new"));
 
         assertThat(inForce.offer(8, "services: [")).isEqualTo(Offer.INVALID);
@@ -41,7 +41,7 @@
      * Texts arrive by watch, push, heartbeat and read, late, twice and out of order; the greatest revision stays active.
      */
     @Property(seed = "20261203")
-    void whateverTheOrderOfOffersTheGreatestRevisionIsInForce(@ForAll long seed) {
+    void inWhateverOrderTextsAreOfferedTheGreatestRevisionIsActive(@ForAll long seed) {
         List<Integer> offers = new ArrayList<>();
         for (int revision = 1; revision <= 10; revision++) {
             offers.add(revision);
--- a/src/test/java/org/gooseberryhill/decision/configuration/TextChangeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/TextChangeTest.java
@@ -9,15 +9,15 @@
 
 class TextChangeTest {
     @Test
-    void oneChangedLineIsAllThatIsSent() {
+    void onlyTheChangedLineIsSent() {
         TextChange change = TextChange.between("a\nb\nc\nd\n", "a\nB\nc\nd\n");
 
-        assertThat(change.between()).containsExactly("B");
+        assertThat(change.newLines()).containsExactly("B");
         assertThat(change.applyTo("a\nb\nc\nd\n")).contains("a\nB\nc\nd\n");
     }
 
     @Test
-    void aChangeThatWasMadeFromAnotherTextGivesNothing() {
+    void aChangeAppliedToAnotherTextGivesNoResult() {
         TextChange change = TextChange.between("a\nb\nc\n", "a\nB\nc\n");
 
         assertThat(change.applyTo("x\nb\nc\n")).isEmpty();
--- a/src/test/java/org/gooseberryhill/decision/drain/PlannedStopTest.java
+++ b/src/test/java/org/gooseberryhill/decision/drain/PlannedStopTest.java
@@ -8,107 +8,107 @@
 import org.junit.jupiter.api.Test;
 
 class PlannedStopTest {
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final PlannedStop stop = new PlannedStop(500, 10_000);
 
     @Test
-    void aStopWaitsForWhatIsInProgress() {
+    void aStopWaitsForRequestsInProgress() {
         stop.ask(0);
 
-        assertThat(stop.advance(3, true, 400 * MILLI)).isEqualTo(Phase.ANNOUNCED);
+        assertThat(stop.advance(3, true, 400 * NANOS_PER_MILLI)).isEqualTo(Phase.ANNOUNCED);
         assertThat(stop.takesAll()).isTrue();
-        assertThat(stop.advance(3, true, 600 * MILLI)).isEqualTo(Phase.DRAINING);
+        assertThat(stop.advance(3, true, 600 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
         assertThat(stop.takesAll()).isFalse();
-        assertThat(stop.advance(1, true, 9000 * MILLI)).isEqualTo(Phase.DRAINING);
-        assertThat(stop.advance(0, false, 9100 * MILLI)).isEqualTo(Phase.ENDED);
+        assertThat(stop.advance(1, true, 9000 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
+        assertThat(stop.advance(0, false, 9100 * NANOS_PER_MILLI)).isEqualTo(Phase.ENDED);
     }
 
     /** Guards against losing requests that arrive after the process has found nothing in progress. */
     @Test
-    void aStopDoesNotEndWhileSomethingMayStillComeIn() {
+    void aStopDoesNotEndWhileRequestsMayStillArrive() {
         stop.ask(0);
 
-        assertThat(stop.advance(0, true, 600 * MILLI)).isEqualTo(Phase.CLOSING);
-        assertThat(stop.advance(0, true, 700 * MILLI)).isEqualTo(Phase.CLOSING);
-        assertThat(stop.advance(1, true, 800 * MILLI)).isEqualTo(Phase.CLOSING);
-        assertThat(stop.advance(1, false, 900 * MILLI)).isEqualTo(Phase.CLOSING);
-        assertThat(stop.advance(0, false, 1000 * MILLI)).isEqualTo(Phase.ENDED);
+        assertThat(stop.advance(0, true, 600 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
+        assertThat(stop.advance(0, true, 700 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
+        assertThat(stop.advance(1, true, 800 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
+        assertThat(stop.advance(1, false, 900 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
+        assertThat(stop.advance(0, false, 1000 * NANOS_PER_MILLI)).isEqualTo(Phase.ENDED);
     }
 
     /** Guards against a request that is accepted after the grace period and cut off at the bound. */
     @Test
-    void afterTheGraceOnlyThatIsTakenWhichIsOverBeforeTheBound() {
+    void afterTheGracePeriodOnlyRequestsThatEndBeforeTheBoundAreAccepted() {
         stop.ask(0);
-        stop.advance(1, true, 400 * MILLI);
-        assertThat(stop.takes(60_000, 400 * MILLI)).isTrue();
+        stop.advance(1, true, 400 * NANOS_PER_MILLI);
+        assertThat(stop.takes(60_000, 400 * NANOS_PER_MILLI)).isTrue();
 
-        stop.advance(1, true, 600 * MILLI);
-        assertThat(stop.takes(9400, 600 * MILLI)).isTrue();
-        assertThat(stop.takes(9401, 600 * MILLI)).isFalse();
-        assertThat(stop.takes(1, 10_000 * MILLI)).isFalse();
+        stop.advance(1, true, 600 * NANOS_PER_MILLI);
+        assertThat(stop.takes(9400, 600 * NANOS_PER_MILLI)).isTrue();
+        assertThat(stop.takes(9401, 600 * NANOS_PER_MILLI)).isFalse();
+        assertThat(stop.takes(1, 10_000 * NANOS_PER_MILLI)).isFalse();
     }
 
     /** Guards against a bound before the end of the grace period, which would cut off all accepted requests. */
     @Test
-    void theGraceLeavesHalfOfTheBoundToWhatWasTakenIn() {
+    void theGracePeriodTakesAtMostHalfOfTheBound() {
         PlannedStop shortStop = new PlannedStop(2600, 2000);
         shortStop.ask(0);
 
-        assertThat(shortStop.advance(1, true, 999 * MILLI)).isEqualTo(Phase.ANNOUNCED);
-        assertThat(shortStop.advance(1, true, 1000 * MILLI)).isEqualTo(Phase.DRAINING);
-        assertThat(shortStop.takes(1001, 1000 * MILLI)).isFalse();
+        assertThat(shortStop.advance(1, true, 999 * NANOS_PER_MILLI)).isEqualTo(Phase.ANNOUNCED);
+        assertThat(shortStop.advance(1, true, 1000 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
+        assertThat(shortStop.takes(1001, 1000 * NANOS_PER_MILLI)).isFalse();
     }
 
     /** A caller that does not close its connection must not keep the process running forever. */
     @Test
     void aStopEndsAtItsBoundWhileCallersAreConnected() {
         stop.ask(0);
-        stop.advance(0, true, 600 * MILLI);
+        stop.advance(0, true, 600 * NANOS_PER_MILLI);
 
-        assertThat(stop.advance(0, true, 9_999 * MILLI)).isEqualTo(Phase.CLOSING);
-        assertThat(stop.advance(0, true, 10_000 * MILLI)).isEqualTo(Phase.ENDED);
+        assertThat(stop.advance(0, true, 9_999 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
+        assertThat(stop.advance(0, true, 10_000 * NANOS_PER_MILLI)).isEqualTo(Phase.ENDED);
     }
 
     /** Guards against a request that is accepted right before the bound and cut off when the process ends. */
     @Test
-    void beforeItsBoundAStopLetsNothingNewComeInWhileSomethingIsInProgress() {
+    void shortlyBeforeItsBoundAStopClosesWhileRequestsAreInProgress() {
         stop.ask(0);
-        stop.advance(1, true, 600 * MILLI);
+        stop.advance(1, true, 600 * NANOS_PER_MILLI);
 
-        assertThat(stop.advance(1, true, 9_499 * MILLI)).isEqualTo(Phase.DRAINING);
-        assertThat(stop.advance(1, true, 9_500 * MILLI)).isEqualTo(Phase.CLOSING);
-        assertThat(stop.advance(1, true, 9_999 * MILLI)).isEqualTo(Phase.CLOSING);
-        assertThat(stop.advance(1, true, 10_000 * MILLI)).isEqualTo(Phase.ENDED);
+        assertThat(stop.advance(1, true, 9_499 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
+        assertThat(stop.advance(1, true, 9_500 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
+        assertThat(stop.advance(1, true, 9_999 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
+        assertThat(stop.advance(1, true, 10_000 * NANOS_PER_MILLI)).isEqualTo(Phase.ENDED);
     }
 
     /** Guards against a stop with a short bound that refuses all requests as soon as its grace period is over. */
     @Test
-    void aShortBoundLeavesTimeBetweenTheGraceAndTheClosing() {
+    void aShortBoundLeavesTimeBetweenTheGracePeriodAndClosing() {
         PlannedStop shortStop = new PlannedStop(2600, 1000);
         shortStop.ask(0);
 
-        assertThat(shortStop.advance(1, true, 500 * MILLI)).isEqualTo(Phase.DRAINING);
-        assertThat(shortStop.advance(1, true, 899 * MILLI)).isEqualTo(Phase.DRAINING);
-        assertThat(shortStop.advance(1, true, 900 * MILLI)).isEqualTo(Phase.CLOSING);
+        assertThat(shortStop.advance(1, true, 500 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
+        assertThat(shortStop.advance(1, true, 899 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
+        assertThat(shortStop.advance(1, true, 900 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
     }
 
     /** The operator requests the stop again: work in progress is still completed. */
     @Test
-    void aSecondStopCutsNothing() {
+    void aSecondStopRequestHasNoEffect() {
         stop.ask(0);
-        stop.advance(3, true, 600 * MILLI);
-        stop.ask(700 * MILLI);
+        stop.advance(3, true, 600 * NANOS_PER_MILLI);
+        stop.ask(700 * NANOS_PER_MILLI);
 
-        assertThat(stop.advance(3, true, 1300 * MILLI)).isEqualTo(Phase.DRAINING);
+        assertThat(stop.advance(3, true, 1300 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
     }
 
     @Test
     void aStopEndsAtItsBound() {
         stop.ask(0);
-        stop.advance(1, true, 600 * MILLI);
+        stop.advance(1, true, 600 * NANOS_PER_MILLI);
 
-        assertThat(stop.advance(1, true, 10_000 * MILLI)).isEqualTo(Phase.ENDED);
+        assertThat(stop.advance(1, true, 10_000 * NANOS_PER_MILLI)).isEqualTo(Phase.ENDED);
     }
 
     /** The endpoint itself reports that it is leaving, and later that it is back, while the host list lags behind. */
@@ -129,7 +129,7 @@
 
     /** If hosts passed on peers' reports as their own, the reports would circulate and exclude an endpoint forever. */
     @Test
-    void hearsayIsNotPassedOn() {
+    void reportsFromPeersAreNotPassedOn() {
         LeavingEndpoints leaving = new LeavingEndpoints();
         leaving.update(LeavingSource.PEER, "e1", true);
 
--- a/src/test/java/org/gooseberryhill/decision/job/IntakeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/IntakeTest.java
@@ -21,7 +21,7 @@
      * are lost. All accepted submissions must be the same job, and the other body must never be mistaken for it.
      */
     @Property(seed = "20261203")
-    void allAcceptedSubmissionsOfAnIdAreOneJob(@ForAll long seed) {
+    void allAcceptedSubmissionsOfAnIdAreTheSameJob(@ForAll long seed) {
         Random random = new Random(seed);
         FakeKeyValue<JobRecord> store = new FakeKeyValue<>(random, 25);
         List<Submission> submissions = new ArrayList<>();
--- a/src/test/java/org/gooseberryhill/decision/job/JobModel.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobModel.java
@@ -27,13 +27,13 @@
     private static final int CHUNK_ITEMS = 4;
 
     final FakeKeyValue<Object> store;
-    final List<HostView> hosts = List.of(new HostView("a"), new HostView("b"));
+    final List<ModelHost> hosts = List.of(new ModelHost("a"), new ModelHost("b"));
     final Map<Integer, Integer> chunkWrites = new HashMap<>();
     boolean cancelled;
     private final Random random;
     private final JobRecord record =
             new JobRecord(JobState.RUNNING, "hash", "s", "m", 1000, 0, ITEMS, CHUNK_ITEMS, List.of("c0", "c1", "c2"));
-    private long now;
+    private long nowNanos;
 
     JobModel(Random random, int faultPercent) {
         this.random = random;
@@ -44,17 +44,17 @@
     }
 
     void step(boolean faults) {
-        now += 500_000_000L;
-        HostView host = hosts.get(random.nextInt(hosts.size()));
+        nowNanos += 500_000_000L;
+        ModelHost host = hosts.get(random.nextInt(hosts.size()));
         switch (random.nextInt(faults ? 9 : 7)) {
             case 0 -> host.claim();
-            case 1, 2 -> host.take();
+            case 1, 2 -> host.takeItem();
             case 3, 4 -> host.report();
             case 5, 6 -> host.commit();
             case 7 -> store.delete(OWNER);
             default -> store.arriveDelayed();
         }
-        countChunks();
+        checkChunks();
     }
 
     /** Cancels the job for its caller and returns only after the record says so. */
@@ -80,7 +80,7 @@
         return items;
     }
 
-    private void countChunks() {
+    private void checkChunks() {
         for (int chunk = 0; chunk < record.chunks().size(); chunk++) {
             Optional<FakeKeyValue.Stored<Object>> stored = store.now("chunk" + chunk);
             if (stored.isPresent()) {
@@ -94,13 +94,13 @@
     }
 
     /** One host, with its own view of whether it owns the job. */
-    final class HostView {
+    final class ModelHost {
         private final HostId id;
-        private final List<WorkItem> running = new ArrayList<>();
-        private final Map<Integer, ChunkResult> toCommit = new HashMap<>();
+        private final List<WorkItem> runningItems = new ArrayList<>();
+        private final Map<Integer, ChunkResult> pendingCommits = new HashMap<>();
         private Optional<OwnedJob> owned = Optional.empty();
 
-        HostView(String name) {
+        ModelHost(String name) {
             id = new HostId(name);
         }
 
@@ -122,12 +122,12 @@
             }
             long fence = store.now(OWNER).orElseThrow().created();
             OwnedJob job = new OwnedJob(KEY, record, stored.modified(), fence, committed);
-            running.clear();
-            toCommit.clear();
+            runningItems.clear();
+            pendingCommits.clear();
             owned = Optional.of(job);
         }
 
-        void take() {
+        void takeItem() {
             owned.ifPresent(job -> {
                 job.nextChunkToLoad().ifPresent(chunk -> {
                     List<String> bodies = new ArrayList<>();
@@ -136,18 +136,18 @@
                     }
                     job.chunkLoaded(chunk, bodies);
                 });
-                job.take(id, now).ifPresent(running::add);
+                job.take(id, nowNanos).ifPresent(runningItems::add);
             });
         }
 
         void report() {
-            if (running.isEmpty() || owned.isEmpty()) {
+            if (runningItems.isEmpty() || owned.isEmpty()) {
                 return;
             }
-            WorkItem item = running.get(random.nextInt(running.size()));
+            WorkItem item = runningItems.get(random.nextInt(runningItems.size()));
             // One in five reports stays to be sent again, and an item may be reported after it was handed out again.
             if (random.nextInt(5) > 0) {
-                running.remove(item);
+                runningItems.remove(item);
             }
             if (random.nextInt(10) == 0) {
                 owned.get().stewardLost(id);
@@ -155,16 +155,16 @@
             ItemEnd[] ends = ItemEnd.values();
             ItemEnd end = random.nextInt(3) > 0 ? ItemEnd.COMPLETED : ends[random.nextInt(ends.length)];
             ItemOutcome outcome = new ItemOutcome(item.index(), item.fence(), item.handout(), end, "text", 1);
-            owned.get().report(outcome, now).ifPresent(result -> {
-                assertThat(toCommit.put(result.chunk(), result)).isNull();
+            owned.get().report(outcome, nowNanos).ifPresent(result -> {
+                assertThat(pendingCommits.put(result.chunk(), result)).isNull();
             });
         }
 
         void commit() {
-            if (toCommit.isEmpty() || owned.isEmpty()) {
+            if (pendingCommits.isEmpty() || owned.isEmpty()) {
                 return;
             }
-            ChunkResult result = toCommit.values().iterator().next();
+            ChunkResult result = pendingCommits.values().iterator().next();
             OwnedJob job = owned.get();
             ChunkCommit commit = new ChunkCommit();
             ChunkCommit.Step step = commit.begin();
@@ -178,7 +178,7 @@
                 step = advance(job, result, commit, step, key);
             }
             if (step == ChunkCommit.Step.COMMITTED) {
-                toCommit.remove(result.chunk());
+                pendingCommits.remove(result.chunk());
                 job.chunkCommitted(result.chunk());
             }
         }
--- a/src/test/java/org/gooseberryhill/decision/job/JobProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobProperties.java
@@ -25,7 +25,7 @@
     }
 
     @Property(seed = "20261203")
-    void afterTheFaultsEndTheJobComesToItsEnd(@ForAll long seed) {
+    void afterTheFaultsEndTheJobCompletes(@ForAll long seed) {
         JobModel model = new JobModel(new Random(seed), 0);
         for (int step = 0; step < STEPS; step++) {
             model.step(step % 50 == 0);
@@ -43,7 +43,7 @@
 
     /** Once a cancellation is answered, commits that are still on their way must find the record changed. */
     @Property(seed = "20261203")
-    void afterACancelNoResultAppears(@ForAll long seed) {
+    void afterACancellationNoResultAppears(@ForAll long seed) {
         JobModel model = new JobModel(new Random(seed), 20);
         int cancelAt = new Random(seed).nextInt(STEPS);
         int committed = 0;
--- a/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
@@ -18,10 +18,10 @@
     private static final long FENCE = 9;
 
     private final OwnedJob job = job("caller", 2, 1000);
-    private long now;
+    private long nowNanos;
 
     @Test
-    void aChunkIsHandedOnWhenItsLastItemIsCompleted() {
+    void aChunkIsReturnedForCommitWhenItsLastItemCompletes() {
         WorkItem first = take();
         WorkItem second = take();
 
@@ -34,7 +34,7 @@
 
     /** The endpoint rejects one item permanently: that is the item's completion, and the rest of the job continues. */
     @Test
-    void anItemThatCanNeverBeDoneCompletesAsFailed() {
+    void aRejectedItemCompletesAsFailed() {
         report(take(), ItemEnd.REJECTED);
 
         ChunkResult result = report(take(), ItemEnd.COMPLETED).orElseThrow();
@@ -44,11 +44,11 @@
     }
 
     @Test
-    void anItemThatCrashesItsEndpointsIsGivenUpAfterTheThird() {
+    void anItemFailsPermanentlyAtItsThirdCrash() {
         report(take(), ItemEnd.COMPLETED);
         for (int crash = 1; crash <= 2; crash++) {
             assertThat(report(take(), ItemEnd.CRASHED)).isEmpty();
-            later();
+            advanceOneSecond();
         }
         WorkItem last = take();
 
@@ -61,10 +61,10 @@
      * attempts.
      */
     @Test
-    void aYieldedItemGoesOnFromWhereItWas() {
+    void aYieldedItemContinuesFromItsPartialText() {
         WorkItem item = take();
         for (int i = 0; i < 10; i++) {
-            job.report(new ItemOutcome(0, FENCE, item.handout(), ItemEnd.YIELDED, "so far", 2), now);
+            job.report(new ItemOutcome(0, FENCE, item.handout(), ItemEnd.YIELDED, "so far", 2), nowNanos);
             item = take();
         }
 
@@ -78,18 +78,18 @@
      * in the same way.
      */
     @Test
-    void anItemThatFailedBeginsAnew() {
+    void aFailedItemStartsFromScratch() {
         WorkItem item = take();
-        job.report(new ItemOutcome(0, FENCE, item.handout(), ItemEnd.YIELDED, "so far", 2), now);
+        job.report(new ItemOutcome(0, FENCE, item.handout(), ItemEnd.YIELDED, "so far", 2), nowNanos);
         report(take(), ItemEnd.FAILED);
-        later();
+        advanceOneSecond();
 
         assertThat(take().partial()).isEmpty();
     }
 
     /** A steward was considered lost and its item runs elsewhere; the steward's late report must have no effect. */
     @Test
-    void aReportOfAnEarlierHandOutChangesNothing() {
+    void aReportOfAnEarlierHandOutHasNoEffect() {
         WorkItem early = take();
         job.stewardLost(STEWARD);
         WorkItem again = take();
@@ -105,13 +105,13 @@
     void anItemThatItsStewardDoesNotHaveWaitsAgain() {
         WorkItem lost = take();
         WorkItem held = take();
-        later();
+        advanceOneSecond();
 
-        job.takeBackMissing(STEWARD, Set.of(held.handout()), 2000, now);
+        job.takeBackMissing(STEWARD, Set.of(held.handout()), 2000, nowNanos);
         assertThat(job.running()).isEqualTo(2);
-        later();
-        later();
-        job.takeBackMissing(STEWARD, Set.of(held.handout()), 2000, now);
+        advanceOneSecond();
+        advanceOneSecond();
+        job.takeBackMissing(STEWARD, Set.of(held.handout()), 2000, nowNanos);
 
         assertThat(job.running()).isEqualTo(1);
         assertThat(take().index()).isEqualTo(lost.index());
@@ -122,43 +122,43 @@
      * the earlier claim must not match one of them.
      */
     @Test
-    void aReportUnderAnEarlierClaimChangesNothing() {
+    void aReportUnderAnEarlierClaimHasNoEffect() {
         WorkItem item = take();
 
         ItemOutcome old = new ItemOutcome(item.index(), FENCE - 1, item.handout(), ItemEnd.REJECTED, "", 0);
 
-        assertThat(job.report(old, now)).isEmpty();
+        assertThat(job.report(old, nowNanos)).isEmpty();
         assertThat(job.running()).isEqualTo(1);
     }
 
     @Test
-    void afterAStopNothingIsHandedOutAndNoReportCounts() {
+    void afterAStopNothingIsHandedOutAndReportsHaveNoEffect() {
         WorkItem item = take();
         job.stop();
 
-        assertThat(job.take(STEWARD, now)).isEmpty();
+        assertThat(job.take(STEWARD, nowNanos)).isEmpty();
         assertThat(report(item, ItemEnd.COMPLETED)).isEmpty();
     }
 
     /** A chunk was being loaded from a store host when the job was cancelled: its items must not be handed out. */
     @Test
-    void aChunkThatComesAfterAStopIsNotHandedOut() {
+    void aChunkLoadedAfterAStopIsNotHandedOut() {
         int chunk = job.nextChunkToLoad().orElseThrow();
         job.stop();
         job.chunkLoaded(chunk, List.of("{}", "{}"));
 
-        assertThat(job.take(STEWARD, now)).isEmpty();
+        assertThat(job.take(STEWARD, nowNanos)).isEmpty();
     }
 
     @Test
     void aLargeJobHasOnlyAWindowOfChunksInMemory() {
         OwnedJob large = job("caller", 100, 1000);
-        int named = 0;
+        int chunksToLoad = 0;
         while (large.nextChunkToLoad().isPresent()) {
-            named++;
+            chunksToLoad++;
         }
 
-        assertThat(named).isEqualTo(OwnedJob.CHUNK_WINDOW);
+        assertThat(chunksToLoad).isEqualTo(OwnedJob.CHUNK_WINDOW);
     }
 
     /** Items take a minute each, much longer than initially assumed, so the job becomes urgent. */
@@ -168,9 +168,9 @@
         DispatchContext context = new DispatchContext(0, Map.of());
         assertThat(EarliestDeadlineFairOrder.isUrgent(slow, context)).isFalse();
         for (int i = 0; i < 8; i++) {
-            WorkItem item = slow.take(STEWARD, now).orElseThrow();
-            now += TimeUnit.SECONDS.toNanos(60);
-            slow.report(new ItemOutcome(item.index(), FENCE, item.handout(), ItemEnd.COMPLETED, "", 1), now);
+            WorkItem item = slow.take(STEWARD, nowNanos).orElseThrow();
+            nowNanos += TimeUnit.SECONDS.toNanos(60);
+            slow.report(new ItemOutcome(item.index(), FENCE, item.handout(), ItemEnd.COMPLETED, "", 1), nowNanos);
         }
 
         assertThat(EarliestDeadlineFairOrder.isUrgent(slow, context)).isTrue();
@@ -193,16 +193,16 @@
     }
 
     private Optional<ChunkResult> report(WorkItem item, ItemEnd end) {
-        return job.report(new ItemOutcome(item.index(), item.fence(), item.handout(), end, "text", 4), now);
+        return job.report(new ItemOutcome(item.index(), item.fence(), item.handout(), end, "text", 4), nowNanos);
     }
 
     private WorkItem take() {
         loaded(job);
-        return job.take(STEWARD, now).orElseThrow();
+        return job.take(STEWARD, nowNanos).orElseThrow();
     }
 
-    private void later() {
-        now += TimeUnit.SECONDS.toNanos(1);
+    private void advanceOneSecond() {
+        nowNanos += TimeUnit.SECONDS.toNanos(1);
     }
 
     private static OwnedJob loaded(OwnedJob job) {
--- a/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
@@ -6,18 +6,18 @@
 import org.junit.jupiter.api.Test;
 
 class WorkOffersTest {
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final WorkOffers offers = new WorkOffers();
 
     @Test
     void workIsOfferedOnceUntilItHasRunOut() {
         assertThat(offers.waiting("s", 0)).isTrue();
-        assertThat(offers.waiting("s", 1000 * MILLI)).isFalse();
-        assertThat(offers.waiting("other", 1000 * MILLI)).isTrue();
+        assertThat(offers.waiting("s", 1000 * NANOS_PER_MILLI)).isFalse();
+        assertThat(offers.waiting("other", 1000 * NANOS_PER_MILLI)).isTrue();
         offers.drained("s");
 
-        assertThat(offers.waiting("s", 2000 * MILLI)).isTrue();
+        assertThat(offers.waiting("s", 2000 * NANOS_PER_MILLI)).isTrue();
     }
 
     /**
@@ -25,10 +25,10 @@
      * few offers must be sent.
      */
     @Test
-    void aStormOfYieldsMakesFewOffers() {
+    void manyYieldsInABurstMakeFewOffers() {
         int made = 0;
         for (int milli = 0; milli < 1000; milli++) {
-            if (offers.waiting("s", milli * MILLI)) {
+            if (offers.waiting("s", milli * NANOS_PER_MILLI)) {
                 made++;
             }
             offers.drained("s");
--- a/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
@@ -20,7 +20,7 @@
     private final HostRoster roster = new HostRoster(new HostId("self"), "s1");
 
     @Test
-    void aListedHostLivesBeforeItWasHeard() {
+    void aListedHostIsAliveBeforeItWasHeard() {
         list(0, "self", "a");
 
         assertThat(roster.liveStarts(at(60_000))).containsEntry("a", "a1").containsEntry("self", "s1");
@@ -33,7 +33,7 @@
      * as silent hosts, a majority would seem silent.
      */
     @Test
-    void hostsWithADiskAreKnownAndCountNeitherAsGatewaysNorAsSilent() {
+    void storeHostsAreKnownAndCountNeitherAsGatewaysNorAsSilent() {
         List<ListedHost> entries = new ArrayList<>();
         List.of("a", "b").forEach(id -> entries.add(new ListedHost(host(id), id + "1")));
         List.of("x", "y", "z").forEach(id -> entries.add(new ListedHost(host(id, Role.STORE), id + "1")));
@@ -52,7 +52,7 @@
      * hosts are alive.
      */
     @Test
-    void aHostThatLapsedFromTheListLivesWhileItIsHeard() {
+    void aHostThatDisappearedFromTheListIsAliveWhileItIsHeard() {
         list(0, "self", "a", "b");
         hear(A, 0);
         list(100);
@@ -68,7 +68,7 @@
      * host counted as alive forever, its batches would wait for a host that never comes back.
      */
     @Test
-    void aHostThatLapsedFromTheListAndFellSilentIsLost() {
+    void aHostThatDisappearedFromTheListAndBecameSilentIsLost() {
         list(0, "self", "a", "b");
         hear(A, 0);
         hear(B, 0);
@@ -99,7 +99,7 @@
 
     /** This host was suspended for long or is partitioned: all other hosts seem silent, but none of them is lost. */
     @Test
-    void whoHearsFewOthersThinksNobodyLost() {
+    void aHostThatHearsOnlyAMinorityConsidersNoHostLost() {
         list(0, "self", "a", "b");
         hear(A, 0);
         hear(B, 0);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void theProcessThatIsHeardHoldsOverTheOneThatIsListed() {
+    void theReportedProcessTakesPrecedenceOverTheListedOne() {
         list(0, "self", "a");
         roster.heard(A, new HostSign("a2", false, true), at(100));
 
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aSilentHostIsToldOnceUntilItIsHeardAgain() {
+    void aSilentHostIsReturnedOnceUntilItIsHeardAgain() {
         list(0, "self", "a");
         hear(A, 0);
 
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void anAnswerShowsThatAHostLives() {
+    void anAnswerShowsThatAHostIsAlive() {
         list(0, "self", "a");
         hear(A, 0);
         roster.answered(A, at(3000));
--- a/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
@@ -24,57 +24,59 @@
 
     /** A host crashes: all others detect it, and no other host is considered dead. */
     @Test
-    void aLostHostIsFoundByAllOthersWithinSeconds() {
-        Views views = new Views(9);
-        views.run(40);
-        views.down.add("h3");
-        views.run(140);
-
-        views.forLive(view -> assertThat(view.stateOf(new HostId("h3"))).contains(HostState.DEAD));
-        views.forLive(view -> assertThat(view.present()).hasSize(7));
+    void aCrashedHostIsDetectedByAllOthersWithinSeconds() {
+        Cluster cluster = new Cluster(9);
+        cluster.run(40);
+        cluster.downHosts.add("h3");
+        cluster.run(140);
+
+        cluster.forEachRunning(
+                view -> assertThat(view.stateOf(new HostId("h3"))).contains(HostState.DEAD));
+        cluster.forEachRunning(view -> assertThat(view.present()).hasSize(7));
     }
 
     /** The link between two hosts is broken. The other hosts still reach both, so neither is considered dead. */
     @Test
-    void aCutLinkBetweenTwoHostsIsNotALostHost() {
-        Views views = new Views(6);
-        views.cut.add("h1-h2");
-        views.cut.add("h2-h1");
-        views.run(400);
+    void aBrokenLinkBetweenTwoHostsMakesNeitherDead() {
+        Cluster cluster = new Cluster(6);
+        cluster.brokenLinks.add("h1-h2");
+        cluster.brokenLinks.add("h2-h1");
+        cluster.run(400);
 
-        views.forLive(view -> assertThat(view.present()).hasSize(5));
+        cluster.forEachRunning(view -> assertThat(view.present()).hasSize(5));
     }
 
     /** A host is paused until it is considered dead. When it resumes, it refutes that with a greater incarnation. */
     @Test
-    void aPausedHostThatWakesIsPresentAgain() {
-        Views views = new Views(6);
-        views.run(40);
-        views.down.add("h4");
-        views.run(160);
-        views.forLive(view -> assertThat(view.stateOf(new HostId("h4"))).contains(HostState.DEAD));
-        views.down.clear();
-        views.run(200);
-
-        views.forLive(view -> assertThat(view.present()).hasSize(5));
+    void aPausedHostThatResumesIsPresentAgain() {
+        Cluster cluster = new Cluster(6);
+        cluster.run(40);
+        cluster.downHosts.add("h4");
+        cluster.run(160);
+        cluster.forEachRunning(
+                view -> assertThat(view.stateOf(new HostId("h4"))).contains(HostState.DEAD));
+        cluster.downHosts.clear();
+        cluster.run(200);
+
+        cluster.forEachRunning(view -> assertThat(view.present()).hasSize(5));
     }
 
     /** One third of all messages is lost for a long time, which must not make any host be considered dead. */
     @Test
-    void lostMessagesDoNotMakeALostHost() {
-        Views views = new Views(8);
-        views.lossPercent = 33;
-        views.run(1200);
+    void lostMessagesMakeNoHostDead() {
+        Cluster cluster = new Cluster(8);
+        cluster.lossPercent = 33;
+        cluster.run(1200);
 
-        assertThat(views.deaths).isZero();
+        assertThat(cluster.deaths).isZero();
     }
 
     /** Compares the messages per host among 4 and among 64 hosts: the cost of a host must not grow with the fleet. */
     @Test
     void theMessagesOfAHostDoNotGrowWithTheFleet() {
-        Views few = new Views(4);
+        Cluster few = new Cluster(4);
         few.run(400);
-        Views many = new Views(64);
+        Cluster many = new Cluster(64);
         many.run(400);
 
         double ofFew = few.messages / 4.0;
@@ -84,26 +86,26 @@
 
     @Test
     void theHostListMayLoseAHostThatStillAnswers() {
-        Views views = new Views(4);
-        views.run(20);
-        views.views.get("h0").candidates(List.of(views.host(1)), views.now);
+        Cluster cluster = new Cluster(4);
+        cluster.run(20);
+        cluster.memberships.get("h0").candidates(List.of(cluster.host(1)), cluster.nowNanos);
 
-        assertThat(views.views.get("h0").present()).hasSize(3);
+        assertThat(cluster.memberships.get("h0").present()).hasSize(3);
     }
 
     /** A simulated cluster whose messages are delivered immediately or lost. */
-    private static final class Views {
-        private final Map<String, Membership> views = new TreeMap<>();
-        private final Set<String> down = new HashSet<>();
-        private final Set<String> cut = new HashSet<>();
+    private static final class Cluster {
+        private final Map<String, Membership> memberships = new TreeMap<>();
+        private final Set<String> downHosts = new HashSet<>();
+        private final Set<String> brokenLinks = new HashSet<>();
         private final Random random = new Random(5);
         private final int size;
         private int lossPercent;
-        private long now;
+        private long nowNanos;
         private int messages;
         private int deaths;
 
-        Views(int size) {
+        Cluster(int size) {
             this.size = size;
             List<Host> hosts = new ArrayList<>();
             for (int i = 0; i < size; i++) {
@@ -113,7 +115,7 @@
                 Membership view =
                         new Membership(host.id(), MembershipSettings.DEFAULT, new Random(hosts.indexOf(host)));
                 view.candidates(hosts, 0);
-                views.put(host.id().value(), view);
+                memberships.put(host.id().value(), view);
             }
         }
 
@@ -128,21 +130,21 @@
 
         void run(int ticks) {
             for (int tick = 0; tick < ticks; tick++) {
-                now += TICK_NANOS;
-                views.forEach((name, view) -> {
-                    if (!down.contains(name)) {
-                        view.tick(now, new Sender(name));
+                nowNanos += TICK_NANOS;
+                memberships.forEach((name, view) -> {
+                    if (!downHosts.contains(name)) {
+                        view.tick(nowNanos, new Sender(name));
                     }
                 });
-                deaths += (int) views.values().stream()
+                deaths += (int) memberships.values().stream()
                         .filter(view -> view.present().size() < size - 1)
                         .count();
             }
         }
 
-        void forLive(Consumer<Membership> check) {
-            views.forEach((name, view) -> {
-                if (!down.contains(name)) {
+        void forEachRunning(Consumer<Membership> check) {
+            memberships.forEach((name, view) -> {
+                if (!downHosts.contains(name)) {
                     check.accept(view);
                 }
             });
@@ -151,21 +153,24 @@
         private boolean arrives(String from, String to) {
             messages++;
             boolean lost = random.nextInt(100) < lossPercent;
-            return !lost && !down.contains(from) && !down.contains(to) && !cut.contains(from + "-" + to);
+            return !lost
+                    && !downHosts.contains(from)
+                    && !downHosts.contains(to)
+                    && !brokenLinks.contains(from + "-" + to);
         }
 
         private boolean exchange(String from, String to, List<Rumor> rumors) {
-            Membership sender = views.get(from);
-            Membership receiver = views.get(to);
+            Membership sender = memberships.get(from);
+            Membership receiver = memberships.get(to);
             if (!arrives(from, to)) {
                 return false;
             }
-            receiver.heard(new HostId(from), sender.incarnation(), false, rumors, now);
-            List<Rumor> back = receiver.rumorsFor(new HostId(from));
+            receiver.heard(new HostId(from), sender.incarnation(), false, rumors, nowNanos);
+            List<Rumor> replyRumors = receiver.rumorsFor(new HostId(from));
             if (!arrives(to, from)) {
                 return false;
             }
-            sender.heard(new HostId(to), receiver.incarnation(), false, back, now);
+            sender.heard(new HostId(to), receiver.incarnation(), false, replyRumors, nowNanos);
             return true;
         }
 
@@ -184,13 +189,13 @@
 
             @Override
             public void probeThrough(Host helper, Host target) {
-                String through = helper.id().value();
-                boolean reached = arrives(from, through)
-                        && exchange(through, target.id().value(), List.of())
-                        && arrives(through, from);
+                String helperName = helper.id().value();
+                boolean reached = arrives(from, helperName)
+                        && exchange(helperName, target.id().value(), List.of())
+                        && arrives(helperName, from);
                 Optional.of(reached)
                         .filter(Boolean::booleanValue)
-                        .ifPresent(yes -> views.get(from).reachedThrough(target.id(), now));
+                        .ifPresent(yes -> memberships.get(from).reachedThrough(target.id(), nowNanos));
             }
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
@@ -12,37 +12,37 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointOrdersTest {
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final OrderSettings SETTINGS = new OrderSettings(5000, 2000);
     private static final ModelHolding OLD = new ModelHolding("m", "1", List.of());
     private static final ModelHolding NEW = new ModelHolding("m", "2", List.of());
 
     @Test
-    void anEndpointThatHoldsWhatItShallGetsNoOrder() {
+    void anEndpointThatHoldsTheWantedModelGetsNoOrder() {
         EndpointOrders orders = new EndpointOrders(SETTINGS, true);
 
-        assertThat(orders.next(Optional.of(NEW), NEW, true, 0)).isInstanceOf(OrderStep.Rest.class);
+        assertThat(orders.next(Optional.of(NEW), NEW, true, 0)).isInstanceOf(OrderStep.Idle.class);
     }
 
     @Test
-    void anOrderCarriesTheClaimAsItsFenceAndOneIsOnItsWayAtATime() {
+    void anOrderCarriesTheClaimAsItsFenceAndOnlyOneIsInFlight() {
         EndpointOrders orders = new EndpointOrders(SETTINGS, true);
         assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isInstanceOf(OrderStep.Claim.class);
         orders.claimed(Optional.of(17L), 0);
 
         assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isEqualTo(new OrderStep.Send(17, NEW));
-        assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isInstanceOf(OrderStep.Rest.class);
+        assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isInstanceOf(OrderStep.Idle.class);
         orders.orderEnded();
         assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isInstanceOf(OrderStep.Send.class);
     }
 
     @Test
-    void noOrderIsSentWhileTheLeaseIsInDoubt() {
+    void noOrderIsSentWhileTheLeaseIsNotUsable() {
         EndpointOrders orders = new EndpointOrders(SETTINGS, true);
         orders.next(Optional.of(OLD), NEW, true, 0);
         orders.claimed(Optional.of(17L), 0);
 
-        assertThat(orders.next(Optional.of(OLD), NEW, false, 0)).isInstanceOf(OrderStep.Rest.class);
+        assertThat(orders.next(Optional.of(OLD), NEW, false, 0)).isInstanceOf(OrderStep.Idle.class);
     }
 
     /**
@@ -55,8 +55,10 @@
         orders.next(Optional.of(OLD), NEW, true, 0);
         orders.claimed(Optional.of(17L), 0);
 
-        assertThat(orders.next(Optional.of(OLD), NEW, true, 6900 * MILLI)).isInstanceOf(OrderStep.Rest.class);
-        assertThat(orders.next(Optional.of(OLD), NEW, true, 7100 * MILLI)).isInstanceOf(OrderStep.Send.class);
+        assertThat(orders.next(Optional.of(OLD), NEW, true, 6900 * NANOS_PER_MILLI))
+                .isInstanceOf(OrderStep.Idle.class);
+        assertThat(orders.next(Optional.of(OLD), NEW, true, 7100 * NANOS_PER_MILLI))
+                .isInstanceOf(OrderStep.Send.class);
     }
 
     /**
@@ -65,7 +67,7 @@
      * sequence of the claims.
      */
     @Property(seed = "20261203")
-    void withoutFencesOrdersArriveInTheOrderOfTheClaims(@ForAll long seed) {
+    void withoutFencesOrdersArriveInTheSequenceOfTheClaims(@ForAll long seed) {
         Random random = new Random(seed);
         List<long[]> arrivals = new ArrayList<>();
         long claimedAt = 0;
@@ -73,10 +75,11 @@
             EndpointOrders holder = new EndpointOrders(SETTINGS, false);
             holder.next(Optional.of(OLD), NEW, true, claimedAt);
             holder.claimed(Optional.of(fence), claimedAt);
-            long leaseUntil = claimedAt + SETTINGS.leaseMillis() * MILLI + random.nextInt(20_000) * MILLI;
-            for (long now = claimedAt; now < leaseUntil; now += 500 * MILLI) {
+            long leaseUntil =
+                    claimedAt + SETTINGS.leaseMillis() * NANOS_PER_MILLI + random.nextInt(20_000) * NANOS_PER_MILLI;
+            for (long now = claimedAt; now < leaseUntil; now += 500 * NANOS_PER_MILLI) {
                 if (holder.next(Optional.of(OLD), NEW, true, now) instanceof OrderStep.Send) {
-                    arrivals.add(new long[] {now + random.nextInt(2000) * MILLI, fence});
+                    arrivals.add(new long[] {now + random.nextInt(2000) * NANOS_PER_MILLI, fence});
                     holder.orderEnded();
                 }
             }
--- a/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
@@ -26,8 +26,8 @@
     private static final int SEEDS = 3;
 
     @Test
-    void onACalmDayNobodyIsTurnedAwayAndAllIsOnTime() {
-        for (ReplayResult result : play(DispatchPolicies::product, replay -> calm(replay, 30))) {
+    void atNormalLoadNoRequestIsRefusedAndNearlyAllAreOnTime() {
+        for (ReplayResult result : play(DispatchPolicies::product, replay -> normalLoad(replay, 30))) {
             assertThat(result.onTimeShare()).isGreaterThan(0.995);
             assertThat(result.servedShare()).isEqualTo(1);
             assertThat(result.itemsOnTimeShare()).isGreaterThan(0.99);
@@ -41,14 +41,15 @@
      */
     @Test
     void inLongBurstsMoreStreamsAreOnTimeIfNoneWaitsForLong() {
-        Function<Random, DispatchPolicies> patient =
+        Function<Random, DispatchPolicies> waitUpToTwoTargets =
                 random -> policies(random, new ForecastOverloadPolicy(2.0), new ForecastReturn());
-        double before = onTime(play(patient, OverloadReplayTest::longBursts));
+        double replaced = meanOnTimeShare(play(waitUpToTwoTargets, OverloadReplayTest::longBursts));
         List<ReplayResult> results = play(DispatchPolicies::product, OverloadReplayTest::longBursts);
         System.out.printf(
-                "long bursts: waiting up to two targets %.3f, product %.3f on time%n", before, onTime(results));
+                "long bursts: waiting up to two targets %.3f, product %.3f on time%n",
+                replaced, meanOnTimeShare(results));
 
-        assertThat(onTime(results)).isGreaterThan(before + 0.07);
+        assertThat(meanOnTimeShare(results)).isGreaterThan(replaced + 0.07);
         assertThat(results)
                 .allSatisfy(result -> assertThat(result.servedShare()).isGreaterThan(0.95));
     }
@@ -58,16 +59,17 @@
      * refused a second time.
      */
     @Test
-    void callersWithATimeOfTheirOwnAreSeldomTurnedAwayTwice() {
-        Function<Random, DispatchPolicies> together =
+    void callersWithIndividualRetryTimesAreSeldomRefusedTwice() {
+        Function<Random, DispatchPolicies> sameRetryTime =
                 random -> policies(random, new ForecastOverloadPolicy(0.3), new ForecastReturn());
-        double before = refusedTwice(play(together, OverloadReplayTest::longBursts));
-        double spread = refusedTwice(play(DispatchPolicies::product, OverloadReplayTest::longBursts));
+        double replaced = meanRefusedTwiceShare(play(sameRetryTime, OverloadReplayTest::longBursts));
+        double individualRetryTimes =
+                meanRefusedTwiceShare(play(DispatchPolicies::product, OverloadReplayTest::longBursts));
         System.out.printf(
                 "long bursts: told the wait of the moment %.3f, times of their own %.3f refused twice%n",
-                before, spread);
+                replaced, individualRetryTimes);
 
-        assertThat(spread).isLessThan(before / 2);
+        assertThat(individualRetryTimes).isLessThan(replaced / 2);
     }
 
     private static DispatchPolicies policies(Random random, OverloadPolicy overload, ReturnPolicy returns) {
@@ -86,27 +88,27 @@
                 .toList();
     }
 
-    private static void calm(ServingReplay replay, double seconds) {
-        burst(replay, seconds, 1);
+    private static void normalLoad(ServingReplay replay, double seconds) {
+        scaledLoad(replay, seconds, 1);
     }
 
     private static void longBursts(ServingReplay replay) {
-        calm(replay, 5);
-        burst(replay, 8, 1.6);
-        calm(replay, 10);
-        burst(replay, 8, 2.2);
-        calm(replay, 10);
+        normalLoad(replay, 5);
+        scaledLoad(replay, 8, 1.6);
+        normalLoad(replay, 10);
+        scaledLoad(replay, 8, 2.2);
+        normalLoad(replay, 10);
     }
 
-    private static void burst(ServingReplay replay, double seconds, double times) {
-        replay.load(1000 * seconds, times * STREAMS_PER_SECOND, times * BATCHES_PER_SECOND);
+    private static void scaledLoad(ServingReplay replay, double seconds, double factor) {
+        replay.load(1000 * seconds, factor * STREAMS_PER_SECOND, factor * BATCHES_PER_SECOND);
     }
 
-    private static double onTime(List<ReplayResult> results) {
+    private static double meanOnTimeShare(List<ReplayResult> results) {
         return results.stream().mapToDouble(ReplayResult::onTimeShare).average().orElseThrow();
     }
 
-    private static double refusedTwice(List<ReplayResult> results) {
+    private static double meanRefusedTwiceShare(List<ReplayResult> results) {
         return results.stream()
                 .mapToDouble(ReplayResult::refusedTwiceShare)
                 .average()
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayCall.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayCall.java
@@ -9,32 +9,32 @@
  * time that it was told, but it waits no longer than a third of the time that is left until its deadline.
  */
 final class ReplayCall {
-    private static final double MAX_SHARE_OF_LEFT = 1.0 / 3;
-    private static final double WAY_MILLIS = 1;
+    private static final double MAX_WAIT_SHARE_OF_REMAINING_TIME = 1.0 / 3;
+    private static final double ONE_WAY_LATENCY_MILLIS = 1;
 
     /** Share of the target latency after which a refusal is too late for a retry to be on time. */
     private static final double EARLY_SHARE_OF_TARGET = 0.25;
 
-    private final VirtualTime time;
+    private final VirtualClock clock;
     private final ServingReplay replay;
     private final Route route;
     private final double promptTokens;
     private final int events;
-    private final long beganNanos;
-    private long attemptNanos;
+    private final long startNanos;
+    private long attemptStartNanos;
     private boolean refusedEarly;
     private int refusals;
     private Optional<Double> firstEventMillis = Optional.empty();
     private Optional<Double> firstEventMillisOfAttempt = Optional.empty();
     private boolean answered;
 
-    ReplayCall(VirtualTime time, ServingReplay replay, Route route, double promptTokens, int events) {
-        this.time = time;
+    ReplayCall(VirtualClock clock, ServingReplay replay, Route route, double promptTokens, int events) {
+        this.clock = clock;
         this.replay = replay;
         this.route = route;
         this.promptTokens = promptTokens;
         this.events = events;
-        this.beganNanos = time.nowNanos();
+        this.startNanos = clock.nowNanos();
     }
 
     double promptTokens() {
@@ -45,30 +45,32 @@
         return events;
     }
 
-    void begin() {
-        attemptNanos = time.nowNanos();
-        time.after(WAY_MILLIS, () -> replay.anyHost().arrive(this, route, deadlineNanos()));
+    void startAttempt() {
+        attemptStartNanos = clock.nowNanos();
+        clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> replay.anyHost().receive(this, route, deadlineNanos()));
     }
 
-    void event() {
+    void onEvent() {
         if (firstEventMillis.isEmpty()) {
-            firstEventMillis = Optional.of(millisSince(beganNanos) + WAY_MILLIS);
-            firstEventMillisOfAttempt = Optional.of(millisSince(attemptNanos) + WAY_MILLIS);
+            firstEventMillis = Optional.of(millisSince(startNanos) + ONE_WAY_LATENCY_MILLIS);
+            firstEventMillisOfAttempt = Optional.of(millisSince(attemptStartNanos) + ONE_WAY_LATENCY_MILLIS);
         }
     }
 
-    void answered() {
+    void onAnswered() {
         answered = true;
     }
 
-    void refused(long retryAfterMillis) {
+    void onRefused(long retryAfterMillis) {
         refusals++;
         if (refusals > 1) {
             return;
         }
-        refusedEarly = millisSince(attemptNanos) <= EARLY_SHARE_OF_TARGET * route.targetLatencyMillis();
-        double leftMillis = route.timeoutMillis() - millisSince(beganNanos);
-        time.after(WAY_MILLIS + Math.min(retryAfterMillis, leftMillis * MAX_SHARE_OF_LEFT), this::begin);
+        refusedEarly = millisSince(attemptStartNanos) <= EARLY_SHARE_OF_TARGET * route.targetLatencyMillis();
+        double leftMillis = route.timeoutMillis() - millisSince(startNanos);
+        clock.schedule(
+                ONE_WAY_LATENCY_MILLIS + Math.min(retryAfterMillis, leftMillis * MAX_WAIT_SHARE_OF_REMAINING_TIME),
+                this::startAttempt);
     }
 
     boolean isServed() {
@@ -92,10 +94,10 @@
     }
 
     private long deadlineNanos() {
-        return beganNanos + TimeUnit.MILLISECONDS.toNanos(route.timeoutMillis());
+        return startNanos + TimeUnit.MILLISECONDS.toNanos(route.timeoutMillis());
     }
 
     private double millisSince(long nanos) {
-        return (double) (time.nowNanos() - nanos) / TimeUnit.MILLISECONDS.toNanos(1);
+        return (double) (clock.nowNanos() - nanos) / TimeUnit.MILLISECONDS.toNanos(1);
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayEndpoint.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayEndpoint.java
@@ -14,20 +14,20 @@
  * millisecond, eight tokens per event, and 3.23 ms per token plus a small amount for each running request.
  */
 final class ReplayEndpoint {
-    private static final double FIRST_MILLIS = 47;
-    private static final double READ_TOKENS_PER_MILLI = 112;
+    private static final double FIRST_TOKEN_MILLIS = 47;
+    private static final double PROMPT_TOKENS_PER_MILLI = 112;
     private static final double TOKENS_PER_EVENT = 8;
-    private static final double STEP_MILLIS = 3.23;
-    private static final double STEP_MILLIS_PER_REQUEST = 0.0483;
+    private static final double TOKEN_MILLIS = 3.23;
+    private static final double TOKEN_MILLIS_PER_RUNNING_REQUEST = 0.0483;
     private static final int MAX_QUEUED = 24;
 
-    private final VirtualTime time;
+    private final VirtualClock clock;
     private final EndpointEntry entry;
     private final Deque<Run> queue = new ArrayDeque<>();
     private final List<Run> running = new ArrayList<>();
 
-    ReplayEndpoint(VirtualTime time, EndpointEntry entry) {
-        this.time = time;
+    ReplayEndpoint(VirtualClock clock, EndpointEntry entry) {
+        this.clock = clock;
         this.entry = entry;
     }
 
@@ -40,19 +40,19 @@
     }
 
     /** Starts, queues or refuses a request that arrives. */
-    void take(Run run) {
+    void receive(Run run) {
         if (running.size() < entry.slots()) {
             start(run);
         } else if (queue.size() < MAX_QUEUED) {
             queue.add(run);
         } else {
-            run.caller.busy();
+            run.listener.onBusy();
         }
     }
 
     /** Cancels a request whose connection the host has closed. */
-    void drop(Run run) {
-        run.dropped = true;
+    void cancel(Run run) {
+        run.cancelled = true;
         queue.remove(run);
         if (running.remove(run)) {
             startNext();
@@ -61,22 +61,22 @@
 
     private void start(Run run) {
         running.add(run);
-        time.after(FIRST_MILLIS + run.promptTokens / READ_TOKENS_PER_MILLI, () -> event(run));
+        clock.schedule(FIRST_TOKEN_MILLIS + run.promptTokens / PROMPT_TOKENS_PER_MILLI, () -> sendEvent(run));
     }
 
-    private void event(Run run) {
-        if (run.dropped) {
+    private void sendEvent(Run run) {
+        if (run.cancelled) {
             return;
         }
-        run.events++;
-        run.caller.event();
-        if (run.events >= run.allEvents) {
+        run.eventsSent++;
+        run.listener.onEvent();
+        if (run.eventsSent >= run.totalEvents) {
             running.remove(run);
-            run.caller.ended();
+            run.listener.onEnd();
             startNext();
         } else {
-            double step = STEP_MILLIS + STEP_MILLIS_PER_REQUEST * running.size();
-            time.after(TOKENS_PER_EVENT * step, () -> event(run));
+            double tokenMillis = TOKEN_MILLIS + TOKEN_MILLIS_PER_RUNNING_REQUEST * running.size();
+            clock.schedule(TOKENS_PER_EVENT * tokenMillis, () -> sendEvent(run));
         }
     }
 
@@ -89,24 +89,24 @@
     /** A request at the endpoint. */
     static final class Run {
         private final double promptTokens;
-        private final int allEvents;
-        private final Caller caller;
-        private int events;
-        private boolean dropped;
+        private final int totalEvents;
+        private final AnswerListener listener;
+        private int eventsSent;
+        private boolean cancelled;
 
-        Run(double promptTokens, int allEvents, Caller caller) {
+        Run(double promptTokens, int totalEvents, AnswerListener listener) {
             this.promptTokens = promptTokens;
-            this.allEvents = allEvents;
-            this.caller = caller;
+            this.totalEvents = totalEvents;
+            this.listener = listener;
         }
     }
 
     /** Receives the answer at the time at which the endpoint sends it, without network latency. */
-    interface Caller {
-        void event();
+    interface AnswerListener {
+        void onEvent();
 
-        void ended();
+        void onEnd();
 
-        void busy();
+        void onBusy();
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
@@ -38,15 +38,15 @@
  */
 final class ReplayHost {
     /** One-way network latency from a host to an endpoint; half of the endpoints are in other availability zones. */
-    private static final double WAY_MILLIS = 0.8;
+    private static final double ONE_WAY_LATENCY_MILLIS = 0.8;
 
     /** Delay in which load changes are collected before they are reported to the other hosts. */
-    private static final double REPORT_MILLIS = 25;
+    private static final double REPORT_DELAY_MILLIS = 25;
 
     private static final double TICK_MILLIS = 25;
     private static final long SUSPECT_MILLIS = 60_000;
 
-    private final VirtualTime time;
+    private final VirtualClock clock;
     private final HostId id;
     private final Map<EndpointKey, ReplayEndpoint> endpoints;
     private final Fleet fleet = new Fleet();
@@ -55,20 +55,20 @@
     private final Map<RoutedRequest, ReplayCall> calls = new IdentityHashMap<>();
     private final Map<PlacedItem, ItemRun> itemRuns = new IdentityHashMap<>();
     private final List<OwnedBatch> batches = new ArrayList<>();
-    private final Map<String, Integer> itemEvents = new HashMap<>();
+    private final Map<String, Integer> eventsByItem = new HashMap<>();
     private final Consumer<OwnedBatch> onItemDone;
-    private List<ReplayHost> others = List.of();
-    private boolean reporting;
-    private int requests;
+    private List<ReplayHost> otherHosts = List.of();
+    private boolean reportScheduled;
+    private int requestCount;
 
     ReplayHost(
-            VirtualTime time,
+            VirtualClock clock,
             int number,
             Map<EndpointKey, ReplayEndpoint> endpoints,
             RouteTable routes,
             DispatchPolicies policies,
             Consumer<OwnedBatch> onItemDone) {
-        this.time = time;
+        this.clock = clock;
         this.onItemDone = onItemDone;
         this.id = new HostId("host-" + number);
         this.endpoints = endpoints;
@@ -79,186 +79,187 @@
         BatchRoutes batchRoutes = new BatchRoutes();
         batchRoutes.configure(routes);
         items = new ItemDispatch(id, fleet, batchRoutes, new FeasibleFirstOrder(), policies.items());
-        time.after(new Random(number).nextDouble() * TICK_MILLIS, this::tick);
+        clock.schedule(new Random(number).nextDouble() * TICK_MILLIS, this::tick);
     }
 
-    void knows(List<ReplayHost> hosts) {
-        others = hosts.stream().filter(host -> host != this).toList();
+    void setOtherHosts(List<ReplayHost> hosts) {
+        otherHosts = hosts.stream().filter(host -> host != this).toList();
     }
 
     /** Handles an attempt of a caller that arrives at this host. */
-    void arrive(ReplayCall call, Route route, long deadlineNanos) {
-        String name = id.value() + "-" + requests++;
+    void receive(ReplayCall call, Route route, long deadlineNanos) {
+        String name = id.value() + "-" + requestCount++;
         RoutedRequest request = core.arrived(new RoutedIntake(
                 name,
                 route,
                 ServingReplay.SERVICE,
                 Optional.empty(),
                 Lazy.of(() -> Fingerprint.of(name, new byte[0])),
-                time.nowNanos(),
+                clock.nowNanos(),
                 deadlineNanos));
         calls.put(request, call);
-        follow(request, core.first(request, time.nowNanos()));
+        execute(request, core.first(request, clock.nowNanos()));
     }
 
     /** Adds a batch that this host owns, with the number of events of each item. */
-    void own(OwnedBatch batch, List<Integer> events) {
+    void addBatch(OwnedBatch batch, List<Integer> events) {
         batches.add(batch);
         for (int item = 0; item < events.size(); item++) {
-            itemEvents.put(batch.id() + "/i" + item, events.get(item));
+            eventsByItem.put(batch.id() + "/i" + item, events.get(item));
         }
-        balance();
+        dispatchItems();
     }
 
     private void tick() {
-        balance();
-        time.after(TICK_MILLIS, this::tick);
+        dispatchItems();
+        clock.schedule(TICK_MILLIS, this::tick);
     }
 
-    private void follow(RoutedRequest request, DispatchDecision decision) {
+    private void execute(RoutedRequest request, DispatchDecision decision) {
         if (decision instanceof DispatchDecision.Send send) {
             send(request, send.endpoint());
         } else if (decision instanceof DispatchDecision.Refuse refuse) {
             refuse(request, refuse.refusal());
         } else if (decision instanceof DispatchDecision.Wait wait) {
-            time.after(wait.millis(), () -> follow(request, core.again(request, time.nowNanos())));
+            clock.schedule(wait.millis(), () -> execute(request, core.again(request, clock.nowNanos())));
         }
     }
 
     private void refuse(RoutedRequest request, Refusal refusal) {
-        calls.remove(request).refused(refusal.retryAfterMillis().orElse(0L));
-        changed();
+        calls.remove(request).onRefused(refusal.retryAfterMillis().orElse(0L));
+        scheduleLoadReport();
     }
 
     private void send(RoutedRequest request, EndpointEntry entry) {
-        changed();
+        scheduleLoadReport();
         ReplayCall call = calls.get(request);
         ReplayEndpoint endpoint = endpoints.get(entry.key());
         ReplayEndpoint.Run run =
-                new ReplayEndpoint.Run(call.promptTokens(), call.events(), new ReplayEndpoint.Caller() {
+                new ReplayEndpoint.Run(call.promptTokens(), call.events(), new ReplayEndpoint.AnswerListener() {
                     @Override
-                    public void event() {
-                        time.after(WAY_MILLIS, call::event);
+                    public void onEvent() {
+                        clock.schedule(ONE_WAY_LATENCY_MILLIS, call::onEvent);
                     }
 
                     @Override
-                    public void ended() {
-                        time.after(WAY_MILLIS, () -> answered(request));
+                    public void onEnd() {
+                        clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> completeRequest(request));
                     }
 
                     @Override
-                    public void busy() {
-                        time.after(WAY_MILLIS, () -> turnedAway(request));
+                    public void onBusy() {
+                        clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> handleBusy(request));
                     }
                 });
-        time.after(WAY_MILLIS, () -> endpoint.take(run));
+        clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> endpoint.receive(run));
     }
 
-    private void answered(RoutedRequest request) {
-        core.attemptSucceeded(request, time.nowNanos());
-        calls.remove(request).answered();
-        changed();
+    private void completeRequest(RoutedRequest request) {
+        core.attemptSucceeded(request, clock.nowNanos());
+        calls.remove(request).onAnswered();
+        scheduleLoadReport();
     }
 
-    private void turnedAway(RoutedRequest request) {
-        DispatchDecision decision = core.attemptFailed(request, AttemptEnd.BUSY, time.nowNanos());
-        changed();
-        follow(request, decision);
+    private void handleBusy(RoutedRequest request) {
+        DispatchDecision decision = core.attemptFailed(request, AttemptEnd.BUSY, clock.nowNanos());
+        scheduleLoadReport();
+        execute(request, decision);
     }
 
-    private void balance() {
-        items.giveWay(time.nowNanos(), time.nowMillis())
-                .forEach(run -> itemRuns.get(run).giveWay());
+    private void dispatchItems() {
+        items.giveWay(clock.nowNanos(), clock.nowMillis())
+                .forEach(run -> itemRuns.get(run).yieldToOnline());
         List<OwnedBatch> open =
                 batches.stream().filter(batch -> batch.openItems() > 0).toList();
-        items.start(open, time.nowNanos(), time.nowMillis()).forEach(this::start);
+        items.start(open, clock.nowNanos(), clock.nowMillis()).forEach(this::start);
     }
 
     private void start(PlacedItem placed) {
         ItemRun run = new ItemRun(placed);
         itemRuns.put(placed, run);
-        changed();
-        time.after(WAY_MILLIS, run::begin);
+        scheduleLoadReport();
+        clock.schedule(ONE_WAY_LATENCY_MILLIS, run::start);
     }
 
-    private void changed() {
-        if (reporting) {
+    private void scheduleLoadReport() {
+        if (reportScheduled) {
             return;
         }
-        reporting = true;
-        time.after(REPORT_MILLIS, () -> {
-            reporting = false;
+        reportScheduled = true;
+        clock.schedule(REPORT_DELAY_MILLIS, () -> {
+            reportScheduled = false;
             Map<EndpointKey, InFlight> load = fleet.own();
-            others.forEach(host -> time.after(WAY_MILLIS, () -> host.heard(id, load)));
+            otherHosts.forEach(host -> clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> host.receiveLoadReport(id, load)));
         });
     }
 
-    private void heard(HostId from, Map<EndpointKey, InFlight> load) {
-        fleet.reported(from, load, time.nowNanos());
+    private void receiveLoadReport(HostId from, Map<EndpointKey, InFlight> load) {
+        fleet.reported(from, load, clock.nowNanos());
     }
 
     /** A run of a batch item at an endpoint. */
-    private final class ItemRun implements ReplayEndpoint.Caller {
+    private final class ItemRun implements ReplayEndpoint.AnswerListener {
         private static final int PROMPT_TOKENS = 350;
         private static final int EVENT_CHARACTERS = 70;
 
         private final PlacedItem placed;
         private final ReplayEndpoint endpoint;
         private final ReplayEndpoint.Run run;
-        private boolean over;
+        private boolean finished;
 
         ItemRun(PlacedItem placed) {
             this.placed = placed;
             this.endpoint = endpoints.get(placed.endpoint().key());
-            int length = itemEvents.get(
+            int totalEvents = eventsByItem.get(
                     placed.batch().id() + "/" + placed.item().item().id());
-            int left = length - placed.item().lastEventId().orElse(0L).intValue();
-            this.run = new ReplayEndpoint.Run(PROMPT_TOKENS, left, this);
+            int remainingEvents =
+                    totalEvents - placed.item().lastEventId().orElse(0L).intValue();
+            this.run = new ReplayEndpoint.Run(PROMPT_TOKENS, remainingEvents, this);
         }
 
-        void begin() {
-            if (!over) {
-                endpoint.take(run);
+        void start() {
+            if (!finished) {
+                endpoint.receive(run);
             }
         }
 
-        void giveWay() {
-            if (over) {
+        void yieldToOnline() {
+            if (finished) {
                 return;
             }
-            over(RunEnd.YIELDED, AttemptEnd.ABANDONED);
-            time.after(WAY_MILLIS, () -> endpoint.drop(run));
+            finish(RunEnd.YIELDED, AttemptEnd.ABANDONED);
+            clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> endpoint.cancel(run));
         }
 
         @Override
-        public void event() {
-            if (!over) {
+        public void onEvent() {
+            if (!finished) {
                 long next = placed.item().lastEventId().orElse(0L) + 1;
                 placed.item().event(Optional.of(next), "w".repeat(EVENT_CHARACTERS));
             }
         }
 
         @Override
-        public void ended() {
-            time.after(WAY_MILLIS, () -> over(RunEnd.COMPLETED, AttemptEnd.ANSWERED));
+        public void onEnd() {
+            clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> finish(RunEnd.COMPLETED, AttemptEnd.ANSWERED));
         }
 
         @Override
-        public void busy() {
-            time.after(WAY_MILLIS, () -> over(RunEnd.NOT_RUN, AttemptEnd.BUSY));
+        public void onBusy() {
+            clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> finish(RunEnd.NOT_RUN, AttemptEnd.BUSY));
         }
 
-        private void over(RunEnd end, AttemptEnd attemptEnd) {
-            if (over) {
+        private void finish(RunEnd end, AttemptEnd attemptEnd) {
+            if (finished) {
                 return;
             }
-            over = true;
+            finished = true;
             itemRuns.remove(placed);
-            items.ended(placed, end, attemptEnd, time.nowNanos());
+            items.ended(placed, end, attemptEnd, clock.nowNanos());
             if (end == RunEnd.COMPLETED) {
                 onItemDone.accept(placed.batch());
             }
-            changed();
+            scheduleLoadReport();
         }
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/replay/ServingReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ServingReplay.java
@@ -35,23 +35,23 @@
     private static final int HOSTS = 8;
     private static final int ENDPOINTS = 13;
     private static final int SLOTS = 8;
-    private static final double WAVE_MILLIS = 6000;
+    private static final double LOAD_PERIOD_MILLIS = 6000;
     private static final double TROUGH_MILLIS = 3600;
-    private static final double TROUGH_SHARE = 0.391;
-    private static final double PEAK_SHARE = 1.91;
-    private static final long DUE_MILLIS = 18_000;
+    private static final double TROUGH_RATE_FACTOR = 0.391;
+    private static final double PEAK_RATE_FACTOR = 1.91;
+    private static final long BATCH_DUE_MILLIS = 18_000;
     private static final long READ_GRACE_MILLIS = 700;
     private static final double MILLIS_PER_SECOND = 1000;
 
-    private final VirtualTime time = new VirtualTime();
+    private final VirtualClock clock = new VirtualClock();
     private final Random random;
     private final Map<EndpointKey, ReplayEndpoint> endpoints = new LinkedHashMap<>();
     private final List<ReplayHost> hosts = new ArrayList<>();
     private final List<ReplayCall> calls = new ArrayList<>();
-    private final Route stream = route(RouteKind.STREAM, "/p/", 0);
+    private final Route streamRoute = route(RouteKind.STREAM, "/p/", 0);
     private final Route batchRoute = route(RouteKind.BATCH, "/b/", 2);
-    private final double startMillis = time.nowMillis();
-    private int batches;
+    private final double startMillis = clock.nowMillis();
+    private int batchCount;
     private int items;
     private int itemsOnTime;
 
@@ -60,40 +60,40 @@
         for (int i = 0; i < ENDPOINTS; i++) {
             EndpointEntry entry = new EndpointEntry(
                     "e" + i, 1, SERVICE, new Address("10.0.0.1", 8000 + i), new AvailabilityZone("a"), SLOTS, false, 0);
-            endpoints.put(entry.key(), new ReplayEndpoint(time, entry));
+            endpoints.put(entry.key(), new ReplayEndpoint(clock, entry));
         }
-        RouteTable routes =
-                new RouteTable(new RouteConfiguration(1, List.of(stream, batchRoute), Map.of(), ClientLimits.DEFAULT));
+        RouteTable routes = new RouteTable(
+                new RouteConfiguration(1, List.of(streamRoute, batchRoute), Map.of(), ClientLimits.DEFAULT));
         for (int i = 0; i < HOSTS; i++) {
             DispatchPolicies own = policies.apply(new Random(seed * HOSTS + i));
-            hosts.add(new ReplayHost(time, i, endpoints, routes, own, this::itemDone));
+            hosts.add(new ReplayHost(clock, i, endpoints, routes, own, this::itemDone));
         }
-        hosts.forEach(host -> host.knows(hosts));
+        hosts.forEach(host -> host.setOtherHosts(hosts));
     }
 
     /** Advances the time while requests and batches arrive at the given mean rates. */
     void load(double millis, double streamsPerSecond, double batchesPerSecond) {
-        double untilMillis = time.nowMillis() + millis;
-        double nextStream = 0;
-        double nextBatch = 0;
-        while (time.nowMillis() < untilMillis) {
-            nextStream += streamsPerSecond * waveShare() / MILLIS_PER_SECOND;
-            nextBatch += batchesPerSecond / MILLIS_PER_SECOND;
-            while (nextStream > random.nextDouble()) {
-                nextStream--;
-                call();
+        double untilMillis = clock.nowMillis() + millis;
+        double expectedStreams = 0;
+        double expectedBatches = 0;
+        while (clock.nowMillis() < untilMillis) {
+            expectedStreams += streamsPerSecond * streamRateFactor() / MILLIS_PER_SECOND;
+            expectedBatches += batchesPerSecond / MILLIS_PER_SECOND;
+            while (expectedStreams > random.nextDouble()) {
+                expectedStreams--;
+                startCall();
             }
-            while (nextBatch > random.nextDouble()) {
-                nextBatch--;
-                batch();
+            while (expectedBatches > random.nextDouble()) {
+                expectedBatches--;
+                submitBatch();
             }
-            time.pass(1);
+            clock.advance(1);
         }
     }
 
     /** Advances the time without new arrivals until all work has ended. */
     void finish() {
-        time.pass(2 * DUE_MILLIS);
+        clock.advance(2 * BATCH_DUE_MILLIS);
     }
 
     ReplayHost anyHost() {
@@ -116,36 +116,36 @@
         return (int) calls.stream().filter(condition).count();
     }
 
-    private double waveShare() {
-        double inWave = (time.nowMillis() - startMillis) % WAVE_MILLIS;
-        return inWave >= TROUGH_MILLIS ? PEAK_SHARE : TROUGH_SHARE;
+    private double streamRateFactor() {
+        double millisIntoPeriod = (clock.nowMillis() - startMillis) % LOAD_PERIOD_MILLIS;
+        return millisIntoPeriod >= TROUGH_MILLIS ? PEAK_RATE_FACTOR : TROUGH_RATE_FACTOR;
     }
 
-    private void call() {
+    private void startCall() {
         double promptTokens = 150 + 600 * random.nextDouble();
         int events = (int) Math.max(5, 25 + 6 * random.nextGaussian());
-        ReplayCall call = new ReplayCall(time, this, stream, promptTokens, events);
+        ReplayCall call = new ReplayCall(clock, this, streamRoute, promptTokens, events);
         calls.add(call);
-        call.begin();
+        call.startAttempt();
     }
 
-    private void batch() {
-        String id = "b" + batches++;
-        int number = 4 + random.nextInt(13);
-        BatchRecord record =
-                new BatchRecord("h", "/b/1", "hash", "owner", "1", time.nowMillis(), 1, number, false, List.of(), 0);
+    private void submitBatch() {
+        String id = "b" + batchCount++;
+        int itemCount = 4 + random.nextInt(13);
+        BatchRecord record = new BatchRecord(
+                "h", "/b/1", "hash", "owner", "1", clock.nowMillis(), 1, itemCount, false, List.of(), 0);
         List<BatchItem> list = new ArrayList<>();
         List<Integer> events = new ArrayList<>();
-        for (int i = 0; i < number; i++) {
+        for (int i = 0; i < itemCount; i++) {
             list.add(new BatchItem("i" + i, "/b/1/" + i, Map.of(), new byte[0], 100));
             events.add(130 + random.nextInt(87));
         }
-        items += number;
-        anyHost().own(new OwnedBatch(id, record, 1, list, List.of()), events);
+        items += itemCount;
+        anyHost().addBatch(new OwnedBatch(id, record, 1, list, List.of()), events);
     }
 
     private void itemDone(OwnedBatch batch) {
-        long lateMillis = time.nowMillis() - batch.record().acceptedAtMillis() - DUE_MILLIS;
+        long lateMillis = clock.nowMillis() - batch.record().acceptedAtMillis() - BATCH_DUE_MILLIS;
         itemsOnTime += lateMillis <= READ_GRACE_MILLIS ? 1 : 0;
     }
 
@@ -164,7 +164,7 @@
                 true,
                 true,
                 200,
-                batch ? DUE_MILLIS : 0,
+                batch ? BATCH_DUE_MILLIS : 0,
                 batch ? 60_000 : 0);
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/replay/VirtualTime.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/VirtualClock.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /** A virtual clock that runs scheduled actions in the order of their times; of equal times, in scheduling order. */
-final class VirtualTime {
-    private final PriorityQueue<Planned> planned = new PriorityQueue<>();
+final class VirtualClock {
+    private final PriorityQueue<ScheduledAction> scheduledActions = new PriorityQueue<>();
     private long nowNanos = TimeUnit.SECONDS.toNanos(1000);
-    private long number;
+    private long nextSequence;
 
     long nowNanos() {
         return nowNanos;
@@ -17,16 +17,16 @@
         return TimeUnit.NANOSECONDS.toMillis(nowNanos);
     }
 
-    void after(double millis, Runnable action) {
+    void schedule(double millis, Runnable action) {
         long atNanos = nowNanos + (long) (millis * TimeUnit.MILLISECONDS.toNanos(1));
-        planned.add(new Planned(atNanos, number++, action));
+        scheduledActions.add(new ScheduledAction(atNanos, nextSequence++, action));
     }
 
     /** Advances the time and runs the actions that become due. */
-    void pass(double millis) {
+    void advance(double millis) {
         long untilNanos = nowNanos + (long) (millis * TimeUnit.MILLISECONDS.toNanos(1));
-        while (!planned.isEmpty() && planned.peek().atNanos <= untilNanos) {
-            Planned next = planned.poll();
+        while (!scheduledActions.isEmpty() && scheduledActions.peek().atNanos <= untilNanos) {
+            ScheduledAction next = scheduledActions.poll();
             nowNanos = next.atNanos;
             next.action.run();
         }
@@ -34,11 +34,12 @@
     }
 
     /** An action and the time at which it is due. */
-    private record Planned(long atNanos, long number, Runnable action) implements Comparable<Planned> {
+    private record ScheduledAction(long atNanos, long sequence, Runnable action)
+            implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Planned other) {
+        public int compareTo(ScheduledAction other) {
             int byTime = Long.compare(atNanos, other.atNanos);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 }
