--- a/src/main/java/org/gooseberryhill/decision/job/EarliestDeadlineFairOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/job/EarliestDeadlineFairOrder.java
@@ -8,9 +8,9 @@
  * Prefers jobs that may miss their due time, earliest due time first, and otherwise shares fairly among callers.
  * Stateless.
  *
- * <p>A job is urgent if its remaining items, at its present throughput, need more than half of the time until it is due.
- * If no job is urgent, the caller with the fewest items in flight comes first, so that one caller's large job does not
- * keep the others waiting for a day.
+ * <p>A job is urgent if its remaining items, at its present throughput, need more than half of the time until it is
+ * due. If no job is urgent, the caller with the fewest items in flight comes first, so that one caller's large job does
+ * not keep the others waiting for a day.
  */
 public final class EarliestDeadlineFairOrder implements DispatchOrder {
     private static final double URGENT_SHARE = 0.5;
--- a/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
@@ -16,8 +16,8 @@
 
     /**
      * Number of crashes after which the item has failed permanently. It is one more than for online requests: their
-     * refusal ends after some time, while this failure is final, and an item may by chance be running at two crashes that
-     * another item caused.
+     * refusal ends after some time, while this failure is final, and an item may by chance be running at two crashes
+     * that another item caused.
      */
     private static final int MAX_CRASHES = 3;
 
--- a/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
@@ -194,9 +194,9 @@
     /**
      * Reclaims items that were handed out to a steward more than the given time ago but that the steward does not hold.
      *
-     * <p>This happens if the answer that carried the items, or the report on the end of a run, was lost. Nobody runs such
-     * an item, and without this method the job would wait for it until the hand-out times out. The minimum age excludes
-     * messages that are still on their way.
+     * <p>This happens if the answer that carried the items, or the report on the end of a run, was lost. Nobody runs
+     * such an item, and without this method the job would wait for it until the hand-out times out. The minimum age
+     * excludes messages that are still on their way.
      */
     public void takeBackMissing(HostId steward, Set<Long> held, long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
--- a/src/main/java/org/gooseberryhill/decision/membership/Membership.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/Membership.java
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Advances the protocol to the given time: probes one peer per period and moves peers that do not answer to {@link
-     * HostState#SUSPECT} and on to {@link HostState#DEAD}.
+     * Advances the protocol to the given time: probes one peer per period, turns peers that do not answer into suspects
+     * and considers suspects dead that do not refute in time.
      */
     public void tick(long nowNanos, MembershipCommands commands) {
         peers.values().forEach(peer -> updateState(peer, nowNanos, commands));
@@ -89,9 +89,9 @@
     /**
      * Probes suspects repeatedly until their suspicion time has passed; a single answer clears the suspicion.
      *
-     * <p>Without this, a live host could be declared dead: a few messages lost in a row make it a suspect, and the rumor
-     * that would let it refute can be lost too. Every host that suspects a peer probes it. Suspects are few, so the cost
-     * stays flat.
+     * <p>Without this, a live host could be declared dead: a few messages lost in a row make it a suspect, and the
+     * rumor that would let it refute can be lost too. Every host that suspects a peer probes it. Suspects are few, so
+     * the cost stays flat.
      */
     private void probeSuspects(long nowNanos, MembershipCommands commands) {
         for (Peer peer : peers.values()) {
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationInForceTest.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationInForceTest.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * An invalid text was written without the command line's validation: the last valid one stays active and the findings
-     * are kept.
+     * An invalid text was written without the command line's validation: the last valid one stays active and the
+     * findings are kept.
      */
     @Test
     void anInvalidTextIsNotApplied() {
@@ -38,7 +38,8 @@
     }
 
     /**
-     * Texts arrive by watch, push, heartbeat and read, late, twice and out of order; the greatest revision stays active.
+     * Texts arrive by watch, push, heartbeat and read, late, twice and out of order; the greatest revision stays
+     * active.
      */
     @Property(seed = "20261203")
     void inWhateverOrderTextsAreOfferedTheGreatestRevisionIsActive(@ForAll long seed) {
--- a/src/test/java/org/gooseberryhill/decision/job/IntakeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/IntakeTest.java
@@ -17,8 +17,9 @@
     private static final String KEY = "job";
 
     /**
-     * The same job is submitted through several hosts at once, together with another body under the same id, while answers
-     * are lost. All accepted submissions must be the same job, and the other body must never be mistaken for it.
+     * The same job is submitted through several hosts at once, together with another body under the same id, while
+     * answers are lost. All accepted submissions must be the same job, and the other body must never be mistaken for
+     * it.
      */
     @Property(seed = "20261203")
     void allAcceptedSubmissionsOfAnIdAreTheSameJob(@ForAll long seed) {
--- a/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * An item yields to online requests repeatedly: it continues from the partial text, and the runs do not count as failed
-     * attempts.
+     * An item yields to online requests repeatedly: it continues from the partial text, and the runs do not count as
+     * failed attempts.
      */
     @Test
     void aYieldedItemContinuesFromItsPartialText() {
@@ -74,8 +74,8 @@
     }
 
     /**
-     * An endpoint cannot continue the item from its partial text: the next attempt starts from scratch instead of failing
-     * in the same way.
+     * An endpoint cannot continue the item from its partial text: the next attempt starts from scratch instead of
+     * failing in the same way.
      */
     @Test
     void aFailedItemStartsFromScratch() {
@@ -118,8 +118,8 @@
     }
 
     /**
-     * The host lost its claim and regained it. The numbers of hand-outs start again from the beginning, so a report under
-     * the earlier claim must not match one of them.
+     * The host lost its claim and regained it. The numbers of hand-outs start again from the beginning, so a report
+     * under the earlier claim must not match one of them.
      */
     @Test
     void aReportUnderAnEarlierClaimHasNoEffect() {
--- a/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
@@ -83,8 +83,8 @@
     }
 
     /**
-     * One of three hosts is lost during an outage of the key-value store, so that its key stays. The two remaining hosts
-     * hear each other and are a majority.
+     * One of three hosts is lost during an outage of the key-value store, so that its key stays. The two remaining
+     * hosts hear each other and are a majority.
      */
     @Test
     void aListedHostThatIsSilentForLongIsLostWhileMostAreHeard() {
@@ -139,8 +139,8 @@
     }
 
     /**
-     * A host starts while it cannot reach the key-value store. It is on nobody's list, so it receives no reports, and it
-     * could never register if it asked only hosts that it has heard to call the store for it.
+     * A host starts while it cannot reach the key-value store. It is on nobody's list, so it receives no reports, and
+     * it could never register if it asked only hosts that it has heard to call the store for it.
      */
     @Test
     void aHostThatNobodyKnowsYetAsksTheListedOnesForHelp() {
--- a/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * The endpoint ignores fencing tokens and the old holder was paused with an order on its way. The new holder must not
-     * send an order until the old one has arrived or can no longer arrive.
+     * The endpoint ignores fencing tokens and the old holder was paused with an order on its way. The new holder must
+     * not send an order until the old one has arrived or can no longer arrive.
      */
     @Test
     void withoutFencesTheNewHolderWaitsOutTheOldLeaseAndTheLongestOrder() {
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Hosts hold the claim in turn. Each may be paused after it has decided to send, so that its order arrives up to the
-     * longest duration of an order later. At an endpoint that ignores fencing tokens, orders must still arrive in the
-     * sequence of the claims.
+     * Hosts hold the claim in turn. Each may be paused after it has decided to send, so that its order arrives up to
+     * the longest duration of an order later. At an endpoint that ignores fencing tokens, orders must still arrive in
+     * the sequence of the claims.
      */
     @Property(seed = "20261203")
     void withoutFencesOrdersArriveInTheSequenceOfTheClaims(@ForAll long seed) {
--- a/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Long bursts exceed the capacity of the slots. If requests may wait for twice their target latency, all requests of a
-     * load peak wait and most are late. If those that would wait for long are refused, the others are on time, and most
-     * of the refused ones are served when they retry in the following trough.
+     * Long bursts exceed the capacity of the slots. If requests may wait for twice their target latency, all requests
+     * of a load peak wait and most are late. If those that would wait for long are refused, the others are on time, and
+     * most of the refused ones are served when they retry in the following trough.
      */
     @Test
     void inLongBurstsMoreStreamsAreOnTimeIfNoneWaitsForLong() {
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Callers that are all told the same retry time come back together, in the load peak that caused their refusal, and are
-     * refused a second time.
+     * Callers that are all told the same retry time come back together, in the load peak that caused their refusal, and
+     * are refused a second time.
      */
     @Test
     void callersWithIndividualRetryTimesAreSeldomRefusedTwice() {
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayCall.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayCall.java
@@ -5,8 +5,8 @@
 import org.gooseberryhill.route.Route;
 
 /**
- * A caller's streamed request with its attempts. After a refusal the caller retries once, at a random host and after the
- * time that it was told, but it waits no longer than a third of the time that is left until its deadline.
+ * A caller's streamed request with its attempts. After a refusal the caller retries once, at a random host and after
+ * the time that it was told, but it waits no longer than a third of the time that is left until its deadline.
  */
 final class ReplayCall {
     private static final double MAX_WAIT_SHARE_OF_REMAINING_TIME = 1.0 / 3;
