--- a/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
@@ -6,17 +6,18 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * One item of an open chunk. Not thread-safe.
+ * The state of one item of a chunk that is in memory. Not thread-safe.
  *
- * <p>Invariant: it gets one completion; reports of hand-outs other than the latest change nothing.
+ * <p>Invariant: an item gets one completion; reports of hand-outs other than the latest have no effect.
  */
 final class ItemSlot {
-    /** Tries that end in an error before the item has failed for good. */
+    /** Number of attempts that end in an error after which the item has failed permanently. */
     private static final int MAX_FAILURES = 3;
 
     /**
-     * Crashes before the item has failed for good. One more than for online requests: there the refusal ends after
-     * a time, here it is final, and an innocent item may share two crashes with a guilty one by bad luck.
+     * Number of crashes after which the item has failed permanently. It is one more than for online requests: their
+     * refusal ends after some time, while this failure is final, and an item may by chance be running at two crashes
+     * that another item caused.
      */
     private static final int MAX_CRASHES = 3;
 
@@ -36,7 +37,7 @@
         this.body = body;
     }
 
-    /** When the item may run again; empty if at once. */
+    /** Returns the time before which the item must not run again; empty if it may run immediately. */
     Optional<Long> notBeforeNanos() {
         return notBeforeNanos;
     }
@@ -69,11 +70,11 @@
         return crashes > 0;
     }
 
-    double ranMillis(long nowNanos) {
+    double millisSinceHandOut(long nowNanos) {
         return (double) (nowNanos - handedOutNanos) / TimeUnit.MILLISECONDS.toNanos(1);
     }
 
-    boolean isOlderThan(long ageNanos, long nowNanos) {
+    boolean isHandedOutLongerThan(long ageNanos, long nowNanos) {
         return nowNanos - handedOutNanos > ageNanos;
     }
 
@@ -84,13 +85,13 @@
         return new WorkItem(job, index, fence, number, body, partial, partialTokens, isSuspect());
     }
 
-    /** The steward that had it is lost, or had it for too long: it waits again. */
-    void takeBack() {
+    /** Ends the current hand-out without a report, because its steward is lost or has had the item for too long. */
+    void endHandOut() {
         holder = Optional.empty();
     }
 
-    /** Takes in a report; returns whether it belonged to the latest hand-out. */
-    boolean report(ItemOutcome outcome, long nowNanos, long backoffNanos) {
+    /** Applies a report and returns whether it belonged to the latest hand-out. */
+    boolean applyReport(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         if (holder.isEmpty() || outcome.handout() != handout) {
             return false;
         }
@@ -98,12 +99,12 @@
         notBeforeNanos = Optional.empty();
         switch (outcome.end()) {
             case COMPLETED -> completion = Optional.of(succeededLine(outcome));
-            case REJECTED -> fail(outcome.index(), "rejected", outcome.text());
+            case REJECTED -> completeAsFailed(outcome.index(), "rejected", outcome.text());
             case YIELDED -> keepPartial(outcome);
-            case CRASHED -> crashed(outcome, nowNanos, backoffNanos);
-            case FAILED -> failedOnce(outcome, nowNanos, backoffNanos);
+            case CRASHED -> recordCrash(outcome, nowNanos, backoffNanos);
+            case FAILED -> recordFailure(outcome, nowNanos, backoffNanos);
             case NOT_RUN -> notBeforeNanos = Optional.of(nowNanos + backoffNanos);
-            default -> throw new IllegalStateException("unknown end " + outcome.end());
+            default -> throw new IllegalStateException("unknown end of a run: " + outcome.end());
         }
         return true;
     }
@@ -115,26 +116,27 @@
         }
     }
 
-    private void crashed(ItemOutcome outcome, long nowNanos, long backoffNanos) {
+    private void recordCrash(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         crashes++;
         notBeforeNanos = Optional.of(nowNanos + backoffNanos);
         if (crashes >= MAX_CRASHES) {
-            fail(outcome.index(), "crashed-endpoints", "each of " + crashes + " endpoints that ran it crashed");
+            completeAsFailed(
+                    outcome.index(), "crashed-endpoints", "each of " + crashes + " endpoints that ran it crashed");
         }
     }
 
-    private void failedOnce(ItemOutcome outcome, long nowNanos, long backoffNanos) {
+    private void recordFailure(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         failures++;
-        // It may have failed because of what it was to be continued from: the next try begins anew.
+        // The partial text to continue from may have caused the failure, so the next attempt starts from scratch.
         partial = "";
         partialTokens = 0;
         notBeforeNanos = Optional.of(nowNanos + backoffNanos * failures);
         if (failures >= MAX_FAILURES) {
-            fail(outcome.index(), "endpoint-failed", outcome.text());
+            completeAsFailed(outcome.index(), "endpoint-failed", outcome.text());
         }
     }
 
-    private void fail(int index, String code, String message) {
+    private void completeAsFailed(int index, String code, String message) {
         failedForGood = true;
         completion = Optional.of(Json.text(Json.object()
                 .put("index", index)
--- a/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
@@ -16,41 +16,50 @@
 import org.gooseberryhill.host.Role;
 
 /**
- * Which other hosts live, by the list that the key-value store keeps under their leases and by what they report. Not
- * thread-safe.
+ * Tracks which other hosts are alive, from the host list in the key-value store, where each host is registered under
+ * its lease, and from the reports that hosts send each other. Not thread-safe.
  *
- * <p>Neither source is enough: keys lapse while the store is away and their hosts live on, and keys outlive their hosts by
- * a lease, or by an outage. Invariants: a host that is heard lives, whatever the list says; one that lapsed from the list
- * counts only as long as it is heard; one that is listed and silent for long counts as lost only while most others are
- * heard, since a host that hears few of them is cut off itself, or has just woken. Hosts with a disk report nothing:
- * for them the list holds.
+ * <p>Neither source is sufficient. Keys expire during an outage of the store although their hosts are alive, and keys
+ * outlive their hosts by up to a lease, or by the length of an outage. Invariants:
+ *
+ * <ul>
+ *   <li>A host that has reported recently is alive, whatever the list says.
+ *   <li>A host that has disappeared from the list counts as alive only while its reports keep arriving.
+ *   <li>A listed host that has been silent for long counts as lost only while a majority of the hosts is heard: a host
+ *       that hears only a minority is itself partitioned, or has just resumed from a suspension.
+ * </ul>
+ *
+ * <p>Store hosts send no reports; for them the list alone decides.
  */
 public final class HostRoster {
-    /** A host that was not heard for this long is not asked for help: hosts report each second, and three are missing. */
-    private static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(3500);
+    /**
+     * Silence after which a host is no longer asked for help. Hosts report each second, so three reports are missing
+     * by then.
+     */
+    private static final long SILENT_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(3500);
 
-    /** A host that was not heard for this long does not live: as long as a lease, and five reports are missing. */
-    private static final long LOST_NANOS = TimeUnit.MILLISECONDS.toNanos(5000);
+    /** Silence after which a host counts as lost: the length of a lease, by which five reports are missing. */
+    private static final long LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(5000);
 
     private final HostId self;
-    private final String selfStart;
-    private final Map<HostId, Heard> heard = new HashMap<>();
-    private final Set<HostId> toldSilent = new HashSet<>();
-    private final Map<HostId, ListedHost> lapsed = new HashMap<>();
-    private Map<HostId, ListedHost> listed = Map.of();
+    private final String selfProcessStart;
+    private final Map<HostId, LastReport> lastReports = new HashMap<>();
+    private final Set<HostId> reportedSilent = new HashSet<>();
+    private final Map<HostId, ListedHost> lapsedHosts = new HashMap<>();
+    private Map<HostId, ListedHost> listedHosts = Map.of();
     private List<Host> stores = List.of();
 
     /**
-     * A roster that knows nobody yet.
+     * Creates a roster without other hosts.
      *
-     * @param selfStart tells this host's process from an earlier one
+     * @param selfProcessStart distinguishes this host's process from earlier processes on it
      */
-    public HostRoster(HostId self, String selfStart) {
+    public HostRoster(HostId self, String selfProcessStart) {
         this.self = self;
-        this.selfStart = selfStart;
+        this.selfProcessStart = selfProcessStart;
     }
 
-    /** Takes in the list of live hosts. */
+    /** Replaces the list of live hosts with a new reading from the key-value store. */
     public void listed(Collection<ListedHost> live, long nowNanos) {
         Map<HostId, ListedHost> others = new LinkedHashMap<>();
         live.stream()
@@ -61,56 +70,56 @@
                 .map(ListedHost::host)
                 .filter(host -> host.role() == Role.STORE)
                 .toList();
-        lapsed.putAll(known(nowNanos));
-        lapsed.keySet().removeAll(others.keySet());
-        listed = others;
+        lapsedHosts.putAll(knownHosts(nowNanos));
+        lapsedHosts.keySet().removeAll(others.keySet());
+        listedHosts = others;
     }
 
-    /** A host's report came. */
-    public void heard(HostId from, HostSign sign, long nowNanos) {
-        heard.put(from, new Heard(sign, nowNanos));
+    /** Records a report from a host. */
+    public void heard(HostId from, HostSign report, long nowNanos) {
+        lastReports.put(from, new LastReport(report, nowNanos));
     }
 
-    /** A host answered. */
+    /** Records an answer from a host; it counts as a sign of life if the host has reported before. */
     public void answered(HostId from, long nowNanos) {
-        heard.computeIfPresent(from, (host, last) -> new Heard(last.sign, nowNanos));
+        lastReports.computeIfPresent(from, (host, last) -> new LastReport(last.report, nowNanos));
     }
 
-    /** The hosts that have been silent for too long, each named once. */
+    /** Returns the hosts that have become silent, each once until it is heard again. */
     public List<HostId> takeSilent(long nowNanos) {
-        List<HostId> silent = heard.entrySet().stream()
-                .filter(entry -> !entry.getValue().isFresh(nowNanos) && toldSilent.add(entry.getKey()))
+        List<HostId> silent = lastReports.entrySet().stream()
+                .filter(entry -> !entry.getValue().isFresh(nowNanos) && reportedSilent.add(entry.getKey()))
                 .map(Map.Entry::getKey)
                 .toList();
-        toldSilent.removeIf(host -> isHeard(host, sign -> true, nowNanos));
-        lapsed.keySet().removeAll(toldSilent);
-        heard.keySet().removeIf(host -> toldSilent.contains(host) && !listed.containsKey(host));
-        toldSilent.retainAll(heard.keySet());
+        reportedSilent.removeIf(host -> isHeard(host, report -> true, nowNanos));
+        lapsedHosts.keySet().removeAll(reportedSilent);
+        lastReports.keySet().removeIf(host -> reportedSilent.contains(host) && !listedHosts.containsKey(host));
+        reportedSilent.retainAll(lastReports.keySet());
         return silent;
     }
 
-    /** The process of each host, this one too, that is known to live now, by host. */
+    /** Returns the process starts of all hosts that are alive now, this one included, by host id. */
     public Map<String, String> liveStarts(long nowNanos) {
         Map<String, String> starts = new HashMap<>();
-        boolean mostAreHeard = areMostHeard(nowNanos);
-        known(nowNanos).forEach((id, entry) -> {
-            if (!(mostAreHeard && isLongSilent(id, nowNanos))) {
+        boolean majorityHeard = isMajorityHeard(nowNanos);
+        knownHosts(nowNanos).forEach((id, entry) -> {
+            if (!(majorityHeard && isLongSilent(id, nowNanos))) {
                 starts.put(id.value(), entry.processStart());
             }
         });
-        heard.forEach((id, last) -> {
+        lastReports.forEach((id, last) -> {
             if (last.isFresh(nowNanos)) {
-                starts.put(id.value(), last.sign.processStart());
+                starts.put(id.value(), last.report.processStart());
             }
         });
-        starts.put(self.value(), selfStart);
+        starts.put(self.value(), selfProcessStart);
         return starts;
     }
 
-    /** The other hosts that serve callers. */
+    /** Returns the other gateways that are listed, or were listed and are still heard. */
     public List<Host> gateways(long nowNanos) {
         List<Host> gateways = new ArrayList<>();
-        for (ListedHost entry : known(nowNanos).values()) {
+        for (ListedHost entry : knownHosts(nowNanos).values()) {
             if (entry.host().role() == Role.GATEWAY) {
                 gateways.add(entry.host());
             }
@@ -118,28 +127,29 @@
         return gateways;
     }
 
-    /** The hosts with a disk. */
+    /** Returns the listed store hosts. */
     public List<Host> stores() {
         return stores;
     }
 
-    /** The other gateways that were heard lately and are not stopping. */
+    /** Returns the other gateways that were heard recently and are not stopping. */
     public List<Host> staying(long nowNanos) {
-        return heardGateways(sign -> !sign.leaving(), nowNanos);
+        return heardGateways(report -> !report.leaving(), nowNanos);
     }
 
     /**
-     * The other gateways that may call the key-value store for this host: those that reach it, or all that are listed while
-     * none was heard. A host that starts while the store turns it away is known to nobody and hears nothing.
+     * Returns the other gateways that may call the key-value store on behalf of this host: those that reach the store,
+     * or all known gateways while none has been heard. The fallback serves a host that starts while it cannot reach the
+     * store: it is on nobody's list yet and therefore receives no reports.
      */
     public List<Host> reachingStore(long nowNanos) {
-        boolean noneIsHeard = heardGateways(sign -> true, nowNanos).isEmpty();
+        boolean noneIsHeard = heardGateways(report -> true, nowNanos).isEmpty();
         return noneIsHeard ? gateways(nowNanos) : heardGateways(HostSign::storeReached, nowNanos);
     }
 
-    /** A host that is listed, or lapsed and heard. */
+    /** Returns a host, other than a store host, that is listed, or was listed and is still heard. */
     public Optional<Host> find(HostId id, long nowNanos) {
-        return Optional.ofNullable(known(nowNanos).get(id)).map(ListedHost::host);
+        return Optional.ofNullable(knownHosts(nowNanos).get(id)).map(ListedHost::host);
     }
 
     private List<Host> heardGateways(Predicate<HostSign> condition, long nowNanos) {
@@ -148,44 +158,44 @@
                 .toList();
     }
 
-    /** The hosts on the list, and those that lapsed from it and are heard. */
-    private Map<HostId, ListedHost> known(long nowNanos) {
-        if (lapsed.isEmpty()) {
-            return listed;
+    /** Returns the listed hosts and those that have disappeared from the list but are still heard. */
+    private Map<HostId, ListedHost> knownHosts(long nowNanos) {
+        if (lapsedHosts.isEmpty()) {
+            return listedHosts;
         }
-        Map<HostId, ListedHost> known = new LinkedHashMap<>(listed);
-        lapsed.forEach((id, entry) -> {
-            Predicate<HostSign> samePresent =
-                    sign -> !sign.leaving() && sign.processStart().equals(entry.processStart());
-            if (isHeard(id, samePresent, nowNanos)) {
+        Map<HostId, ListedHost> known = new LinkedHashMap<>(listedHosts);
+        lapsedHosts.forEach((id, entry) -> {
+            Predicate<HostSign> sameProcessStaying =
+                    report -> !report.leaving() && report.processStart().equals(entry.processStart());
+            if (isHeard(id, sameProcessStaying, nowNanos)) {
                 known.putIfAbsent(id, entry);
             }
         });
         return known;
     }
 
-    private boolean areMostHeard(long nowNanos) {
-        long fresh = listed.keySet().stream()
-                .filter(id -> isHeard(id, sign -> true, nowNanos))
+    private boolean isMajorityHeard(long nowNanos) {
+        long heardCount = listedHosts.keySet().stream()
+                .filter(id -> isHeard(id, report -> true, nowNanos))
                 .count();
-        int allHosts = listed.size() + 1;
-        return (fresh + 1) * 2 > allHosts;
+        int hostCount = listedHosts.size() + 1;
+        return (heardCount + 1) * 2 > hostCount;
     }
 
     private boolean isLongSilent(HostId id, long nowNanos) {
-        Heard last = heard.get(id);
-        return last != null && nowNanos - last.atNanos >= LOST_NANOS;
+        LastReport last = lastReports.get(id);
+        return last != null && nowNanos - last.heardAtNanos >= LOST_AFTER_NANOS;
     }
 
     private boolean isHeard(HostId id, Predicate<HostSign> condition, long nowNanos) {
-        Heard last = heard.get(id);
-        return last != null && last.isFresh(nowNanos) && condition.test(last.sign);
+        LastReport last = lastReports.get(id);
+        return last != null && last.isFresh(nowNanos) && condition.test(last.report);
     }
 
-    /** What was last heard of a host. */
-    private record Heard(HostSign sign, long atNanos) {
+    /** The latest report of a host and when the host was last heard. */
+    private record LastReport(HostSign report, long heardAtNanos) {
         boolean isFresh(long nowNanos) {
-            return nowNanos - atNanos < SILENT_NANOS;
+            return nowNanos - heardAtNanos < SILENT_AFTER_NANOS;
         }
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
@@ -12,42 +12,42 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointOrdersTest {
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final OrderSettings SETTINGS = new OrderSettings(5000, 2000);
     private static final ModelHolding OLD = new ModelHolding("m", "1", List.of());
     private static final ModelHolding NEW = new ModelHolding("m", "2", List.of());
 
     @Test
-    void anEndpointThatHoldsWhatItShallGetsNoOrder() {
+    void anEndpointThatHoldsTheWantedModelGetsNoOrder() {
         EndpointOrders orders = new EndpointOrders(SETTINGS, true);
 
-        assertThat(orders.next(Optional.of(NEW), NEW, true, 0)).isInstanceOf(OrderStep.Rest.class);
+        assertThat(orders.next(Optional.of(NEW), NEW, true, 0)).isInstanceOf(OrderStep.Idle.class);
     }
 
     @Test
-    void anOrderCarriesTheClaimAsItsFenceAndOneIsOnItsWayAtATime() {
+    void anOrderCarriesTheClaimAsItsFenceAndOnlyOneIsInFlight() {
         EndpointOrders orders = new EndpointOrders(SETTINGS, true);
         assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isInstanceOf(OrderStep.Claim.class);
         orders.claimed(Optional.of(17L), 0);
 
         assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isEqualTo(new OrderStep.Send(17, NEW));
-        assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isInstanceOf(OrderStep.Rest.class);
+        assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isInstanceOf(OrderStep.Idle.class);
         orders.orderEnded();
         assertThat(orders.next(Optional.of(OLD), NEW, true, 0)).isInstanceOf(OrderStep.Send.class);
     }
 
     @Test
-    void noOrderIsSentWhileTheLeaseIsInDoubt() {
+    void noOrderIsSentWhileTheLeaseIsNotUsable() {
         EndpointOrders orders = new EndpointOrders(SETTINGS, true);
         orders.next(Optional.of(OLD), NEW, true, 0);
         orders.claimed(Optional.of(17L), 0);
 
-        assertThat(orders.next(Optional.of(OLD), NEW, false, 0)).isInstanceOf(OrderStep.Rest.class);
+        assertThat(orders.next(Optional.of(OLD), NEW, false, 0)).isInstanceOf(OrderStep.Idle.class);
     }
 
     /**
-     * The engine ignores fences. The old holder was paused with an order on its way; the new one must not order before
-     * that order has arrived or never will.
+     * The endpoint ignores fencing tokens and the old holder was paused with an order on its way. The new holder must
+     * not send an order until the old one has arrived or can no longer arrive.
      */
     @Test
     void withoutFencesTheNewHolderWaitsOutTheOldLeaseAndTheLongestOrder() {
@@ -55,16 +55,19 @@
         orders.next(Optional.of(OLD), NEW, true, 0);
         orders.claimed(Optional.of(17L), 0);
 
-        assertThat(orders.next(Optional.of(OLD), NEW, true, 6900 * MILLI)).isInstanceOf(OrderStep.Rest.class);
-        assertThat(orders.next(Optional.of(OLD), NEW, true, 7100 * MILLI)).isInstanceOf(OrderStep.Send.class);
+        assertThat(orders.next(Optional.of(OLD), NEW, true, 6900 * NANOS_PER_MILLI))
+                .isInstanceOf(OrderStep.Idle.class);
+        assertThat(orders.next(Optional.of(OLD), NEW, true, 7100 * NANOS_PER_MILLI))
+                .isInstanceOf(OrderStep.Send.class);
     }
 
     /**
-     * Holders follow one another; each may be paused after it decided to send, so that its order arrives up to the
-     * longest time later. At an engine that ignores fences, orders must still arrive in the order of the claims.
+     * Hosts hold the claim in turn. Each may be paused after it has decided to send, so that its order arrives up to
+     * the longest duration of an order later. At an endpoint that ignores fencing tokens, orders must still arrive in
+     * the sequence of the claims.
      */
     @Property(seed = "20261203")
-    void withoutFencesOrdersArriveInTheOrderOfTheClaims(@ForAll long seed) {
+    void withoutFencesOrdersArriveInTheSequenceOfTheClaims(@ForAll long seed) {
         Random random = new Random(seed);
         List<long[]> arrivals = new ArrayList<>();
         long claimedAt = 0;
@@ -72,14 +75,15 @@
             EndpointOrders holder = new EndpointOrders(SETTINGS, false);
             holder.next(Optional.of(OLD), NEW, true, claimedAt);
             holder.claimed(Optional.of(fence), claimedAt);
-            long leaseUntil = claimedAt + SETTINGS.leaseMillis() * MILLI + random.nextInt(20_000) * MILLI;
-            for (long now = claimedAt; now < leaseUntil; now += 500 * MILLI) {
+            long leaseUntil =
+                    claimedAt + SETTINGS.leaseMillis() * NANOS_PER_MILLI + random.nextInt(20_000) * NANOS_PER_MILLI;
+            for (long now = claimedAt; now < leaseUntil; now += 500 * NANOS_PER_MILLI) {
                 if (holder.next(Optional.of(OLD), NEW, true, now) instanceof OrderStep.Send) {
-                    arrivals.add(new long[] {now + random.nextInt(2000) * MILLI, fence});
+                    arrivals.add(new long[] {now + random.nextInt(2000) * NANOS_PER_MILLI, fence});
                     holder.orderEnded();
                 }
             }
-            // The lease may be given back early or lapse; the next claim can come as soon as it is gone.
+            // The lease may be released early or expire; the next claim can succeed as soon as the lease has ended.
             claimedAt = leaseUntil;
         }
         arrivals.sort((one, other) -> Long.compare(one[0], other[0]));
