--- a/src/main/java/org/gooseberryhill/control/ControlLoop.java
+++ b/src/main/java/org/gooseberryhill/control/ControlLoop.java
@@ -17,13 +17,15 @@
 import org.gooseberryhill.logging.Logs;
 
 /**
- * Runs tasks one after the other on one thread, fed through a Disruptor ring. Thread-safe.
+ * Runs tasks sequentially on a single thread, which takes them from a Disruptor ring buffer. Thread-safe.
  *
- * <p>Invariant: all control state of a process is touched only by tasks of its loop, so the decision core needs no
- * locks. A task that throws is logged and does not end the loop.
+ * <p>Invariant: the control state of a process is accessed only by tasks of its loop, so the decision core needs no
+ * locks. An exception thrown by a task is logged and does not end the loop.
  */
 public final class ControlLoop implements Executor, Closeable {
-    /** Events that may wait; a full ring holds traffic threads back instead of growing without bound. */
+    /**
+     * Maximum number of queued tasks; a full ring blocks the publishing I/O threads instead of growing without bound.
+     */
     private static final int RING_SIZE = 1 << 14;
 
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
@@ -36,7 +38,7 @@
     private volatile Thread loopThread;
     private volatile boolean closed;
 
-    /** Starts a loop whose thread carries a name. */
+    /** Starts a loop; the name is the prefix of its thread's name. */
     public ControlLoop(String name) {
         ThreadFactory loopFactory = task -> {
             loopThread = new Thread(task, name + "-control");
@@ -49,19 +51,19 @@
         disruptor.start();
     }
 
-    /** The monotonic time in nanoseconds that all decisions of this process use. */
+    /** Returns the monotonic time in nanoseconds on which all decisions of this process are based. */
     public long nowNanos() {
         return System.nanoTime();
     }
 
-    /** Runs a task on the loop's thread, after the tasks before it. A closed loop drops it. */
+    /** Runs a task on the loop's thread after the tasks queued before it. A closed loop discards the task. */
     @Override
     public void execute(Runnable task) {
         if (closed) {
             return;
         }
-        // A task of the loop itself must not wait for room in the ring that only the loop can make: it would wait
-        // for ever. Such tasks wait in a queue of the loop's own and run right after the present one.
+        // Publishing from the loop's own thread to a full ring would deadlock, since only this thread frees slots.
+        // Tasks submitted by a task therefore go to a separate queue and run right after the current task.
         if (Thread.currentThread() == loopThread) {
             ownTasks.add(task);
             return;
@@ -75,7 +77,7 @@
         execute(() -> timers.add(dueNanos, task));
     }
 
-    /** Runs a task on the loop's thread again and again, with a pause in milliseconds between two runs. */
+    /** Runs a task on the loop's thread repeatedly, with a pause in milliseconds before each run. */
     public void every(long pauseMillis, Runnable task) {
         after(pauseMillis, () -> {
             runGuarded(task);
@@ -89,7 +91,7 @@
         try {
             disruptor.shutdown(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (com.lmax.disruptor.TimeoutException e) {
-            LOG.get().warn("the control thread was still busy at the end");
+            LOG.get().warn("control thread did not stop within {} s; halting it", SHUTDOWN_TIMEOUT_SECONDS);
             disruptor.halt();
         }
     }
@@ -113,11 +115,11 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.get().error("a control task failed", e);
+            LOG.get().error("control task failed", e);
         }
     }
 
-    /** Runs what comes through the ring, and timers between. */
+    /** Runs the tasks of the ring, and due timers between batches of tasks and on time-outs. */
     private final class TaskHandler implements EventHandler<TaskEvent> {
         @Override
         public void onEvent(TaskEvent event, long sequence, boolean endOfBatch) {
@@ -135,7 +137,7 @@
         }
     }
 
-    /** A slot of the ring. */
+    /** A slot of the ring buffer. */
     private static final class TaskEvent {
         private Runnable task;
     }
--- a/src/main/java/org/gooseberryhill/control/TimedWaitStrategy.java
+++ b/src/main/java/org/gooseberryhill/control/TimedWaitStrategy.java
@@ -10,18 +10,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * Lets the one reader of a ring sleep until an event comes or its next timer is due. Thread-safe; one reader.
+ * Parks the single consumer of a ring buffer until an event is published or its next timer is due. Thread-safe, for one
+ * consumer.
  *
- * <p>A timer thread beside the reader would wake twice for each timer: itself and, through the ring, the reader.
+ * <p>A separate timer thread would cost two wake-ups per timer: its own and, through the ring, that of the consumer.
  *
- * <p>Invariant: no wake-up is lost. The reader tells that it sleeps before it looks at the ring for the last time, and a
- * writer publishes before it looks for a sleeper; the fences keep both orders.
+ * <p>Invariant: no wake-up is lost. The consumer announces that it parks before it checks the ring for the last time,
+ * and a producer publishes before it checks for a parked consumer; the fences preserve both orders.
  */
 final class TimedWaitStrategy implements WaitStrategy {
     private final LongSupplier nanosToNextTimer;
     private volatile Thread sleeper;
 
-    /** A strategy for a reader whose timers tell how long it is until the next of them. */
+    /** Creates a strategy from a supplier of the nanoseconds until the consumer's next timer is due. */
     TimedWaitStrategy(LongSupplier nanosToNextTimer) {
         this.nanosToNextTimer = nanosToNextTimer;
     }
--- a/src/main/java/org/gooseberryhill/control/Timers.java
+++ b/src/main/java/org/gooseberryhill/control/Timers.java
@@ -6,9 +6,10 @@
 import java.util.Queue;
 
 /**
- * Tasks that wait for their time. Not thread-safe.
+ * A queue of tasks that are due at given times. Not thread-safe.
  *
- * <p>Invariant: tasks come out in the order of their times, those of one time in the order in which they came in.
+ * <p>Invariant: tasks are taken in the order of their due times, and those due at the same time in the order of
+ * insertion.
  */
 final class Timers {
     private static final Comparator<Timer> ORDER =
@@ -18,17 +19,17 @@
     private final long originNanos;
     private long added;
 
-    /** No tasks yet; times are compared as distances from a time that lies before all of them. */
+    /** Creates an empty queue. Times are compared as offsets from the origin, which must not be after any of them. */
     Timers(long originNanos) {
         this.originNanos = originNanos;
     }
 
-    /** Adds a task that is due at a time. */
+    /** Adds a task that is due at {@code dueNanos}. */
     void add(long dueNanos, Runnable task) {
         waiting.add(new Timer(dueNanos - originNanos, added++, task));
     }
 
-    /** Takes out the next task that is due by a time; empty if there is none. */
+    /** Removes and returns the next task that is due at {@code nowNanos}; empty if there is none. */
     Optional<Runnable> takeDue(long nowNanos) {
         Timer next = waiting.peek();
         if (next == null || next.dueNanos > nowNanos - originNanos) {
@@ -37,12 +38,14 @@
         return Optional.of(waiting.poll().task);
     }
 
-    /** How long it is until the next task is due; negative if it is late, the greatest number if there is none. */
+    /**
+     * Returns the time until the next task is due: negative if it is overdue, {@link Long#MAX_VALUE} if there is none.
+     */
     long nanosToNext(long nowNanos) {
         Timer next = waiting.peek();
         return next == null ? Long.MAX_VALUE : next.dueNanos - (nowNanos - originNanos);
     }
 
-    /** A task, its time after the origin and its place among those that came in. */
+    /** A task with its due time as an offset from the origin and its insertion number. */
     private record Timer(long dueNanos, long number, Runnable task) {}
 }
--- a/src/main/java/org/gooseberryhill/control/package-info.java
+++ b/src/main/java/org/gooseberryhill/control/package-info.java
@@ -1,2 +1,2 @@
-/** The control thread: the one thread that owns a process's control state. */
+/** The control loop, whose single thread owns the control state of a process. */
 package org.gooseberryhill.control;
--- a/src/main/java/org/gooseberryhill/directory/EndpointEntry.java
+++ b/src/main/java/org/gooseberryhill/directory/EndpointEntry.java
@@ -4,16 +4,16 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * What an endpoint registered of itself. Immutable.
+ * An endpoint's registration in the directory. Immutable.
  *
- * @param id the name under which it registered; a restarted endpoint may take it again
- * @param startedAtMillis when it started, in epoch milliseconds; another start is another endpoint; 0 if not told
- * @param service the service that it belongs to
- * @param address where it answers; used again by others after it has gone
+ * @param id the name under which it registered; a restarted endpoint may reuse it
+ * @param startedAtMillis when it started, in epoch milliseconds, 0 if unknown; each start counts as another endpoint
+ * @param service the service that the endpoint belongs to
+ * @param address where it accepts requests; other endpoints may reuse it once this one has left
  * @param zone its availability zone
- * @param slots how many requests it runs at once
- * @param leaving whether it asked for no new work
- * @param warmUpLeftMillis how much longer it answers slowly after its start
+ * @param slots the maximum number of requests that it runs concurrently
+ * @param leaving whether it has asked to receive no new requests
+ * @param warmUpLeftMillis the remaining warm-up time, in which it answers more slowly
  */
 public record EndpointEntry(
         String id,
@@ -26,13 +26,13 @@
         long warmUpLeftMillis) {
     private static final int HASH_FACTOR = 31;
 
-    /** What tells this start of the endpoint from every other. */
+    /** Returns the key that distinguishes this start of the endpoint from all others. */
     public EndpointKey key() {
         return new EndpointKey(id, startedAtMillis);
     }
 
-    // Written out: the generated ones are linked at their first use, which takes some ten milliseconds of a host's
-    // start.
+    // Implemented by hand: the generated methods of a record are linked at their first use, which adds about 10 ms to
+    // the start of a host.
     @Override
     public boolean equals(Object other) {
         return other instanceof EndpointEntry that
--- a/src/main/java/org/gooseberryhill/directory/EndpointKey.java
+++ b/src/main/java/org/gooseberryhill/directory/EndpointKey.java
@@ -6,8 +6,8 @@
 /**
  * The identity of one start of an endpoint. Immutable.
  *
- * <p>An endpoint that starts again under its id has forgotten what it ran and what it cached, so nothing that was known
- * of the earlier start holds for it.
+ * <p>An endpoint that restarts under its id has lost its running requests and its caches, so nothing known about the
+ * earlier start applies to it.
  *
  * @param id the name under which it registered
  * @param startedAtMillis when it started, in epoch milliseconds
@@ -16,7 +16,7 @@
     private static final char SEPARATOR = '@';
     private static final int HASH_FACTOR = 31;
 
-    /** Reads the form that {@link #toString} writes. */
+    /** Parses the format of {@link #toString}. */
     @JsonCreator
     public static EndpointKey of(String text) {
         int at = text.lastIndexOf(SEPARATOR);
@@ -38,8 +38,8 @@
         return id + SEPARATOR + startedAtMillis;
     }
 
-    // Written out: the generated ones are linked at their first use, which takes some ten milliseconds of a host's
-    // start.
+    // Implemented by hand: the generated methods of a record are linked at their first use, which adds about 10 ms to
+    // the start of a host.
     @Override
     public boolean equals(Object other) {
         return other instanceof EndpointKey that && startedAtMillis == that.startedAtMillis && id.equals(that.id);
--- a/src/main/java/org/gooseberryhill/directory/package-info.java
+++ b/src/main/java/org/gooseberryhill/directory/package-info.java
@@ -1,2 +1,2 @@
-/** The directory of endpoints that register themselves, each with its state, in the key-value store. */
+/** Entries of the endpoint directory: endpoints register themselves, with their state, in the key-value store. */
 package org.gooseberryhill.directory;
--- a/src/main/java/org/gooseberryhill/external/EtcdJson.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdJson.java
@@ -11,32 +11,33 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * The published JSON mapping of etcd v3's protocol: keys and values in base 64, 64-bit numbers as texts. Stateless.
+ * The published JSON mapping of the etcd v3 protocol: Base64 for keys and values, strings for 64-bit numbers.
+ * Stateless.
  */
 public final class EtcdJson {
     private EtcdJson() {}
 
-    /** Base 64 of a text. */
+    /** Encodes a text, as UTF-8, in Base64. */
     public static String encode(String text) {
         return encode(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Base 64 of bytes. */
+    /** Encodes bytes in Base64. */
     public static String encode(byte[] bytes) {
         return Base64.getEncoder().encodeToString(bytes);
     }
 
-    /** The bytes behind base 64. */
+    /** Decodes a Base64 node to bytes; an absent node yields no bytes. */
     public static byte[] decode(JsonNode node) {
         return Base64.getDecoder().decode(node.asText(""));
     }
 
-    /** The text behind base 64. */
+    /** Decodes a Base64 node to text. */
     public static String decodeText(JsonNode node) {
         return new String(decode(node), StandardCharsets.UTF_8);
     }
 
-    /** The first key after all keys with a prefix, in base 64. */
+    /** Returns the first key after all keys with the prefix, in Base64; the prefix must not be empty. */
     public static String encodeRangeEnd(String prefix) {
         byte[] bytes = prefix.getBytes(StandardCharsets.UTF_8);
         bytes[bytes.length - 1]++;
--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -20,7 +20,7 @@
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.Json;
 
-/** The key-value service over etcd v3's published JSON mapping of HTTP. Thread-safe. */
+/** A client of an etcd v3 service over its published HTTP/JSON mapping. Thread-safe. */
 public final class EtcdKeyValueStore implements StreamingKeyValueStore {
     private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
     private static final int WATCH_SILENCE_MILLIS = 600_000;
@@ -33,7 +33,10 @@
     private final int timeoutMillis;
     private final LongAdder calls = new LongAdder();
 
-    /** The service at an address; a call without an answer fails after the time-out in milliseconds. */
+    /**
+     * Creates a client of the service at an address; a call that gets no response fails after the time-out in
+     * milliseconds.
+     */
     public EtcdKeyValueStore(HttpClient client, Address address, int timeoutMillis) {
         this.client = client;
         this.address = address;
@@ -118,7 +121,7 @@
 
     @Override
     public void close() {
-        // Connections belong to the client that was passed in.
+        // The HTTP client that was passed in owns the connections.
     }
 
     private CompletableFuture<Listing> listPage(
@@ -126,7 +129,8 @@
         return readPrefix(prefix, fromKey, LIST_PAGE_KEYS).thenCompose(page -> {
             page.entries()
                     .forEach(entry -> found.add(KeyChange.written(entry.key(), entry.value(), entry.modRevision())));
-            // Pages are no snapshot: what changed after the first of them has to be asked for.
+            // The pages are no snapshot: the listing gets the oldest revision, so that changes after the first page are
+            // read later.
             long revision = Math.min(oldestRevision, page.revision());
             if (!page.more() || page.entries().isEmpty()) {
                 return CompletableFuture.completedFuture(new Listing(revision, found));
@@ -158,7 +162,7 @@
                 .getOrElseThrow(failure -> new ExternalServiceException("key-value service: " + failure.getMessage()));
     }
 
-    /** Cuts the stream of a watch into its lines. Used by one traffic thread. */
+    /** Splits the response stream of a watch into lines and handles each of them. Used by one I/O thread only. */
     private static final class WatchStream implements ExchangeListener {
         private final WatchListener listener;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
--- a/src/main/java/org/gooseberryhill/external/ExternalServiceException.java
+++ b/src/main/java/org/gooseberryhill/external/ExternalServiceException.java
@@ -1,40 +1,40 @@
 package org.gooseberryhill.external;
 
-/** An external service did not answer, or answered with an error. */
+/** Thrown when an external service does not answer or answers with an error. */
 public final class ExternalServiceException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** What is known of the call's effect and cause. */
+    /** What is known about the effect of the call and the cause of the failure. */
     public enum Kind {
-        /** Nothing was done, and the same call may succeed later. */
+        /** The call had no effect; the same call may succeed later. */
         NOT_DONE,
-        /** A write may have taken effect, or may yet do so. */
+        /** A write may have taken effect or may still do so. */
         UNKNOWN,
-        /** The lease that the call names has ended. */
+        /** The lease that the call refers to has expired or was revoked. */
         LEASE_GONE,
-        /** The changes that the call asks for are no longer kept. */
+        /** The service no longer retains the requested changes. */
         HISTORY_GONE
     }
 
     private final Kind kind;
 
-    /** A failure after which a write may have taken effect, with a short text for logs. */
+    /** Creates an exception of kind {@link Kind#UNKNOWN} with a short message for logs. */
     public ExternalServiceException(String message) {
         this(Kind.UNKNOWN, message);
     }
 
-    /** A failure with a short text for logs. */
+    /** Creates an exception with a short message for logs, without a stack trace. */
     public ExternalServiceException(Kind kind, String message) {
         super(message, null, false, false);
         this.kind = kind;
     }
 
-    /** What is known of the call. */
+    /** Returns what is known about the call. */
     public Kind kind() {
         return kind;
     }
 
-    /** The kind of a failure that a future ended with, however it is wrapped. */
+    /** Returns the kind of a failure, searching its causes; {@link Kind#UNKNOWN} if none of them is of this type. */
     public static Kind kindOf(Throwable failure) {
         Throwable cause = failure;
         while (cause != null) {
--- a/src/main/java/org/gooseberryhill/external/HostList.java
+++ b/src/main/java/org/gooseberryhill/external/HostList.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.CompletableFuture;
 import org.gooseberryhill.host.Host;
 
-/** The platform's list of live and leaving hosts, which lags. Thread-safe. */
+/** The platform's list of live and leaving hosts, which may lag behind their actual state. Thread-safe. */
 public interface HostList {
-    /** Reads the list; fails with {@link ExternalServiceException}. */
+    /** Reads the list; a failed read completes with {@link ExternalServiceException}. */
     CompletableFuture<Listing> read();
 
     /**
-     * The list at some earlier moment.
+     * The list as of some earlier time.
      *
      * @param hosts the system's own hosts
      * @param leavingEndpoints names of the endpoints that are leaving
--- a/src/main/java/org/gooseberryhill/external/HttpHostList.java
+++ b/src/main/java/org/gooseberryhill/external/HttpHostList.java
@@ -7,7 +7,7 @@
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.Json;
 
-/** The host list over HTTP: {@code GET /hosts}, a JSON object. Thread-safe. */
+/** Reads the host list over HTTP: {@code GET /hosts} returns a JSON object. Thread-safe. */
 public final class HttpHostList implements HostList {
     private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
@@ -15,7 +15,10 @@
     private final Address address;
     private final int timeoutMillis;
 
-    /** The list at an address; a read without an answer fails after the time-out in milliseconds. */
+    /**
+     * Creates a client of the list at an address; a read that gets no response fails after the time-out in
+     * milliseconds.
+     */
     public HttpHostList(HttpClient client, Address address, int timeoutMillis) {
         this.client = client;
         this.address = address;
--- a/src/main/java/org/gooseberryhill/external/KeyChange.java
+++ b/src/main/java/org/gooseberryhill/external/KeyChange.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * A key as some revision left it. Immutable but for its array, which is not changed after creation.
+ * The state of a key as of a revision. Immutable, provided that the array is not modified.
  *
  * @param key the key
  * @param value its value; empty if the revision deleted it
@@ -12,12 +12,12 @@
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record KeyChange(String key, Optional<byte[]> value, long revision) {
-    /** A key that a revision wrote. */
+    /** Returns the change of a key that a revision wrote. */
     public static KeyChange written(String key, byte[] value, long revision) {
         return new KeyChange(key, Optional.of(value), revision);
     }
 
-    /** A key that a revision deleted. */
+    /** Returns the change of a key that a revision deleted. */
     public static KeyChange deleted(String key, long revision) {
         return new KeyChange(key, Optional.empty(), revision);
     }
--- a/src/main/java/org/gooseberryhill/external/KeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/KeyValueStore.java
@@ -6,41 +6,42 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's key-value service, as far as the system uses it. Thread-safe.
+ * The operations of the platform's key-value service that the system uses. Thread-safe.
  *
- * <p>A future fails with {@link ExternalServiceException}. After that a write may have taken effect: its answer may be lost.
+ * <p>Failed futures complete with {@link ExternalServiceException}. A failed write may have taken effect: only its
+ * response may have been lost.
  */
 public interface KeyValueStore extends Closeable {
-    /** How many calls were made so far, a watch counted as one. */
+    /** Returns the number of calls made so far; a watch counts as one. */
     long calls();
 
     /** Reads one key. */
     CompletableFuture<ReadResult> read(String key);
 
     /**
-     * Reads all keys that begin with a prefix.
+     * Lists all keys that begin with a prefix.
      *
-     * @param mayBeStale whether the answer may be seconds old, which costs the service less
+     * @param mayBeStale whether the result may be seconds old, which costs the service less
      */
     CompletableFuture<Listing> list(String prefix, boolean mayBeStale);
 
-    /** Compares and writes in one step. */
+    /** Executes a transaction: checks its conditions and performs its writes atomically. */
     CompletableFuture<WriteResult> write(Transaction transaction);
 
-    /** Asks for a lease; the result is its id. */
+    /** Grants a lease with a time to live in milliseconds and returns its id. */
     CompletableFuture<Long> grantLease(long ttlMillis);
 
-    /** Renews a lease; the result is its remaining time in milliseconds, 0 if it is gone. */
+    /** Renews a lease and returns its remaining time in milliseconds, 0 if it no longer exists. */
     CompletableFuture<Long> renewLease(long leaseId);
 
-    /** Gives a lease back; the keys under it are deleted. */
+    /** Revokes a lease; the service deletes the keys bound to it. */
     CompletableFuture<Void> revokeLease(long leaseId);
 
     /**
-     * The keys that begin with a prefix.
+     * A listing of the keys that begin with a prefix.
      *
-     * @param revision every later change has a greater revision
-     * @param entries the keys in their order
+     * @param revision the listing's revision; every later change has a greater one
+     * @param entries the keys in ascending order
      */
     record Listing(long revision, List<KeyChange> entries) {}
 
@@ -55,24 +56,24 @@
     record Entry(String key, byte[] value, long createRevision, long modRevision) {}
 
     /**
-     * The answer to a read.
+     * The result of a read.
      *
-     * @param revision the service's revision at the read
-     * @param entries what was found
-     * @param more whether the limit cut the result
+     * @param revision the service's revision at the time of the read
+     * @param entries the entries found
+     * @param more whether the limit truncated the result
      */
     record ReadResult(long revision, List<Entry> entries, boolean more) {
-        /** The only entry, if there is one. */
+        /** Returns the first entry; empty if nothing was found. */
         public Optional<Entry> first() {
             return entries.stream().findFirst();
         }
     }
 
     /**
-     * The answer to a transaction.
+     * The result of a transaction.
      *
      * @param succeeded whether all conditions held and the writes took effect
-     * @param revision the service's revision after it
+     * @param revision the service's revision after the transaction
      */
     record WriteResult(boolean succeeded, long revision) {}
 }
--- a/src/main/java/org/gooseberryhill/external/KeyValueStoreFactory.java
+++ b/src/main/java/org/gooseberryhill/external/KeyValueStoreFactory.java
@@ -2,9 +2,9 @@
 
 import org.gooseberryhill.http.HttpClient;
 
-/** Makes the client of the key-value store. */
+/** Creates clients of the key-value store. */
 @FunctionalInterface
 public interface KeyValueStoreFactory {
-    /** A client on the process's HTTP client. */
+    /** Creates a client that uses the process's HTTP client. */
     PollingKeyValueStore create(HttpClient http);
 }
--- a/src/main/java/org/gooseberryhill/external/Keys.java
+++ b/src/main/java/org/gooseberryhill/external/Keys.java
@@ -2,15 +2,15 @@
 
 import org.gooseberryhill.contract.JobKey;
 
-/** The names of the keys that the system keeps in the key-value service. Stateless. */
+/** Defines the keys that the system uses in the key-value service. Stateless. */
 public final class Keys {
-    /** The operators' text with its author. */
+    /** Key of the configuration text with its author. */
     public static final String CONFIGURATION = "/gooseberry/configuration";
 
-    /** Earlier texts, one key an edit. */
+    /** Prefix of earlier configuration texts, one key per edit. */
     public static final String HISTORY = "/gooseberry/history/";
 
-    /** An index of the jobs that are not finished. */
+    /** Prefix of the index of unfinished jobs. */
     public static final String OPEN_JOBS = "/gooseberry/open/";
 
     private static final String JOBS = "/gooseberry/jobs/";
@@ -22,42 +22,42 @@
 
     private Keys() {}
 
-    /** A job's record. */
+    /** Returns the key of a job's record. */
     public static String job(JobKey job) {
         return JOBS + job.path();
     }
 
-    /** A job's entry in the index of open jobs. */
+    /** Returns the key of a job's entry in the index of unfinished jobs. */
     public static String openJob(JobKey job) {
         return OPEN_JOBS + job.path();
     }
 
-    /** The claim of a job's owner. */
+    /** Returns the key of the claim by which a host owns a job. */
     public static String owner(JobKey job) {
         return OWNERS + job.path();
     }
 
-    /** The prefix of a job's finished chunks. */
+    /** Returns the prefix of a job's finished chunks. */
     public static String chunks(JobKey job) {
         return CHUNKS + job.path() + "/";
     }
 
-    /** A finished chunk; numbers sort as text. */
+    /** Returns the key of a finished chunk; the number is zero-padded, so that keys sort by number. */
     public static String chunk(JobKey job, int chunk) {
         return chunks(job) + "%06d".formatted(chunk);
     }
 
-    /** The claim of a call that may not be repeated. */
+    /** Returns the key of the claim of a call with an idempotency key, which must not run twice. */
     public static String call(String caller, String idempotencyKeyHash) {
         return CALLS + caller + "/" + idempotencyKeyHash;
     }
 
-    /** The claim of an endpoint's order giver. */
+    /** Returns the key of the claim by which a host may send orders to an endpoint. */
     public static String endpoint(String endpoint) {
         return ENDPOINTS + endpoint;
     }
 
-    /** One of the places for model loads in progress. */
+    /** Returns the key of one of the slots that limit concurrent model loads. */
     public static String load(int place) {
         return LOADS + place;
     }
--- a/src/main/java/org/gooseberryhill/external/PollingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/PollingKeyValueStore.java
@@ -3,19 +3,20 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** A key-value service that is asked for changes again and again, each question counted as a call. Thread-safe. */
+/** A key-value service whose changes are read by long polling; each poll counts as a call. Thread-safe. */
 public interface PollingKeyValueStore extends KeyValueStore {
     /**
-     * The changes of keys that begin with a prefix after a revision: as soon as there are some, else none after the wait.
-     * Fails with kind HISTORY_GONE when the service no longer keeps all of them.
+     * Reads the changes, after a revision, of keys that begin with a prefix. Completes as soon as there are changes, or
+     * without any after {@code waitMillis}. Fails with {@link ExternalServiceException.Kind#HISTORY_GONE} if the
+     * service no longer retains all of them.
      */
     CompletableFuture<Changes> changesAfter(String prefix, long revision, long waitMillis);
 
     /**
      * Changes of keys.
      *
-     * @param revision up to which they are complete
-     * @param changes in the order of their revisions
+     * @param revision the revision up to which the changes are complete
+     * @param changes the changes in ascending order of their revisions
      */
     record Changes(long revision, List<KeyChange> changes) {}
 }
--- a/src/main/java/org/gooseberryhill/external/StreamingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/StreamingKeyValueStore.java
@@ -4,23 +4,25 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A key-value service that streams changes and reads parts of keys, as etcd does. Thread-safe. */
+/**
+ * A key-value service that streams changes and can read revisions alone and ranges of keys, such as etcd. Thread-safe.
+ */
 public interface StreamingKeyValueStore extends KeyValueStore {
-    /** Reads only the revision that last wrote a key; 0 if it is absent. */
+    /** Reads the revision that last wrote a key, without its value; 0 if the key is absent. */
     CompletableFuture<Long> readRevision(String key);
 
-    /** Reads up to a number of keys that begin with a prefix, in the order of the keys, from a key on. */
+    /** Reads at most {@code limit} keys that begin with a prefix, in ascending order from {@code fromKey} inclusive. */
     CompletableFuture<ReadResult> readPrefix(String prefix, String fromKey, int limit);
 
-    /** Watches the keys that begin with a prefix, from a revision on; closing ends the watch. */
+    /** Watches the keys that begin with a prefix, from a revision inclusive; closing the result ends the watch. */
     Closeable watch(String prefix, long fromRevision, WatchListener listener);
 
-    /** Follows a watch; called by one traffic thread. */
+    /** Receives the events of a watch; called by one I/O thread. */
     interface WatchListener {
-        /** A key was written; empty value means deleted. */
+        /** Called when a key was written, or deleted if the entry is empty. */
         void onChange(String key, Optional<Entry> entry);
 
-        /** The watch ended; a new one may be asked for. */
+        /** Called when the watch has ended; the caller may start a new one. */
         void onEnd();
     }
 }
--- a/src/main/java/org/gooseberryhill/external/Transaction.java
+++ b/src/main/java/org/gooseberryhill/external/Transaction.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 
 /**
- * Conditions and writes that take effect together or not at all. Immutable once built.
+ * A transaction: writes that take effect atomically if all conditions hold, else not at all. Immutable.
  *
  * <p>Example: {@code Transaction.builder().ifAbsent(key).put(key, value).build()}.
  *
- * @param conditions all must hold
- * @param writes then done in one step
+ * @param conditions the conditions, all of which must hold
+ * @param writes the writes, performed atomically
  */
 public record Transaction(List<Condition> conditions, List<Write> writes) {
-    /** A builder without conditions and writes. */
+    /** Returns an empty builder. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** What a condition looks at. */
+    /** The revision of a key that a condition compares. */
     public enum Target {
         /** The revision that created the key; 0 if it is absent. */
         CREATE,
@@ -27,11 +27,11 @@
     }
 
     /**
-     * A revision of a key that must be as expected.
+     * Requires a revision of a key to have the expected value.
      *
      * @param key the key
-     * @param target which revision
-     * @param revision the expected one
+     * @param target the revision to compare
+     * @param revision the expected revision
      */
     public record Condition(String key, Target target, long revision) {}
 
@@ -40,29 +40,29 @@
      *
      * @param key the key
      * @param value the value; empty to delete
-     * @param leaseId the lease that the key lives under, if any
+     * @param leaseId the lease that the key is bound to, if any
      */
     public record Write(String key, Optional<byte[]> value, Optional<Long> leaseId) {}
 
-    /** Collects conditions and writes. Not thread-safe. */
+    /** Builds transactions. Not thread-safe. */
     public static final class Builder {
         private final List<Condition> conditions = new ArrayList<>();
         private final List<Write> writes = new ArrayList<>();
 
         private Builder() {}
 
-        /** The key must not exist. */
+        /** Requires that the key does not exist. */
         public Builder ifAbsent(String key) {
             return ifCreatedAt(key, 0);
         }
 
-        /** The key must have been created by this revision. */
+        /** Requires that the key was created by the revision. */
         public Builder ifCreatedAt(String key, long revision) {
             conditions.add(new Condition(key, Target.CREATE, revision));
             return this;
         }
 
-        /** The key must have been last written by this revision. */
+        /** Requires that the key was last written by the revision; 0 if it must not exist. */
         public Builder ifWrittenAt(String key, long revision) {
             conditions.add(new Condition(key, Target.MOD, revision));
             return this;
@@ -74,7 +74,7 @@
             return this;
         }
 
-        /** Writes a key that lives as long as a lease. */
+        /** Writes a key that is bound to a lease: the service deletes it when the lease ends. */
         public Builder putUnderLease(String key, byte[] value, long leaseId) {
             writes.add(new Write(key, Optional.of(value), Optional.of(leaseId)));
             return this;
@@ -86,7 +86,7 @@
             return this;
         }
 
-        /** The transaction. */
+        /** Returns the transaction. */
         public Transaction build() {
             return new Transaction(List.copyOf(conditions), List.copyOf(writes));
         }
--- a/src/main/java/org/gooseberryhill/external/package-info.java
+++ b/src/main/java/org/gooseberryhill/external/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's services through their published protocols, each behind a narrow interface. */
+/** Clients of the platform's services over their published protocols, each behind a narrow interface. */
 package org.gooseberryhill.external;
--- a/src/main/java/org/gooseberryhill/link/Address.java
+++ b/src/main/java/org/gooseberryhill/link/Address.java
@@ -5,22 +5,24 @@
 import java.util.Optional;
 
 /**
- * An IP number and a port. Immutable.
+ * An IP address and a port. Immutable.
  *
- * @param ip the IP number as text
- * @param port 1 to 65535
+ * @param ip the IP address as text
+ * @param port the port, 1 to 65535
  */
 public record Address(String ip, int port) {
     private static final int MAX_PORT = 65535;
     private static final int HASH_FACTOR = 31;
 
-    /** Reads {@code ip:port} from a trusted message. */
+    /**
+     * Parses {@code ip:port} from a trusted message; throws {@link IllegalArgumentException} if the text is malformed.
+     */
     @JsonCreator
     public static Address of(String text) {
         return parse(text).orElseThrow(() -> new IllegalArgumentException("not ip:port: " + text));
     }
 
-    /** Reads {@code ip:port}; empty if the text is not of that form. */
+    /** Parses {@code ip:port}; empty if the text is malformed. */
     public static Optional<Address> parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
@@ -43,8 +45,8 @@
         return ip + ":" + port;
     }
 
-    // Written out: the generated ones are linked at their first use, which takes some ten milliseconds of a host's
-    // start.
+    // Implemented by hand: the generated methods of a record are linked at their first use, which adds about 10 ms to
+    // the start of a host.
     @Override
     public boolean equals(Object other) {
         return other instanceof Address that && port == that.port && ip.equals(that.ip);
--- a/src/main/java/org/gooseberryhill/link/Json.java
+++ b/src/main/java/org/gooseberryhill/link/Json.java
@@ -12,7 +12,7 @@
 import io.vavr.control.Try;
 import java.nio.charset.StandardCharsets;
 
-/** JSON as text and bytes, with one set of rules for all processes. Thread-safe. */
+/** Reads and writes JSON, with the same settings in all processes. Thread-safe. */
 public final class Json {
     private static final Lazy<ObjectMapper> MAPPER = Lazy.of(() -> new ObjectMapper()
             .registerModule(new Jdk8Module())
@@ -20,17 +20,17 @@
 
     private Json() {}
 
-    /** The shared mapper, for values of a type. */
+    /** Returns the shared mapper, for typed values. */
     public static ObjectMapper mapper() {
         return MAPPER.get();
     }
 
-    /** A new empty object. */
+    /** Returns a new empty object. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** A new empty array. */
+    /** Returns a new empty array. */
     public static ArrayNode array() {
         return JsonNodeFactory.instance.arrayNode();
     }
@@ -50,7 +50,7 @@
         try {
             return mapper().writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not expressible as JSON: " + value.getClass(), e);
+            throw new IllegalArgumentException("cannot be written as JSON: " + value.getClass(), e);
         }
     }
 
@@ -59,16 +59,16 @@
         try {
             return mapper().writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not expressible as JSON: " + value.getClass(), e);
+            throw new IllegalArgumentException("cannot be written as JSON: " + value.getClass(), e);
         }
     }
 
-    /** Reads a value; a failure carries the parser's place and reason. */
+    /** Reads a value; the failure holds the parser's location and reason. */
     public static <T> Try<T> read(byte[] json, Class<T> type) {
         return Try.of(() -> mapper().readValue(json, type));
     }
 
-    /** Reads a tree; a failure carries the parser's place and reason. */
+    /** Reads a tree; the failure holds the parser's location and reason. */
     public static Try<JsonNode> tree(byte[] json) {
         return Try.of(() -> JsonTrees.read(json));
     }
--- a/src/main/java/org/gooseberryhill/link/JsonTrees.java
+++ b/src/main/java/org/gooseberryhill/link/JsonTrees.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 
 /**
- * Reads and writes trees of JSON with the library's streams. Thread-safe.
+ * Reads and writes JSON trees with Jackson's streaming API. Thread-safe.
  *
- * <p>The library's mapper does the same, but building it takes a tenth of a second of a process's start, during which
- * callers of a host that starts again wait. What a starting host reads and writes goes through here.
+ * <p>Jackson's {@code ObjectMapper} does the same, but creating it adds 0.1 s to the start of a process, during which
+ * the callers of a restarting host wait. Therefore a starting host reads and writes its JSON with this class.
  */
 final class JsonTrees {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -25,7 +25,7 @@
 
     private JsonTrees() {}
 
-    /** Reads the first value of a text. */
+    /** Reads the first value of a text; ignores what follows it. */
     static JsonNode read(byte[] json) throws IOException {
         try (JsonParser parser = FACTORY.createParser(json)) {
             JsonToken token = parser.nextToken();
@@ -36,13 +36,13 @@
         }
     }
 
-    /** Writes a tree as UTF-8. */
+    /** Writes a tree as UTF-8 JSON. */
     static byte[] write(JsonNode node) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             write(node, generator);
         } catch (IOException e) {
-            throw new IllegalArgumentException("not expressible as JSON: " + node.getNodeType(), e);
+            throw new IllegalArgumentException("cannot be written as JSON: " + node.getNodeType(), e);
         }
         return out.toByteArray();
     }
@@ -107,7 +107,7 @@
             case BOOLEAN -> generator.writeBoolean(node.booleanValue());
             case BINARY -> generator.writeBinary(node.binaryValue());
             case NULL, MISSING -> generator.writeNull();
-            default -> throw new IOException("a tree holds a " + node.getNodeType());
+            default -> throw new IOException("unsupported node type: " + node.getNodeType());
         }
     }
 
--- a/src/main/java/org/gooseberryhill/link/package-info.java
+++ b/src/main/java/org/gooseberryhill/link/package-info.java
@@ -1,2 +1,2 @@
-/** Links between processes: addresses and the clock that orders events over all processes. */
+/** Basics of communication between processes: addresses, JSON, and a clock that orders events across processes. */
 package org.gooseberryhill.link;
--- a/src/main/java/org/gooseberryhill/outbox/Outbox.java
+++ b/src/main/java/org/gooseberryhill/outbox/Outbox.java
@@ -14,9 +14,11 @@
 import org.gooseberryhill.store.SegmentFolder;
 
 /**
- * The submissions on one host's disk. Thread-safe: one thread does all that waits for the disk, in the order of the calls.
+ * Stores submissions on one host's disk. Thread-safe: a single thread performs all disk operations, in the order of the
+ * calls.
  *
- * <p>Invariants: a submission that {@link #put} completed for outlasts a loss of power; one that is damaged counts as missing.
+ * <p>Invariants: once {@link #put} has completed, the submission survives a power failure. A damaged submission is
+ * treated as missing.
  */
 final class Outbox implements Closeable {
     private final SegmentFolder folder;
@@ -30,7 +32,7 @@
         this.folder = new SegmentFolder(folder);
     }
 
-    /** Completes when the submission is on the disk. */
+    /** Stores a submission; completes when it is durable. */
     CompletableFuture<Void> put(OutboxEntry entry) {
         return onDisk(() -> {
             folder.put(entry.name(), OutboxForms.write(entry));
@@ -38,7 +40,7 @@
         });
     }
 
-    /** Completes when the submission is gone. */
+    /** Deletes a submission; completes when the deletion is durable. */
     CompletableFuture<Void> drop(String name) {
         return onDisk(() -> {
             folder.delete(name);
@@ -46,12 +48,12 @@
         });
     }
 
-    /** A submission; empty if there is none of the name, or its file is damaged. */
+    /** Reads a submission; empty if it does not exist or its file is damaged. */
     CompletableFuture<Optional<OutboxEntry>> read(String name) {
         return onDisk(() -> readNow(name));
     }
 
-    /** All submissions. */
+    /** Reads all undamaged submissions. */
     CompletableFuture<List<OutboxEntry>> readAll() {
         return onDisk(() -> {
             List<OutboxEntry> entries = new ArrayList<>();
@@ -82,7 +84,7 @@
         return CompletableFuture.supplyAsync(supplier, disk);
     }
 
-    /** Something that waits for the disk. */
+    /** An operation that blocks on the disk. */
     @FunctionalInterface
     private interface DiskCall<T> {
         T run() throws IOException;
--- a/src/main/java/org/gooseberryhill/outbox/OutboxEntry.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxEntry.java
@@ -4,15 +4,17 @@
 import org.gooseberryhill.decision.requestbatch.BatchRecord;
 
 /**
- * A submission as a host keeps it. Immutable but for its array, which is not changed.
+ * A submission stored on a host's disk. Immutable, provided that the array is not modified.
  *
  * @param batch the batch's id
- * @param record the record that is to be created
+ * @param record the record to create
  * @param body the batch's items as they were submitted
- * @param keptAtMillis when it was kept, by this host's time of day
+ * @param keptAtMillis when it was stored, in epoch milliseconds of this host's wall clock
  */
 record OutboxEntry(String batch, BatchRecord record, byte[] body, long keptAtMillis) {
-    /** The name of a submission: another body, or another gateway that took it in, makes it another one. */
+    /**
+     * Returns the name of a submission, which identifies the batch, its body and the gateway process that accepted it.
+     */
     static String nameOf(String batch, BatchRecord record) {
         String identity = String.join("\0", batch, record.bodyHash(), record.owner(), record.ownerStart());
         return Fingerprint.of(identity, new byte[0]).value();
--- a/src/main/java/org/gooseberryhill/outbox/OutboxForms.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxForms.java
@@ -8,7 +8,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** How a submission is written to a disk. Stateless. */
+/** Encodes and decodes submissions on disk, as MessagePack. Stateless. */
 final class OutboxForms {
     private OutboxForms() {}
 
--- a/src/main/java/org/gooseberryhill/outbox/OutboxKeeper.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxKeeper.java
@@ -20,14 +20,15 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * Keeps submissions for gateways, and creates the records of those that nobody else creates. For the control thread, but
- * where it says so.
+ * Stores submissions for gateways, and creates the batch records that no gateway has created. Used by the control
+ * thread only, unless a method says otherwise.
  *
- * <p>Invariant: a submission leaves the disk only when the key-value store has a record of its batch, when its gateway says
- * that it is not owed, or when it is too old to be told from one that was deleted.
+ * <p>Invariant: a submission is deleted from the disk only when the key-value store has a record of its batch, when its
+ * gateway says that it was not accepted ({@link OutboxMessage.Drop}), or when it is so old that its batch may have been
+ * finished and deleted.
  */
 final class OutboxKeeper {
-    /** A host that is to be emptied takes nothing in for this long after it was last asked how much it keeps. */
+    /** How long a host that is being evacuated accepts no submissions after each {@link OutboxMessage.StateAsk}. */
     private static final long EMPTYING_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final ControlLoop loop;
@@ -46,7 +47,7 @@
         this.timing = timing;
     }
 
-    /** Takes in what is on the disk, then runs the action. */
+    /** Loads the submissions on the disk, then runs the action, also if the disk failed. */
     void start(Runnable then) {
         onLoop(outbox.readAll(), (entries, failure) -> {
             if (failure != null) {
@@ -58,19 +59,19 @@
         });
     }
 
-    /** How many submissions are kept. */
+    /** Returns the number of stored submissions. */
     int submissions() {
         return batchesByName.size();
     }
 
-    /** The reply to a message; from any thread. */
+    /** Handles a message and returns the reply. May be called from any thread. */
     CompletionStage<PeerMessage> handle(PeerMessage message) {
         CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
         loop.execute(() -> dispatch(message, reply));
         return reply;
     }
 
-    /** Creates the records that are due; called often. */
+    /** Creates the records that are due. Called periodically. */
     void tick() {
         long nowNanos = loop.nowNanos();
         for (String name : List.copyOf(batchesByName.keySet())) {
@@ -138,7 +139,7 @@
             return;
         }
         if (entry.isEmpty()) {
-            // It was dropped meanwhile, or its file is damaged; the other copies are there.
+            // The submission was deleted in the meantime, or its file is damaged and other hosts hold the copies.
             batchesByName.remove(name);
             timing.dropped(name);
             return;
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -26,9 +26,11 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * The program of a host with a disk: it keeps submissions of batches until the key-value service has them. Thread-safe.
+ * The process of a host with a disk. It stores batch submissions until the key-value store has recorded them.
+ * Thread-safe.
  *
- * <p>Invariant: control state lives on the control thread; the disk has a thread of its own, since a sync takes milliseconds.
+ * <p>Invariant: only the control thread accesses control state. Disk operations run on a thread of their own, since a
+ * sync takes milliseconds.
  */
 public final class OutboxProcess implements Closeable {
     private static final int TRAFFIC_THREADS = 1;
@@ -36,7 +38,7 @@
     private static final long LOG_FLUSH_MILLIS = 250;
     private static final long GROUP_SHUTDOWN_MILLIS = 100;
 
-    /** A planned stop waits no longer for its key to be taken back. */
+    /** Maximum time that a planned stop waits for the removal of the host's registration. */
     private static final long RELEASE_MILLIS = 1000;
 
     private final OutboxSettings settings;
@@ -54,7 +56,7 @@
     private final AtomicBoolean closed = new AtomicBoolean();
     private Optional<PeerServer> peerServer = Optional.empty();
 
-    /** A process that is not started yet. */
+    /** Creates a process; {@link #start} starts it. */
     public OutboxProcess(OutboxSettings settings, BatchDialect batches, KeyValueStoreFactory storeFactory) {
         this.settings = settings;
         String name = settings.self().id().value();
@@ -68,7 +70,7 @@
                 loop, timeline, outbox, new BatchStore(store, batches), new OutboxTiming(settings.retentionMillis()));
     }
 
-    /** Starts serving. */
+    /** Starts the peer server, loads the stored submissions and then registers the host. */
     public void start() {
         timeline.event(EventKind.PROCESS_STARTED)
                 .with("role", "outbox")
@@ -89,7 +91,7 @@
         });
     }
 
-    /** Asks for the planned stop; from any thread, any number of times. What it keeps stays on its disk. */
+    /** Requests the planned stop; may be called repeatedly, from any thread. Stored submissions stay on the disk. */
     public void askStop() {
         loop.execute(() -> {
             timeline.event(EventKind.PROCESS_STOPPING)
@@ -100,12 +102,12 @@
         });
     }
 
-    /** Completes when the planned stop is over. */
+    /** Returns a future that completes at the end of the planned stop. */
     public CompletableFuture<Void> ended() {
         return ended;
     }
 
-    /** Writes what the log still holds, in a time in milliseconds at the most. */
+    /** Writes the buffered log lines, within a time-out in milliseconds. */
     public void finishLog(long millis) {
         log.finish(millis);
     }
--- a/src/main/java/org/gooseberryhill/outbox/OutboxSettings.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxSettings.java
@@ -4,10 +4,10 @@
 import org.gooseberryhill.host.Host;
 
 /**
- * Settings of a host that keeps submissions. Immutable.
+ * Settings of a host that stores submissions. Immutable.
  *
- * @param self its identity, role, availability zone and peer address
- * @param dataFolder where its disk is
- * @param retentionMillis how long a finished batch is kept in the key-value store
+ * @param self the host's identity, role, availability zone and peer address
+ * @param dataFolder the folder on its disk that holds the submissions
+ * @param retentionMillis how long the key-value store retains a finished batch
  */
 public record OutboxSettings(Host self, Path dataFolder, long retentionMillis) {}
--- a/src/main/java/org/gooseberryhill/outbox/package-info.java
+++ b/src/main/java/org/gooseberryhill/outbox/package-info.java
@@ -1,2 +1,2 @@
-/** Hosts with a disk keep submissions of batches until the key-value store has them. */
+/** The outbox: hosts with a disk store batch submissions until the key-value store has recorded them. */
 package org.gooseberryhill.outbox;
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -22,29 +22,34 @@
 import org.gooseberryhill.host.Host;
 import org.gooseberryhill.host.HostId;
 
-/** Request batches in the key-value store: their records, items and committed results. Thread-safe. */
+/**
+ * Reads and writes request batches in the key-value store: records, items, checkpoints and committed results.
+ * Thread-safe.
+ */
 public final class BatchStore {
-    /** Below the store's limit for one value, 1 MiB, with room for its encoding. */
+    /** Stays below the store's limit of 1 MiB per value, with room for the encoding. */
     private static final int MAX_VALUE_BYTES = 768 * 1024;
 
-    /** The store takes 32 entries in one write, the condition among them. */
+    /** The store accepts at most 32 entries in one transaction, and the condition is one of them. */
     private static final int DELETIONS_PER_WRITE = 31;
 
     private final PollingKeyValueStore store;
     private final BatchDialect dialect;
 
-    /** Batches in a store, their items as a dialect spells them. */
+    /** Creates an accessor for a store; the dialect parses the items of a batch. */
     public BatchStore(PollingKeyValueStore store, BatchDialect dialect) {
         this.store = store;
         this.dialect = dialect;
     }
 
-    /** How many values a body takes. */
+    /** Returns the number of values that a body is split into. */
     public static int bodyParts(byte[] body) {
         return Math.max(1, (body.length + MAX_VALUE_BYTES - 1) / MAX_VALUE_BYTES);
     }
 
-    /** Creates a batch whose id is free: its record and all its items in one step. */
+    /**
+     * Creates a batch, that is its record and all its items, in one transaction that succeeds only if the id is unused.
+     */
     public CompletableFuture<KeyValueStore.WriteResult> create(String id, BatchRecord record, byte[] body) {
         Transaction.Builder create = Transaction.builder()
                 .ifWrittenAt(StoredKeys.batch(id), 0)
@@ -57,13 +62,13 @@
         return store.write(create.build());
     }
 
-    /** A batch's record with its revision; empty if there is no such batch. */
+    /** Reads a batch's record and its revision; empty if there is no such batch. */
     public CompletableFuture<Optional<Stored>> read(String id) {
         return store.read(StoredKeys.batch(id))
                 .thenApply(result -> result.first().map(entry -> stored(id, entry.value(), entry.modRevision())));
     }
 
-    /** A host by its key among those of the live hosts; empty if it has none. */
+    /** Reads the entry of a live host; empty if it has none or if it is unreadable. */
     public CompletableFuture<Optional<Host>> host(HostId id) {
         return store.read(StoredKeys.host(id.value()))
                 .thenApply(result -> result.first()
@@ -71,7 +76,11 @@
                         .map(ListedHost::host));
     }
 
-    /** All records. */
+    /**
+     * Lists the records of all batches.
+     *
+     * @param mayBeStale whether the list may be seconds old, which costs the store less
+     */
     public CompletableFuture<List<Stored>> list(boolean mayBeStale) {
         return store.list(StoredKeys.BATCHES, mayBeStale).thenApply(listing -> {
             List<Stored> records = new ArrayList<>();
@@ -83,7 +92,10 @@
         });
     }
 
-    /** Replaces a record that still has a revision. */
+    /**
+     * Replaces a record if it still has the given revision. If the batch is finished, deletes its checkpoints in the
+     * same transaction.
+     */
     public CompletableFuture<KeyValueStore.WriteResult> replace(String id, long revision, BatchRecord record) {
         Transaction.Builder transaction = Transaction.builder()
                 .ifWrittenAt(StoredKeys.batch(id), revision)
@@ -95,8 +107,8 @@
     }
 
     /**
-     * Writes down results, and what open items have generated, of several batches in one step, each under the condition
-     * that its record still has its revision.
+     * Saves the results and checkpoints of several batches in one transaction, on condition that the record of each
+     * batch still has its revision.
      */
     public CompletableFuture<KeyValueStore.WriteResult> save(List<Commit> commits, List<Progress> progress) {
         Transaction.Builder transaction = Transaction.builder();
@@ -119,8 +131,8 @@
     }
 
     /**
-     * Deletes all that is kept of a batch if its record still has its revision; false if it has not. What it produced goes
-     * first, its record last.
+     * Deletes all keys of a batch if its record still has its revision, else returns false. Deletes results first and
+     * the record last, since all transactions depend on the record's revision.
      */
     public CompletableFuture<Boolean> delete(Stored found) {
         List<String> keys = new ArrayList<>();
@@ -146,7 +158,7 @@
                         result.succeeded() ? delete(found, keys, to) : CompletableFuture.completedFuture(false));
     }
 
-    /** What the open items of a batch had generated when it was last written down. */
+    /** Reads the latest saved checkpoints of a batch's open items; empty if none are saved. */
     public CompletableFuture<List<ItemCheckpoint>> progress(String id) {
         String key = StoredKeys.progress(id);
         return store.read(key)
@@ -155,7 +167,7 @@
                         .orElse(List.of()));
     }
 
-    /** A batch as its owner runs it: its items and its committed results. */
+    /** Loads a batch for its owner: its items and all its committed results. */
     public CompletableFuture<OwnedBatch> load(Stored found) {
         BatchRecord record = found.record();
         return items(found.id(), record)
@@ -164,15 +176,20 @@
                         (items, results) -> new OwnedBatch(found.id(), record, found.revision(), items, results));
     }
 
-    /** The items of a batch. */
+    /** Reads all items of a batch. */
     public CompletableFuture<List<BatchItem>> items(String id, BatchRecord record) {
         return parts(id, record, 0, new ByteArrayOutputStream())
                 .thenApply(body -> dialect.items(body)
                         .getOrElseThrow(findings ->
-                                new ExternalServiceException("the items of batch " + id + ": " + findings)));
+                                new ExternalServiceException("items of batch " + id + " are invalid: " + findings)));
     }
 
-    /** The committed results of a batch from the chunk that holds a position on, up to a number of chunks. */
+    /**
+     * Reads committed results of a batch.
+     *
+     * @param firstChunk the index of the first chunk to read
+     * @param chunks the maximum number of chunks to read
+     */
     public CompletableFuture<List<ItemResult>> results(String id, BatchRecord record, int firstChunk, int chunks) {
         int last = Math.min(record.chunks().size(), firstChunk + chunks);
         return chunk(id, record, firstChunk, last, new ArrayList<>());
@@ -219,19 +236,19 @@
     }
 
     /**
-     * A record as it stands in the store. Immutable.
+     * A batch's record as read from the store. Immutable.
      *
      * @param id the batch's id
-     * @param record its record
-     * @param revision the revision that wrote it
+     * @param record the record
+     * @param revision the revision that last wrote the record
      */
     public record Stored(String id, BatchRecord record, long revision) {}
 
     /**
-     * Results to commit. Immutable.
+     * A chunk of results to commit. Immutable.
      *
      * @param id the batch's id
-     * @param revision the record's present revision
+     * @param revision the record's current revision
      * @param record the record with the new chunk
      * @param firstPosition the position of the first result
      * @param results the results
@@ -239,11 +256,11 @@
     public record Commit(String id, long revision, BatchRecord record, int firstPosition, List<ItemResult> results) {}
 
     /**
-     * What the open items of a batch have generated. Immutable.
+     * Checkpoints of a batch's open items to save. Immutable.
      *
      * @param id the batch's id
-     * @param revision the record's present revision
-     * @param items how far each of them is
+     * @param revision the record's current revision
+     * @param items the checkpoint of each item
      */
     public record Progress(String id, long revision, List<ItemCheckpoint> items) {}
 }
--- a/src/main/java/org/gooseberryhill/stored/StoredForms.java
+++ b/src/main/java/org/gooseberryhill/stored/StoredForms.java
@@ -19,15 +19,15 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * What the system keeps in the key-value store, as JSON. Stateless.
+ * Encodes and decodes the values in the key-value store, as JSON. Stateless.
  *
- * <p>Invariant: what one host writes any other reads; a field that is missing makes the value unreadable, one that is not
- * known is passed over.
+ * <p>Invariant: every host can read what any other host wrote. A value that lacks a field is unreadable; unknown fields
+ * are ignored.
  */
 public final class StoredForms {
     private StoredForms() {}
 
-    /** A live host. */
+    /** Encodes the entry of a live host. */
     public static byte[] write(ListedHost listed) {
         ObjectNode json = Json.object().put("processStart", listed.processStart());
         json.putObject("host")
@@ -39,7 +39,7 @@
         return Json.bytes(json);
     }
 
-    /** Reads a live host. */
+    /** Decodes the entry of a live host. */
     public static Try<ListedHost> readHost(byte[] value) {
         return Json.tree(value).mapTry(json -> {
             JsonNode host = json.required("host");
@@ -54,7 +54,7 @@
         });
     }
 
-    /** A batch's record. */
+    /** Encodes a batch's record. */
     public static byte[] write(BatchRecord record) {
         ObjectNode json = Json.object()
                 .put("host", record.host())
@@ -72,7 +72,7 @@
         return Json.bytes(json);
     }
 
-    /** Reads a batch's record. */
+    /** Decodes a batch's record. */
     public static Try<BatchRecord> readRecord(byte[] value) {
         return Json.tree(value).mapTry(json -> {
             List<Integer> chunks = new ArrayList<>();
@@ -92,7 +92,7 @@
         });
     }
 
-    /** Committed results. */
+    /** Encodes a chunk of committed results. */
     public static byte[] writeResults(List<ItemResult> results) {
         ArrayNode json = Json.array();
         results.forEach(result -> json.addObject()
@@ -102,7 +102,7 @@
         return Json.bytes(json);
     }
 
-    /** Reads committed results. */
+    /** Decodes a chunk of committed results. */
     public static Try<List<ItemResult>> readResults(byte[] value) {
         return Json.tree(value).mapTry(json -> {
             List<ItemResult> results = new ArrayList<>();
@@ -116,7 +116,7 @@
         });
     }
 
-    /** What open items have generated. */
+    /** Encodes the checkpoints of a batch's open items. */
     public static byte[] writeCheckpoints(List<ItemCheckpoint> checkpoints) {
         ArrayNode json = Json.array();
         checkpoints.forEach(checkpoint -> json.addObject()
@@ -126,7 +126,7 @@
         return Json.bytes(json);
     }
 
-    /** Reads what open items have generated. */
+    /** Decodes the checkpoints of a batch's open items. */
     public static Try<List<ItemCheckpoint>> readCheckpoints(byte[] value) {
         return Json.tree(value).mapTry(json -> {
             List<ItemCheckpoint> checkpoints = new ArrayList<>();
--- a/src/main/java/org/gooseberryhill/stored/StoredKeys.java
+++ b/src/main/java/org/gooseberryhill/stored/StoredKeys.java
@@ -1,11 +1,11 @@
 package org.gooseberryhill.stored;
 
-/** The names of the keys that the system keeps in the key-value store. Stateless. */
+/** Defines the keys that the system uses in the key-value store. Stateless. */
 public final class StoredKeys {
-    /** The live hosts, each key under its host's lease. */
+    /** Prefix of the live hosts' keys; each key is bound to its host's lease. */
     public static final String HOSTS = "/gooseberry/gateways/";
 
-    /** The records of request batches. */
+    /** Prefix of the request batches' records. */
     public static final String BATCHES = "/gooseberry/batches/";
 
     private static final String BODIES = "/gooseberry/batch-bodies/";
@@ -14,27 +14,27 @@
 
     private StoredKeys() {}
 
-    /** A host's key. */
+    /** Returns the key of a live host. */
     public static String host(String host) {
         return HOSTS + host;
     }
 
-    /** A batch's record. */
+    /** Returns the key of a batch's record. */
     public static String batch(String batch) {
         return BATCHES + batch;
     }
 
-    /** A part of a batch's items. */
+    /** Returns the key of one part of a batch's items, as submitted; parts are numbered from 0. */
     public static String body(String batch, int part) {
         return BODIES + batch + "/" + part;
     }
 
-    /** What the open items of a batch have generated. */
+    /** Returns the key of the checkpoints of a batch's open items. */
     public static String progress(String batch) {
         return PROGRESS + batch;
     }
 
-    /** A committed chunk of results. */
+    /** Returns the key of the committed chunk of results that begins at a position. */
     public static String results(String batch, int firstPosition) {
         return RESULTS + batch + "/" + firstPosition;
     }
--- a/src/main/java/org/gooseberryhill/stored/package-info.java
+++ b/src/main/java/org/gooseberryhill/stored/package-info.java
@@ -1,2 +1,2 @@
-/** What the system keeps in the key-value store: its keys, its values, and request batches in them. */
+/** Layout of the data in the key-value store: keys, value formats, and access to stored request batches. */
 package org.gooseberryhill.stored;
--- a/src/main/java/org/gooseberryhill/view/KeyView.java
+++ b/src/main/java/org/gooseberryhill/view/KeyView.java
@@ -9,35 +9,36 @@
 import org.gooseberryhill.external.KeyChange;
 
 /**
- * The keys under one prefix as last known. Not thread-safe.
+ * A local view of the keys under one prefix. Not thread-safe.
  *
- * <p>Invariant: for each key only a newer revision replaces an older one, from whatever source and in whatever order
- * the news come; the view never goes back. Failure: a lagging read or a late message of another host shows an endpoint
- * that has left, and requests are sent to it again.
+ * <p>Invariant: a revision of a key is replaced only by a newer one, regardless of the source and the order of the
+ * updates, so the view never goes back. Otherwise a stale read or a delayed message from another host could restore an
+ * endpoint that has left, and requests would be sent to it again.
  */
 public final class KeyView {
     private final Map<String, KeyChange> present = new TreeMap<>();
     private final Map<String, Long> deletedAt = new HashMap<>();
     private long revision;
 
-    /** The revision up to which all changes are known; 0 before the first listing. */
+    /** Returns the revision up to which all changes are known; 0 before the first listing. */
     public long revision() {
         return revision;
     }
 
-    /** The keys that exist, in their order. */
+    /** Returns the existing keys in ascending order. */
     public List<KeyChange> entries() {
         return List.copyOf(present.values());
     }
 
-    /** A key that exists. */
+    /** Returns a key's entry; empty if the key does not exist. */
     public Optional<KeyChange> find(String key) {
         return Optional.ofNullable(present.get(key));
     }
 
     /**
-     * Takes in the changes between two revisions; returns those that are news. Changes that begin after what is known
-     * are refused: what lies between is missing.
+     * Applies the changes between two revisions and returns those that changed the view. Returns empty and applies
+     * nothing before the first listing, or if {@code fromRevision} is beyond the known revision: the changes in between
+     * are missing.
      */
     public Optional<List<KeyChange>> advance(long fromRevision, long toRevision, List<KeyChange> changes) {
         if (revision == 0 || fromRevision > revision) {
@@ -45,7 +46,8 @@
         }
         List<KeyChange> news = new ArrayList<>();
         for (KeyChange change : changes) {
-            // All up to the known revision is known, deletions too: an earlier write must not bring a key back.
+            // All changes up to the known revision are included, also deletions: an older write must not restore a
+            // deleted key.
             if (change.revision() > revision && take(change)) {
                 news.add(change);
             }
@@ -55,8 +57,9 @@
     }
 
     /**
-     * Takes in a listing of all keys as of a revision; returns what is news. A key that the listing lacks is gone, unless
-     * it was written after the listing.
+     * Applies a listing of all keys as of a revision and returns what changed in the view. A key that is absent from
+     * the listing is removed, unless it was written after the listing. Listings older than the known revision are
+     * ignored.
      */
     public List<KeyChange> replace(long listedRevision, List<KeyChange> listing) {
         if (listedRevision < revision) {
--- a/src/main/java/org/gooseberryhill/view/package-info.java
+++ b/src/main/java/org/gooseberryhill/view/package-info.java
@@ -1,2 +1,4 @@
-/** Views: what a process knows of a prefix of the key-value store, kept up by changes and shared among hosts. */
+/**
+ * Local views of key prefixes of the key-value store, updated by changes and listings from the store and other hosts.
+ */
 package org.gooseberryhill.view;
--- a/src/test/java/org/gooseberryhill/control/ControlLoopTest.java
+++ b/src/test/java/org/gooseberryhill/control/ControlLoopTest.java
@@ -32,7 +32,7 @@
         assertThat(take(1000)).startsWith("task-0", "task-1").endsWith("task-999");
     }
 
-    /** The thread sleeps until its next timer: a task that comes meanwhile must wake it. */
+    /** The thread is parked until its next timer is due: a new task must wake it up. */
     @Test
     void aTaskDoesNotWaitForATimerThatIsFarAway() throws InterruptedException {
         loop.after(TimeUnit.HOURS.toMillis(1), () -> ran.add("timer"));
@@ -61,13 +61,13 @@
     void aTaskOfThePeriodRunsAgainAfterItHasFailed() throws InterruptedException {
         loop.every(1, () -> {
             ran.add("run");
-            throw new IllegalStateException("a failure that the loop outlives");
+            throw new IllegalStateException("expected failure of the task");
         });
 
         assertThat(take(3)).containsExactly("run", "run", "run");
     }
 
-    /** A task of the loop adds more tasks than the ring holds: waiting for room would wait for itself. */
+    /** A task of the loop adds more tasks than the ring holds: blocking until slots are free would be a deadlock. */
     @Test
     void aTaskOfTheLoopMayAddAnyNumberOfTasks() throws InterruptedException {
         int number = 100_000;
@@ -81,7 +81,7 @@
         assertThat(left.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
 
-    /** Many threads hand tasks over while the loop goes to sleep and wakes: no wake-up may be lost. */
+    /** Several threads submit tasks while the loop's thread parks and wakes up repeatedly: no wake-up may be lost. */
     @Test
     void noTaskIsLeftWhileTheLoopSleeps() throws InterruptedException {
         int threads = 4;
--- a/src/test/java/org/gooseberryhill/control/TimersTest.java
+++ b/src/test/java/org/gooseberryhill/control/TimersTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 class TimersTest {
-    /** The clock's origin is arbitrary: times on both sides of its overflow must be told apart. */
+    /**
+     * The origin of the monotonic clock is arbitrary: times on both sides of its overflow must be compared correctly.
+     */
     private static final long ORIGIN_NANOS = Long.MAX_VALUE - 5;
 
     private final Timers timers = new Timers(ORIGIN_NANOS);
--- a/src/test/java/org/gooseberryhill/external/HostListContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/HostListContractTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What the system relies on from the platform's host list; the stand-in passes it too. */
+/** Contract of the platform's host list that the system relies on, tested against the stand-in. */
 class HostListContractTest {
-    /** Far longer than a call takes: only a test that would never end waits so long. */
+    /** Far longer than a call takes, so that only a test that hangs reaches it. */
     private static final int PATIENT_MILLIS = 60_000;
 
     private static final long LONG_LAG_MILLIS = 600_000;
@@ -51,7 +51,7 @@
                 () -> hostList.read().join().leavingEndpoints().contains("tutor-00"));
     }
 
-    /** The list lags: a change does not show yet, and what was there before still does. */
+    /** While the list lags, it does not show a change and still shows the earlier hosts. */
     @Test
     void aChangeShowsOnlyAfterTheLag() {
         standin.start(hosts);
--- a/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What the system relies on from the key-value service; the stand-in passes it too. */
+/** Contract of the key-value service that the system relies on, tested against the stand-in. */
 class KeyValueStoreContractTest {
-    /** Far longer than a call takes: only a test that would never end waits so long. */
+    /** Far longer than a call takes, so that only a test that hangs reaches it. */
     private static final int PATIENT_MILLIS = 60_000;
 
     private static final int IMPATIENT_MILLIS = 300;
 
-    /** Longer than any call here waits. */
+    /** Longer than the time-out of any call here. */
     private static final long NEVER_MILLIS = 600_000;
 
     private final EventLoopGroup group = Loopback.group();
@@ -113,7 +113,9 @@
                 .containsExactly("/p/c");
     }
 
-    /** A prefix with more keys than one page: the listing has all of them, and later changes have greater revisions. */
+    /**
+     * The prefix has more keys than fit on one page: all of them are listed, and later changes have greater revisions.
+     */
     @Test
     void allKeysOfAPrefixAreListed() {
         IntStream.range(0, 600).forEach(number -> create("/l/%04d".formatted(number), "v"));
@@ -163,7 +165,7 @@
         assertThat(seen).containsExactly("/w/between=2", "/w/after=3", "/w/after deleted");
     }
 
-    /** The service goes out: calls fail as unanswered, watches end and say so. */
+    /** During an outage of the service, calls fail as unanswered, and watches end and notify their listeners. */
     @Test
     void anOutageFailsCallsAndEndsWatches() throws IOException {
         AtomicBoolean ended = new AtomicBoolean();
--- a/src/test/java/org/gooseberryhill/link/HybridClockTest.java
+++ b/src/test/java/org/gooseberryhill/link/HybridClockTest.java
@@ -17,7 +17,7 @@
         assertThat(clock.now()).isGreaterThan(first);
     }
 
-    /** The sender's clock is ahead: what the receiver writes after the message still comes after it. */
+    /** The sender's clock is ahead: timestamps of the receiver after the message must still be greater. */
     @Test
     void anEffectComesAfterItsCauseOnAnotherHost() {
         HybridTimestamp sent = new HybridClock(() -> 9000).now();
--- a/src/test/java/org/gooseberryhill/link/JsonTreesTest.java
+++ b/src/test/java/org/gooseberryhill/link/JsonTreesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class JsonTreesTest {
-    /** The library's mapper is the measure: what it reads and writes these trees do as well. */
+    /** Compares the results with those of Jackson's {@code ObjectMapper}. */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/org/gooseberryhill/outbox/OutboxTest.java
+++ b/src/test/java/org/gooseberryhill/outbox/OutboxTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Submissions on a disk. */
+/** Tests the storage of submissions on a disk. */
 class OutboxTest {
     @TempDir
     Path folder;
@@ -52,7 +52,7 @@
         assertThat(outbox.read(entry("b", "owner").name()).join()).isEmpty();
     }
 
-    /** A drop that overtakes nothing: it is asked for while the disk still writes, and comes after it. */
+    /** A deletion that is requested while the write is still in progress must not overtake it. */
     @Test
     void aDropThatIsAskedForDuringAWriteComesAfterIt() {
         open();
@@ -63,7 +63,7 @@
         assertThat(outbox.readAll().join()).isEmpty();
     }
 
-    /** Two gateways took the same batch in: each of them runs it until the key-value store says whose it is. */
+    /** If two gateways accept the same batch, both run it until the key-value store decides which of them owns it. */
     @Test
     void theSameBatchOfTwoGatewaysIsKeptTwice() {
         open();
@@ -73,7 +73,7 @@
         assertThat(outbox.readAll().join()).hasSize(2);
     }
 
-    /** Power is lost inside a write, and what is left of the file is not what was to be written. */
+    /** A power failure during a write may leave a truncated file. */
     @Test
     void aDamagedSubmissionCountsAsMissing() throws IOException {
         open();
--- a/src/test/java/org/gooseberryhill/stored/StoredFormsTest.java
+++ b/src/test/java/org/gooseberryhill/stored/StoredFormsTest.java
@@ -38,7 +38,7 @@
                 .isEqualTo(checkpoints);
     }
 
-    /** A later version of the system writes a field more; this one reads what it knows. */
+    /** A later version of the system may write additional fields; this version reads those that it knows. */
     @Test
     void aFieldThatIsNotKnownIsPassedOver() {
         String json = new String(StoredForms.write(RECORD), StandardCharsets.UTF_8);
--- a/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
+++ b/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
@@ -16,8 +16,9 @@
     private static final List<String> KEYS = List.of("a", "b", "c");
 
     /**
-     * Changes and listings come from the store and from other hosts, again, late and out of order. Once all changes up to
-     * the latest revision have come, the view is what the store holds, and on the way no key ever goes back.
+     * Changes and listings arrive from the store and from other hosts repeatedly, late and out of order. Once all
+     * changes up to the latest revision have arrived, the view equals the store's content; until then no key goes back
+     * to an older revision.
      */
     @Property
     void whateverTheOrderOfTheNewsTheViewEndsAsTheStoreAndNeverGoesBack(@ForAll Random random) {
@@ -44,7 +45,7 @@
         assertThat(view.entries()).containsExactlyElementsOf(listing(history, 29));
     }
 
-    /** Another host passes on changes that begin after what this one knows: taking them would hide what lies between. */
+    /** Another host forwards changes that begin after the known revision: applying them would hide the missing ones. */
     @Test
     void changesAfterAGapAreRefused() {
         KeyView view = new KeyView();
@@ -55,7 +56,7 @@
         assertThat(view.revision()).isEqualTo(5);
     }
 
-    /** The store's history is gone; keys that were removed meanwhile are shown by their absence alone. */
+    /** If the store no longer has the history, only the absence of a key from the listing shows that it was deleted. */
     @Test
     void aKeyThatAListingLacksIsGoneUnlessItIsNewer() {
         KeyView view = new KeyView();
