--- a/src/main/java/org/gooseberryhill/control/ControlLoop.java
+++ b/src/main/java/org/gooseberryhill/control/ControlLoop.java
@@ -26,27 +26,28 @@
     /**
      * Maximum number of queued tasks; a full ring blocks the publishing I/O threads instead of growing without bound.
      */
-    private static final int RING_SIZE = 1 << 14;
+    private static final int RING_BUFFER_SIZE = 1 << 14;
 
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
     private static final Lazy<Logger> LOG = Logs.of(ControlLoop.class);
-    private static final EventTranslatorOneArg<TaskEvent, Runnable> FILL = (event, sequence, task) -> event.task = task;
+    private static final EventTranslatorOneArg<TaskEvent, Runnable> SET_TASK =
+            (event, sequence, task) -> event.task = task;
 
     private final Disruptor<TaskEvent> disruptor;
     private final Timers timers = new Timers(nowNanos());
-    private final Queue<Runnable> ownTasks = new ArrayDeque<>();
+    private final Queue<Runnable> nestedTasks = new ArrayDeque<>();
     private volatile Thread loopThread;
     private volatile boolean closed;
 
     /** Starts a loop; the name is the prefix of its thread's name. */
     public ControlLoop(String name) {
-        ThreadFactory loopFactory = task -> {
+        ThreadFactory threadFactory = task -> {
             loopThread = new Thread(task, name + "-control");
             loopThread.setDaemon(true);
             return loopThread;
         };
-        WaitStrategy waiting = new TimedWaitStrategy(() -> timers.nanosToNext(nowNanos()));
-        disruptor = new Disruptor<>(TaskEvent::new, RING_SIZE, loopFactory, ProducerType.MULTI, waiting);
+        WaitStrategy waitStrategy = new TimedWaitStrategy(() -> timers.nanosUntilNextDue(nowNanos()));
+        disruptor = new Disruptor<>(TaskEvent::new, RING_BUFFER_SIZE, threadFactory, ProducerType.MULTI, waitStrategy);
         disruptor.handleEventsWith(new TaskHandler());
         disruptor.start();
     }
@@ -65,10 +66,10 @@
         // Publishing from the loop's own thread to a full ring would deadlock, since only this thread frees slots.
         // Tasks submitted by a task therefore go to a separate queue and run right after the current task.
         if (Thread.currentThread() == loopThread) {
-            ownTasks.add(task);
+            nestedTasks.add(task);
             return;
         }
-        disruptor.publishEvent(FILL, task);
+        disruptor.publishEvent(SET_TASK, task);
     }
 
     /** Runs a task on the loop's thread after a delay in milliseconds. */
@@ -80,7 +81,7 @@
     /** Runs a task on the loop's thread repeatedly, with a pause in milliseconds before each run. */
     public void every(long pauseMillis, Runnable task) {
         after(pauseMillis, () -> {
-            runGuarded(task);
+            runLoggingExceptions(task);
             every(pauseMillis, task);
         });
     }
@@ -96,22 +97,22 @@
         }
     }
 
-    private void runAll(Runnable task) {
-        runGuarded(task);
-        while (!ownTasks.isEmpty()) {
-            runGuarded(ownTasks.poll());
+    private void runWithNestedTasks(Runnable task) {
+        runLoggingExceptions(task);
+        while (!nestedTasks.isEmpty()) {
+            runLoggingExceptions(nestedTasks.poll());
         }
     }
 
     private void runDueTimers() {
         Optional<Runnable> due = timers.takeDue(nowNanos());
         while (due.isPresent() && !closed) {
-            runAll(due.get());
+            runWithNestedTasks(due.get());
             due = timers.takeDue(nowNanos());
         }
     }
 
-    private static void runGuarded(Runnable task) {
+    private static void runLoggingExceptions(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -125,7 +126,7 @@
         public void onEvent(TaskEvent event, long sequence, boolean endOfBatch) {
             Runnable task = event.task;
             event.task = null;
-            runAll(task);
+            runWithNestedTasks(task);
             if (endOfBatch) {
                 runDueTimers();
             }
--- a/src/main/java/org/gooseberryhill/control/TimedWaitStrategy.java
+++ b/src/main/java/org/gooseberryhill/control/TimedWaitStrategy.java
@@ -19,12 +19,12 @@
  * and a producer publishes before it checks for a parked consumer; the fences preserve both orders.
  */
 final class TimedWaitStrategy implements WaitStrategy {
-    private final LongSupplier nanosToNextTimer;
-    private volatile Thread sleeper;
+    private final LongSupplier nanosUntilNextTimer;
+    private volatile Thread parkedThread;
 
     /** Creates a strategy from a supplier of the nanoseconds until the consumer's next timer is due. */
-    TimedWaitStrategy(LongSupplier nanosToNextTimer) {
-        this.nanosToNextTimer = nanosToNextTimer;
+    TimedWaitStrategy(LongSupplier nanosUntilNextTimer) {
+        this.nanosUntilNextTimer = nanosUntilNextTimer;
     }
 
     @Override
@@ -33,11 +33,11 @@
         long available = dependentSequence.get();
         while (available < sequence) {
             barrier.checkAlert();
-            long nanos = nanosToNextTimer.getAsLong();
+            long nanos = nanosUntilNextTimer.getAsLong();
             if (nanos <= 0) {
                 throw TimeoutException.INSTANCE;
             }
-            sleep(sequence, dependentSequence, nanos);
+            park(sequence, dependentSequence, nanos);
             available = dependentSequence.get();
         }
         return available;
@@ -46,18 +46,18 @@
     @Override
     public void signalAllWhenBlocking() {
         VarHandle.fullFence();
-        Thread sleeping = sleeper;
-        if (sleeping != null) {
-            LockSupport.unpark(sleeping);
+        Thread consumer = parkedThread;
+        if (consumer != null) {
+            LockSupport.unpark(consumer);
         }
     }
 
-    private void sleep(long sequence, Sequence dependentSequence, long nanos) {
-        sleeper = Thread.currentThread();
+    private void park(long sequence, Sequence dependentSequence, long nanos) {
+        parkedThread = Thread.currentThread();
         VarHandle.fullFence();
         if (dependentSequence.get() < sequence) {
             LockSupport.parkNanos(this, nanos);
         }
-        sleeper = null;
+        parkedThread = null;
     }
 }
--- a/src/main/java/org/gooseberryhill/control/Timers.java
+++ b/src/main/java/org/gooseberryhill/control/Timers.java
@@ -13,11 +13,11 @@
  */
 final class Timers {
     private static final Comparator<Timer> ORDER =
-            Comparator.comparingLong(Timer::dueNanos).thenComparingLong(Timer::number);
+            Comparator.comparingLong(Timer::dueOffsetNanos).thenComparingLong(Timer::insertionNumber);
 
-    private final Queue<Timer> waiting = new PriorityQueue<>(ORDER);
+    private final Queue<Timer> queue = new PriorityQueue<>(ORDER);
     private final long originNanos;
-    private long added;
+    private long addedCount;
 
     /** Creates an empty queue. Times are compared as offsets from the origin, which must not be after any of them. */
     Timers(long originNanos) {
@@ -26,26 +26,26 @@
 
     /** Adds a task that is due at {@code dueNanos}. */
     void add(long dueNanos, Runnable task) {
-        waiting.add(new Timer(dueNanos - originNanos, added++, task));
+        queue.add(new Timer(dueNanos - originNanos, addedCount++, task));
     }
 
     /** Removes and returns the next task that is due at {@code nowNanos}; empty if there is none. */
     Optional<Runnable> takeDue(long nowNanos) {
-        Timer next = waiting.peek();
-        if (next == null || next.dueNanos > nowNanos - originNanos) {
+        Timer next = queue.peek();
+        if (next == null || next.dueOffsetNanos > nowNanos - originNanos) {
             return Optional.empty();
         }
-        return Optional.of(waiting.poll().task);
+        return Optional.of(queue.poll().task);
     }
 
     /**
      * Returns the time until the next task is due: negative if it is overdue, {@link Long#MAX_VALUE} if there is none.
      */
-    long nanosToNext(long nowNanos) {
-        Timer next = waiting.peek();
-        return next == null ? Long.MAX_VALUE : next.dueNanos - (nowNanos - originNanos);
+    long nanosUntilNextDue(long nowNanos) {
+        Timer next = queue.peek();
+        return next == null ? Long.MAX_VALUE : next.dueOffsetNanos - (nowNanos - originNanos);
     }
 
     /** A task with its due time as an offset from the origin and its insertion number. */
-    private record Timer(long dueNanos, long number, Runnable task) {}
+    private record Timer(long dueOffsetNanos, long insertionNumber, Runnable task) {}
 }
--- a/src/main/java/org/gooseberryhill/external/EtcdJson.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdJson.java
@@ -44,7 +44,7 @@
         return encode(bytes);
     }
 
-    static ObjectNode transaction(Transaction transaction) {
+    static ObjectNode encodeTransaction(Transaction transaction) {
         ObjectNode body = Json.object();
         ArrayNode compare = body.putArray("compare");
         for (Transaction.Condition condition : transaction.conditions()) {
@@ -69,14 +69,14 @@
         return body;
     }
 
-    static KeyValueStore.ReadResult readResult(JsonNode answer) {
+    static KeyValueStore.ReadResult decodeReadResult(JsonNode answer) {
         List<KeyValueStore.Entry> entries = new ArrayList<>();
-        answer.path("kvs").forEach(node -> entries.add(entry(node)));
+        answer.path("kvs").forEach(node -> entries.add(decodeEntry(node)));
         return new KeyValueStore.ReadResult(
                 revision(answer), entries, answer.path("more").asBoolean(false));
     }
 
-    static KeyValueStore.Entry entry(JsonNode node) {
+    static KeyValueStore.Entry decodeEntry(JsonNode node) {
         return new KeyValueStore.Entry(
                 decodeText(node.path("key")),
                 decode(node.path("value")),
@@ -84,9 +84,9 @@
                 node.path("mod_revision").asLong());
     }
 
-    static Optional<KeyValueStore.Entry> eventEntry(JsonNode event) {
+    static Optional<KeyValueStore.Entry> decodeEvent(JsonNode event) {
         boolean deleted = event.path("type").asText("PUT").equals("DELETE");
-        return deleted ? Optional.empty() : Optional.of(entry(event.path("kv")));
+        return deleted ? Optional.empty() : Optional.of(decodeEntry(event.path("kv")));
     }
 
     static long revision(JsonNode answer) {
--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -22,10 +22,10 @@
 
 /** A client of an etcd v3 service over its published HTTP/JSON mapping. Thread-safe. */
 public final class EtcdKeyValueStore implements StreamingKeyValueStore {
-    private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-    private static final int WATCH_SILENCE_MILLIS = 600_000;
+    private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
+    private static final int WATCH_IDLE_TIMEOUT_MILLIS = 600_000;
     private static final long MILLIS_PER_SECOND = 1000;
-    private static final int LIST_PAGE_KEYS = 500;
+    private static final int KEYS_PER_PAGE = 500;
     private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
     private final HttpClient client;
@@ -51,7 +51,7 @@
     @Override
     public CompletableFuture<ReadResult> read(String key) {
         return call("/v3/kv/range", Json.object().put("key", EtcdJson.encode(key)))
-                .thenApply(EtcdJson::readResult);
+                .thenApply(EtcdJson::decodeReadResult);
     }
 
     @Override
@@ -59,7 +59,7 @@
         return call(
                         "/v3/kv/range",
                         Json.object().put("key", EtcdJson.encode(key)).put("keys_only", true))
-                .thenApply(answer -> EtcdJson.readResult(answer)
+                .thenApply(answer -> EtcdJson.decodeReadResult(answer)
                         .first()
                         .map(Entry::modRevision)
                         .orElse(0L));
@@ -71,7 +71,7 @@
                 .put("key", EtcdJson.encode(fromKey))
                 .put("range_end", EtcdJson.encodeRangeEnd(prefix))
                 .put("limit", Integer.toString(limit));
-        return call("/v3/kv/range", body).thenApply(EtcdJson::readResult);
+        return call("/v3/kv/range", body).thenApply(EtcdJson::decodeReadResult);
     }
 
     @Override
@@ -81,7 +81,7 @@
 
     @Override
     public CompletableFuture<WriteResult> write(Transaction transaction) {
-        return call("/v3/kv/txn", EtcdJson.transaction(transaction))
+        return call("/v3/kv/txn", EtcdJson.encodeTransaction(transaction))
                 .thenApply(answer ->
                         new WriteResult(answer.path("succeeded").asBoolean(false), EtcdJson.revision(answer)));
     }
@@ -114,8 +114,8 @@
                 .put("range_end", EtcdJson.encodeRangeEnd(prefix))
                 .put("start_revision", Long.toString(fromRevision));
         calls.increment();
-        Exchange exchange =
-                client.start(request("/v3/watch", Json.bytes(body), WATCH_SILENCE_MILLIS), new WatchStream(listener));
+        Exchange exchange = client.start(
+                request("/v3/watch", Json.bytes(body), WATCH_IDLE_TIMEOUT_MILLIS), new WatchResponseListener(listener));
         return exchange::cancel;
     }
 
@@ -126,7 +126,7 @@
 
     private CompletableFuture<Listing> listPage(
             String prefix, String fromKey, List<KeyChange> found, long oldestRevision) {
-        return readPrefix(prefix, fromKey, LIST_PAGE_KEYS).thenCompose(page -> {
+        return readPrefix(prefix, fromKey, KEYS_PER_PAGE).thenCompose(page -> {
             page.entries()
                     .forEach(entry -> found.add(KeyChange.written(entry.key(), entry.value(), entry.modRevision())));
             // The pages are no snapshot: the listing gets the oldest revision, so that changes after the first page are
@@ -141,20 +141,20 @@
 
     private CompletableFuture<JsonNode> call(String path, ObjectNode body) {
         calls.increment();
-        return client.call(request(path, Json.bytes(body), timeoutMillis), MAX_ANSWER_BYTES)
+        return client.call(request(path, Json.bytes(body), timeoutMillis), MAX_RESPONSE_BYTES)
                 .handle((result, failure) -> {
                     if (failure != null) {
                         throw new ExternalServiceException("key-value service: " + failure.getMessage());
                     }
-                    return requireAnswer(result);
+                    return requireSuccess(result);
                 });
     }
 
-    private ExchangeRequest request(String path, byte[] body, int silenceMillis) {
-        return new ExchangeRequest(address, "POST", path, JSON_HEADERS, body, silenceMillis, false);
+    private ExchangeRequest request(String path, byte[] body, int idleTimeoutMillis) {
+        return new ExchangeRequest(address, "POST", path, JSON_HEADERS, body, idleTimeoutMillis, false);
     }
 
-    private static JsonNode requireAnswer(HttpResult result) {
+    private static JsonNode requireSuccess(HttpResult result) {
         if (!result.isSuccess()) {
             throw new ExternalServiceException("key-value service: status " + result.status());
         }
@@ -163,12 +163,12 @@
     }
 
     /** Splits the response stream of a watch into lines and handles each of them. Used by one I/O thread only. */
-    private static final class WatchStream implements ExchangeListener {
+    private static final class WatchResponseListener implements ExchangeListener {
         private final WatchListener listener;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
         private final AtomicBoolean ended = new AtomicBoolean();
 
-        WatchStream(WatchListener listener) {
+        WatchResponseListener(WatchListener listener) {
             this.listener = listener;
         }
 
@@ -183,7 +183,7 @@
         public void onBytes(byte[] bytes) {
             for (byte next : bytes) {
                 if (next == '\n') {
-                    takeLine(line.toByteArray());
+                    handleLine(line.toByteArray());
                     line.reset();
                 } else {
                     line.write(next);
@@ -201,14 +201,14 @@
             end();
         }
 
-        private void takeLine(byte[] json) {
+        private void handleLine(byte[] json) {
             JsonNode result = Json.tree(json).map(node -> node.path("result")).getOrElse(Json.object());
             if (result.path("canceled").asBoolean(false)) {
                 end();
                 return;
             }
             for (JsonNode event : result.path("events")) {
-                listener.onChange(EtcdJson.decodeText(event.path("kv").path("key")), EtcdJson.eventEntry(event));
+                listener.onChange(EtcdJson.decodeText(event.path("kv").path("key")), EtcdJson.decodeEvent(event));
             }
         }
 
--- a/src/main/java/org/gooseberryhill/external/HttpHostList.java
+++ b/src/main/java/org/gooseberryhill/external/HttpHostList.java
@@ -9,7 +9,7 @@
 
 /** Reads the host list over HTTP: {@code GET /hosts} returns a JSON object. Thread-safe. */
 public final class HttpHostList implements HostList {
-    private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
     private final HttpClient client;
     private final Address address;
@@ -29,7 +29,7 @@
     public CompletableFuture<Listing> read() {
         ExchangeRequest request =
                 new ExchangeRequest(address, "GET", "/hosts", Map.of(), new byte[0], timeoutMillis, false);
-        return client.call(request, MAX_ANSWER_BYTES).handle((result, failure) -> {
+        return client.call(request, MAX_RESPONSE_BYTES).handle((result, failure) -> {
             if (failure != null || !result.isSuccess()) {
                 throw new ExternalServiceException("host list: " + (failure == null ? result.status() : failure));
             }
--- a/src/main/java/org/gooseberryhill/link/JsonTrees.java
+++ b/src/main/java/org/gooseberryhill/link/JsonTrees.java
@@ -32,7 +32,7 @@
             if (token == null) {
                 throw new IOException("empty");
             }
-            return value(parser, token);
+            return readValue(parser, token);
         }
     }
 
@@ -47,12 +47,12 @@
         return out.toByteArray();
     }
 
-    private static JsonNode value(JsonParser parser, JsonToken token) throws IOException {
+    private static JsonNode readValue(JsonParser parser, JsonToken token) throws IOException {
         return switch (token) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> array(parser);
+            case START_OBJECT -> readObject(parser);
+            case START_ARRAY -> readArray(parser);
             case VALUE_STRING -> NODES.textNode(parser.getText());
-            case VALUE_NUMBER_INT -> integer(parser);
+            case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
@@ -61,23 +61,23 @@
         };
     }
 
-    private static JsonNode object(JsonParser parser) throws IOException {
+    private static JsonNode readObject(JsonParser parser) throws IOException {
         ObjectNode object = NODES.objectNode();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-            object.set(name, value(parser, parser.nextToken()));
+            object.set(name, readValue(parser, parser.nextToken()));
         }
         return object;
     }
 
-    private static JsonNode array(JsonParser parser) throws IOException {
+    private static JsonNode readArray(JsonParser parser) throws IOException {
         ArrayNode array = NODES.arrayNode();
         for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
-            array.add(value(parser, token));
+            array.add(readValue(parser, token));
         }
         return array;
     }
 
-    private static JsonNode integer(JsonParser parser) throws IOException {
+    private static JsonNode readInteger(JsonParser parser) throws IOException {
         return switch (parser.getNumberType()) {
             case INT -> NODES.numberNode(parser.getIntValue());
             case LONG -> NODES.numberNode(parser.getLongValue());
--- a/src/main/java/org/gooseberryhill/outbox/Outbox.java
+++ b/src/main/java/org/gooseberryhill/outbox/Outbox.java
@@ -35,13 +35,13 @@
     /** Stores a submission; completes when it is durable. */
     CompletableFuture<Void> put(OutboxEntry entry) {
         return onDisk(() -> {
-            folder.put(entry.name(), OutboxForms.write(entry));
+            folder.put(entry.name(), OutboxEntryCodec.write(entry));
             return null;
         });
     }
 
     /** Deletes a submission; completes when the deletion is durable. */
-    CompletableFuture<Void> drop(String name) {
+    CompletableFuture<Void> delete(String name) {
         return onDisk(() -> {
             folder.delete(name);
             return null;
@@ -50,7 +50,7 @@
 
     /** Reads a submission; empty if it does not exist or its file is damaged. */
     CompletableFuture<Optional<OutboxEntry>> read(String name) {
-        return onDisk(() -> readNow(name));
+        return onDisk(() -> readEntry(name));
     }
 
     /** Reads all undamaged submissions. */
@@ -58,7 +58,7 @@
         return onDisk(() -> {
             List<OutboxEntry> entries = new ArrayList<>();
             for (String name : folder.names()) {
-                readNow(name).ifPresent(entries::add);
+                readEntry(name).ifPresent(entries::add);
             }
             return entries;
         });
@@ -69,11 +69,12 @@
         disk.shutdown();
     }
 
-    private Optional<OutboxEntry> readNow(String name) throws IOException {
-        return folder.get(name).flatMap(content -> OutboxForms.read(content).toJavaOptional());
+    private Optional<OutboxEntry> readEntry(String name) throws IOException {
+        return folder.get(name)
+                .flatMap(content -> OutboxEntryCodec.read(content).toJavaOptional());
     }
 
-    private <T> CompletableFuture<T> onDisk(DiskCall<T> call) {
+    private <T> CompletableFuture<T> onDisk(DiskOperation<T> call) {
         Supplier<T> supplier = () -> {
             try {
                 return call.run();
@@ -86,7 +87,7 @@
 
     /** An operation that blocks on the disk. */
     @FunctionalInterface
-    private interface DiskCall<T> {
+    private interface DiskOperation<T> {
         T run() throws IOException;
     }
 }
--- a/src/main/java/org/gooseberryhill/outbox/OutboxEntry.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxEntry.java
@@ -9,9 +9,9 @@
  * @param batch the batch's id
  * @param record the record to create
  * @param body the batch's items as they were submitted
- * @param keptAtMillis when it was stored, in epoch milliseconds of this host's wall clock
+ * @param storedAtMillis when it was stored, in epoch milliseconds of this host's wall clock
  */
-record OutboxEntry(String batch, BatchRecord record, byte[] body, long keptAtMillis) {
+record OutboxEntry(String batch, BatchRecord record, byte[] body, long storedAtMillis) {
     /**
      * Returns the name of a submission, which identifies the batch, its body and the gateway process that accepted it.
      */
--- a/src/main/java/org/gooseberryhill/outbox/OutboxForms.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxEntryCodec.java
@@ -9,13 +9,13 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Encodes and decodes submissions on disk, as MessagePack. Stateless. */
-final class OutboxForms {
-    private OutboxForms() {}
+final class OutboxEntryCodec {
+    private OutboxEntryCodec() {}
 
     static byte[] write(OutboxEntry entry) throws IOException {
         byte[] record = StoredForms.write(entry.record());
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packString(entry.batch()).packLong(entry.keptAtMillis());
+            packer.packString(entry.batch()).packLong(entry.storedAtMillis());
             packer.packBinaryHeader(record.length).writePayload(record);
             packer.packBinaryHeader(entry.body().length).writePayload(entry.body());
             return packer.toByteArray();
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -33,17 +33,17 @@
  * sync takes milliseconds.
  */
 public final class OutboxProcess implements Closeable {
-    private static final int TRAFFIC_THREADS = 1;
-    private static final long TICK_MILLIS = 250;
-    private static final long LOG_FLUSH_MILLIS = 250;
+    private static final int IO_THREADS = 1;
+    private static final long TICK_PERIOD_MILLIS = 250;
+    private static final long LOG_FLUSH_PERIOD_MILLIS = 250;
     private static final long GROUP_SHUTDOWN_MILLIS = 100;
 
     /** Maximum time that a planned stop waits for the removal of the host's registration. */
-    private static final long RELEASE_MILLIS = 1000;
+    private static final long RELEASE_TIMEOUT_MILLIS = 1000;
 
     private final OutboxSettings settings;
     private final String processStart = ProcessStarts.next();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(TRAFFIC_THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
     private final HttpClient http = new HttpClient(group);
     private final LogSink log = new LogSink();
@@ -51,7 +51,7 @@
     private final Timeline timeline;
     private final HostRegistration registration;
     private final Outbox outbox;
-    private final OutboxKeeper keeper;
+    private final OutboxService service;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private final AtomicBoolean closed = new AtomicBoolean();
     private Optional<PeerServer> peerServer = Optional.empty();
@@ -66,7 +66,7 @@
         this.registration =
                 new HostRegistration(loop, store, timeline, () -> new ListedHost(settings.self(), processStart));
         this.outbox = new Outbox(settings.dataFolder());
-        this.keeper = new OutboxKeeper(
+        this.service = new OutboxService(
                 loop, timeline, outbox, new BatchStore(store, batches), new OutboxTiming(settings.retentionMillis()));
     }
 
@@ -83,11 +83,11 @@
                 settings.self().address(),
                 clock,
                 new PeerTraffic(),
-                (from, message) -> keeper.handle(message)));
+                (from, message) -> service.handle(message)));
         loop.execute(() -> {
-            keeper.start(registration::start);
-            loop.every(TICK_MILLIS, keeper::tick);
-            loop.every(LOG_FLUSH_MILLIS, log::flush);
+            service.start(registration::start);
+            loop.every(TICK_PERIOD_MILLIS, service::tick);
+            loop.every(LOG_FLUSH_PERIOD_MILLIS, log::flush);
         });
     }
 
@@ -95,10 +95,10 @@
     public void askStop() {
         loop.execute(() -> {
             timeline.event(EventKind.PROCESS_STOPPING)
-                    .with("submissions", keeper.submissions())
+                    .with("submissions", service.submissionCount())
                     .write();
-            registration.release(this::end);
-            loop.after(RELEASE_MILLIS, this::end);
+            registration.release(this::completeStop);
+            loop.after(RELEASE_TIMEOUT_MILLIS, this::completeStop);
         });
     }
 
@@ -125,10 +125,10 @@
                 .awaitUninterruptibly(2 * GROUP_SHUTDOWN_MILLIS);
     }
 
-    private void end() {
+    private void completeStop() {
         if (!ended.isDone()) {
             timeline.event(EventKind.PROCESS_ENDED)
-                    .with("submissions", keeper.submissions())
+                    .with("submissions", service.submissionCount())
                     .write();
             ended.complete(null);
         }
--- a/src/main/java/org/gooseberryhill/outbox/OutboxKeeper.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxService.java
@@ -27,19 +27,19 @@
  * gateway says that it was not accepted ({@link OutboxMessage.Drop}), or when it is so old that its batch may have been
  * finished and deleted.
  */
-final class OutboxKeeper {
+final class OutboxService {
     /** How long a host that is being evacuated accepts no submissions after each {@link OutboxMessage.StateAsk}. */
-    private static final long EMPTYING_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long EVACUATION_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final ControlLoop loop;
     private final Timeline timeline;
     private final Outbox outbox;
     private final BatchStore store;
     private final OutboxTiming timing;
-    private final Map<String, String> batchesByName = new LinkedHashMap<>();
-    private OptionalLong emptyingSinceNanos = OptionalLong.empty();
+    private final Map<String, String> batchIdsByName = new LinkedHashMap<>();
+    private OptionalLong evacuationRequestedNanos = OptionalLong.empty();
 
-    OutboxKeeper(ControlLoop loop, Timeline timeline, Outbox outbox, BatchStore store, OutboxTiming timing) {
+    OutboxService(ControlLoop loop, Timeline timeline, Outbox outbox, BatchStore store, OutboxTiming timing) {
         this.loop = loop;
         this.timeline = timeline;
         this.outbox = outbox;
@@ -48,20 +48,20 @@
     }
 
     /** Loads the submissions on the disk, then runs the action, also if the disk failed. */
-    void start(Runnable then) {
+    void start(Runnable onLoaded) {
         onLoop(outbox.readAll(), (entries, failure) -> {
             if (failure != null) {
-                diskFailed("", failure);
+                logDiskFailure("", failure);
             } else {
-                entries.forEach(this::keep);
+                entries.forEach(this::register);
             }
-            then.run();
+            onLoaded.run();
         });
     }
 
     /** Returns the number of stored submissions. */
-    int submissions() {
-        return batchesByName.size();
+    int submissionCount() {
+        return batchIdsByName.size();
     }
 
     /** Handles a message and returns the reply. May be called from any thread. */
@@ -74,9 +74,9 @@
     /** Creates the records that are due. Called periodically. */
     void tick() {
         long nowNanos = loop.nowNanos();
-        for (String name : List.copyOf(batchesByName.keySet())) {
+        for (String name : List.copyOf(batchIdsByName.keySet())) {
             if (timing.takeTry(name, nowNanos)) {
-                onLoop(outbox.read(name), (entry, failure) -> record(name, entry, failure));
+                onLoop(outbox.read(name), (entry, failure) -> createRecord(name, entry, failure));
             }
         }
     }
@@ -85,81 +85,81 @@
         if (message instanceof OutboxMessage.Put put) {
             put(put, reply);
         } else if (message instanceof OutboxMessage.Drop drop) {
-            forget(OutboxEntry.nameOf(drop.batch(), drop.record()));
+            delete(OutboxEntry.nameOf(drop.batch(), drop.record()));
             reply.complete(new PeerMessage.Ack());
         } else if (message instanceof OutboxMessage.StateAsk) {
-            emptyingSinceNanos = OptionalLong.of(loop.nowNanos());
-            batchesByName.keySet().forEach(name -> timing.hurry(name, loop.nowNanos()));
-            reply.complete(new OutboxMessage.State(submissions()));
+            evacuationRequestedNanos = OptionalLong.of(loop.nowNanos());
+            batchIdsByName.keySet().forEach(name -> timing.hurry(name, loop.nowNanos()));
+            reply.complete(new OutboxMessage.State(submissionCount()));
         } else {
             reply.complete(new PeerMessage.Ack());
         }
     }
 
     private void put(OutboxMessage.Put put, CompletableFuture<PeerMessage> reply) {
-        if (isEmptying()) {
+        if (isEvacuating()) {
             reply.complete(new OutboxMessage.Kept(false));
             return;
         }
         OutboxEntry entry = new OutboxEntry(put.batch(), put.record(), put.body(), System.currentTimeMillis());
         onLoop(outbox.put(entry), (done, failure) -> {
             if (failure != null) {
-                diskFailed(put.batch(), failure);
+                logDiskFailure(put.batch(), failure);
                 reply.complete(new OutboxMessage.Kept(false));
                 return;
             }
-            keep(entry);
+            register(entry);
             reply.complete(new OutboxMessage.Kept(true));
             timeline.event(EventKind.SUBMISSION_KEPT)
                     .job(put.batch())
                     .with("bytes", put.body().length)
-                    .with("submissions", submissions())
+                    .with("submissions", submissionCount())
                     .write();
         });
     }
 
-    private void keep(OutboxEntry entry) {
-        batchesByName.put(entry.name(), entry.batch());
+    private void register(OutboxEntry entry) {
+        batchIdsByName.put(entry.name(), entry.batch());
         timing.kept(entry.name(), loop.nowNanos());
     }
 
-    private void forget(String name) {
-        batchesByName.remove(name);
+    private void delete(String name) {
+        batchIdsByName.remove(name);
         timing.dropped(name);
-        onLoop(outbox.drop(name), (done, failure) -> {
+        onLoop(outbox.delete(name), (done, failure) -> {
             if (failure != null) {
-                diskFailed("", failure);
+                logDiskFailure("", failure);
             }
         });
     }
 
-    private void record(String name, Optional<OutboxEntry> entry, Throwable failure) {
+    private void createRecord(String name, Optional<OutboxEntry> entry, Throwable failure) {
         if (failure != null) {
-            diskFailed(batchesByName.getOrDefault(name, ""), failure);
+            logDiskFailure(batchIdsByName.getOrDefault(name, ""), failure);
             return;
         }
         if (entry.isEmpty()) {
             // The submission was deleted in the meantime, or its file is damaged and other hosts hold the copies.
-            batchesByName.remove(name);
+            batchIdsByName.remove(name);
             timing.dropped(name);
             return;
         }
         OutboxEntry submission = entry.get();
-        long keptMillis = System.currentTimeMillis() - submission.keptAtMillis();
-        if (timing.isExpired(keptMillis)) {
+        long ageMillis = System.currentTimeMillis() - submission.storedAtMillis();
+        if (timing.isExpired(ageMillis)) {
             timeline.event(EventKind.SUBMISSION_EXPIRED)
                     .job(submission.batch())
-                    .with("keptMillis", keptMillis)
+                    .with("keptMillis", ageMillis)
                     .write();
-            forget(name);
+            delete(name);
             return;
         }
         onLoop(
                 store.create(submission.batch(), submission.record(), submission.body()),
-                (result, unanswered) -> recorded(submission, result, unanswered));
+                (result, createFailure) -> onCreateResult(submission, result, createFailure));
     }
 
-    private void recorded(OutboxEntry submission, KeyValueStore.WriteResult result, Throwable failure) {
+    private void onCreateResult(OutboxEntry submission, KeyValueStore.WriteResult result, Throwable failure) {
         if (failure != null) {
             timeline.event(EventKind.BATCH_WRITE_UNANSWERED)
                     .job(submission.batch())
@@ -170,16 +170,17 @@
         timeline.event(EventKind.SUBMISSION_RECORDED)
                 .job(submission.batch())
                 .with("created", result.succeeded())
-                .with("keptMillis", System.currentTimeMillis() - submission.keptAtMillis())
+                .with("keptMillis", System.currentTimeMillis() - submission.storedAtMillis())
                 .write();
-        forget(submission.name());
+        delete(submission.name());
     }
 
-    private boolean isEmptying() {
-        return emptyingSinceNanos.isPresent() && loop.nowNanos() - emptyingSinceNanos.getAsLong() < EMPTYING_NANOS;
+    private boolean isEvacuating() {
+        return evacuationRequestedNanos.isPresent()
+                && loop.nowNanos() - evacuationRequestedNanos.getAsLong() < EVACUATION_NANOS;
     }
 
-    private void diskFailed(String batch, Throwable failure) {
+    private void logDiskFailure(String batch, Throwable failure) {
         timeline.event(EventKind.DISK_FAILED)
                 .job(batch)
                 .with("reason", String.valueOf(failure))
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -31,7 +31,7 @@
     private static final int MAX_VALUE_BYTES = 768 * 1024;
 
     /** The store accepts at most 32 entries in one transaction, and the condition is one of them. */
-    private static final int DELETIONS_PER_WRITE = 31;
+    private static final int MAX_DELETIONS_PER_TRANSACTION = 31;
 
     private final PollingKeyValueStore store;
     private final BatchDialect dialect;
@@ -51,21 +51,21 @@
      * Creates a batch, that is its record and all its items, in one transaction that succeeds only if the id is unused.
      */
     public CompletableFuture<KeyValueStore.WriteResult> create(String id, BatchRecord record, byte[] body) {
-        Transaction.Builder create = Transaction.builder()
+        Transaction.Builder transaction = Transaction.builder()
                 .ifWrittenAt(StoredKeys.batch(id), 0)
                 .put(StoredKeys.batch(id), StoredForms.write(record));
         for (int part = 0; part < record.bodyParts(); part++) {
             int from = part * MAX_VALUE_BYTES;
             byte[] value = Arrays.copyOfRange(body, from, Math.min(body.length, from + MAX_VALUE_BYTES));
-            create.put(StoredKeys.body(id, part), value);
+            transaction.put(StoredKeys.body(id, part), value);
         }
-        return store.write(create.build());
+        return store.write(transaction.build());
     }
 
     /** Reads a batch's record and its revision; empty if there is no such batch. */
     public CompletableFuture<Optional<Stored>> read(String id) {
         return store.read(StoredKeys.batch(id))
-                .thenApply(result -> result.first().map(entry -> stored(id, entry.value(), entry.modRevision())));
+                .thenApply(result -> result.first().map(entry -> decodeRecord(id, entry.value(), entry.modRevision())));
     }
 
     /** Reads the entry of a live host; empty if it has none or if it is unreadable. */
@@ -86,7 +86,7 @@
             List<Stored> records = new ArrayList<>();
             for (KeyChange entry : listing.entries()) {
                 String id = entry.key().substring(StoredKeys.BATCHES.length());
-                records.add(stored(id, entry.value().orElseThrow(), entry.revision()));
+                records.add(decodeRecord(id, entry.value().orElseThrow(), entry.revision()));
             }
             return records;
         });
@@ -121,11 +121,11 @@
                 transaction.delete(StoredKeys.progress(commit.id));
             }
         }
-        for (Progress saved : progress) {
-            if (commits.stream().noneMatch(commit -> commit.id.equals(saved.id))) {
-                transaction.ifWrittenAt(StoredKeys.batch(saved.id), saved.revision);
+        for (Progress checkpoints : progress) {
+            if (commits.stream().noneMatch(commit -> commit.id.equals(checkpoints.id))) {
+                transaction.ifWrittenAt(StoredKeys.batch(checkpoints.id), checkpoints.revision);
             }
-            transaction.put(StoredKeys.progress(saved.id), StoredForms.writeCheckpoints(saved.items));
+            transaction.put(StoredKeys.progress(checkpoints.id), StoredForms.writeCheckpoints(checkpoints.items));
         }
         return store.write(transaction.build());
     }
@@ -149,7 +149,7 @@
         if (from >= keys.size()) {
             return CompletableFuture.completedFuture(true);
         }
-        int to = Math.min(keys.size(), from + DELETIONS_PER_WRITE);
+        int to = Math.min(keys.size(), from + MAX_DELETIONS_PER_TRANSACTION);
         Transaction.Builder transaction =
                 Transaction.builder().ifWrittenAt(StoredKeys.batch(found.id()), found.revision());
         keys.subList(from, to).forEach(transaction::delete);
@@ -163,7 +163,7 @@
         String key = StoredKeys.progress(id);
         return store.read(key)
                 .thenApply(result -> result.first()
-                        .map(entry -> require(key, StoredForms.readCheckpoints(entry.value())))
+                        .map(entry -> requireDecoded(key, StoredForms.readCheckpoints(entry.value())))
                         .orElse(List.of()));
     }
 
@@ -178,7 +178,7 @@
 
     /** Reads all items of a batch. */
     public CompletableFuture<List<BatchItem>> items(String id, BatchRecord record) {
-        return parts(id, record, 0, new ByteArrayOutputStream())
+        return readParts(id, record, 0, new ByteArrayOutputStream())
                 .thenApply(body -> dialect.items(body)
                         .getOrElseThrow(findings ->
                                 new ExternalServiceException("items of batch " + id + " are invalid: " + findings)));
@@ -192,10 +192,10 @@
      */
     public CompletableFuture<List<ItemResult>> results(String id, BatchRecord record, int firstChunk, int chunks) {
         int last = Math.min(record.chunks().size(), firstChunk + chunks);
-        return chunk(id, record, firstChunk, last, new ArrayList<>());
+        return readChunks(id, record, firstChunk, last, new ArrayList<>());
     }
 
-    private CompletableFuture<List<ItemResult>> chunk(
+    private CompletableFuture<List<ItemResult>> readChunks(
             String id, BatchRecord record, int chunk, int last, List<ItemResult> found) {
         if (chunk >= last) {
             return CompletableFuture.completedFuture(found);
@@ -203,11 +203,11 @@
         String key = StoredKeys.results(id, record.chunks().get(chunk));
         return store.read(key).thenCompose(result -> {
             found.addAll(decodeResults(key, result.first()));
-            return chunk(id, record, chunk + 1, last, found);
+            return readChunks(id, record, chunk + 1, last, found);
         });
     }
 
-    private CompletableFuture<byte[]> parts(String id, BatchRecord record, int part, ByteArrayOutputStream found) {
+    private CompletableFuture<byte[]> readParts(String id, BatchRecord record, int part, ByteArrayOutputStream found) {
         if (part >= record.bodyParts()) {
             return CompletableFuture.completedFuture(found.toByteArray());
         }
@@ -216,22 +216,22 @@
             found.writeBytes(result.first()
                     .orElseThrow(() -> new ExternalServiceException(key + " is missing"))
                     .value());
-            return parts(id, record, part + 1, found);
+            return readParts(id, record, part + 1, found);
         });
     }
 
     private static List<ItemResult> decodeResults(String key, Optional<KeyValueStore.Entry> entry) {
         byte[] value = entry.orElseThrow(() -> new ExternalServiceException(key + " is missing"))
                 .value();
-        return require(key, StoredForms.readResults(value));
+        return requireDecoded(key, StoredForms.readResults(value));
     }
 
-    private static <T> T require(String key, Try<T> decoded) {
+    private static <T> T requireDecoded(String key, Try<T> decoded) {
         return decoded.getOrElseThrow(failure -> new ExternalServiceException(key + ": " + failure.getMessage()));
     }
 
-    private static Stored stored(String id, byte[] value, long revision) {
-        BatchRecord record = require("batch " + id, StoredForms.readRecord(value));
+    private static Stored decodeRecord(String id, byte[] value, long revision) {
+        BatchRecord record = requireDecoded("batch " + id, StoredForms.readRecord(value));
         return new Stored(id, record, revision);
     }
 
--- a/src/main/java/org/gooseberryhill/view/KeyView.java
+++ b/src/main/java/org/gooseberryhill/view/KeyView.java
@@ -16,8 +16,8 @@
  * endpoint that has left, and requests would be sent to it again.
  */
 public final class KeyView {
-    private final Map<String, KeyChange> present = new TreeMap<>();
-    private final Map<String, Long> deletedAt = new HashMap<>();
+    private final Map<String, KeyChange> entriesByKey = new TreeMap<>();
+    private final Map<String, Long> deletionRevisions = new HashMap<>();
     private long revision;
 
     /** Returns the revision up to which all changes are known; 0 before the first listing. */
@@ -27,12 +27,12 @@
 
     /** Returns the existing keys in ascending order. */
     public List<KeyChange> entries() {
-        return List.copyOf(present.values());
+        return List.copyOf(entriesByKey.values());
     }
 
     /** Returns a key's entry; empty if the key does not exist. */
     public Optional<KeyChange> find(String key) {
-        return Optional.ofNullable(present.get(key));
+        return Optional.ofNullable(entriesByKey.get(key));
     }
 
     /**
@@ -44,16 +44,16 @@
         if (revision == 0 || fromRevision > revision) {
             return Optional.empty();
         }
-        List<KeyChange> news = new ArrayList<>();
+        List<KeyChange> effective = new ArrayList<>();
         for (KeyChange change : changes) {
             // All changes up to the known revision are included, also deletions: an older write must not restore a
             // deleted key.
-            if (change.revision() > revision && take(change)) {
-                news.add(change);
+            if (change.revision() > revision && apply(change)) {
+                effective.add(change);
             }
         }
         revision = Math.max(revision, toRevision);
-        return Optional.of(news);
+        return Optional.of(effective);
     }
 
     /**
@@ -65,40 +65,40 @@
         if (listedRevision < revision) {
             return List.of();
         }
-        List<KeyChange> news = new ArrayList<>();
+        List<KeyChange> effective = new ArrayList<>();
         Map<String, KeyChange> listed = new HashMap<>();
         for (KeyChange entry : listing) {
             listed.put(entry.key(), entry);
-            if (take(entry)) {
-                news.add(entry);
+            if (apply(entry)) {
+                effective.add(entry);
             }
         }
-        List<KeyChange> missing = present.values().stream()
+        List<KeyChange> removed = entriesByKey.values().stream()
                 .filter(entry -> !listed.containsKey(entry.key()) && entry.revision() <= listedRevision)
                 .map(entry -> KeyChange.deleted(entry.key(), listedRevision))
                 .toList();
-        for (KeyChange gone : missing) {
-            take(gone);
-            news.add(gone);
+        for (KeyChange deletion : removed) {
+            apply(deletion);
+            effective.add(deletion);
         }
-        deletedAt.values().removeIf(at -> at < listedRevision);
+        deletionRevisions.values().removeIf(at -> at < listedRevision);
         revision = listedRevision;
-        return news;
+        return effective;
     }
 
-    private boolean take(KeyChange change) {
-        KeyChange known = present.get(change.key());
-        long knownRevision = known != null ? known.revision() : deletedAt.getOrDefault(change.key(), 0L);
+    private boolean apply(KeyChange change) {
+        KeyChange known = entriesByKey.get(change.key());
+        long knownRevision = known != null ? known.revision() : deletionRevisions.getOrDefault(change.key(), 0L);
         if (change.revision() <= knownRevision) {
             return false;
         }
         if (change.value().isPresent()) {
-            present.put(change.key(), change);
-            deletedAt.remove(change.key());
+            entriesByKey.put(change.key(), change);
+            deletionRevisions.remove(change.key());
             return true;
         }
-        present.remove(change.key());
-        deletedAt.put(change.key(), change.revision());
+        entriesByKey.remove(change.key());
+        deletionRevisions.put(change.key(), change.revision());
         return known != null;
     }
 }
--- a/src/test/java/org/gooseberryhill/control/ControlLoopTest.java
+++ b/src/test/java/org/gooseberryhill/control/ControlLoopTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 class ControlLoopTest {
-    private static final long PATIENCE_SECONDS = 120;
+    private static final long TIMEOUT_SECONDS = 120;
 
     private final ControlLoop loop = new ControlLoop("test");
-    private final BlockingQueue<String> ran = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> executed = new LinkedBlockingQueue<>();
 
     @AfterEach
     void close() {
@@ -23,10 +23,10 @@
     }
 
     @Test
-    void tasksRunInTheOrderOfTheirComing() throws InterruptedException {
+    void tasksRunInTheOrderOfSubmission() throws InterruptedException {
         for (int i = 0; i < 1000; i++) {
             String name = "task-" + i;
-            loop.execute(() -> ran.add(name));
+            loop.execute(() -> executed.add(name));
         }
 
         assertThat(take(1000)).startsWith("task-0", "task-1").endsWith("task-999");
@@ -34,33 +34,33 @@
 
     /** The thread is parked until its next timer is due: a new task must wake it up. */
     @Test
-    void aTaskDoesNotWaitForATimerThatIsFarAway() throws InterruptedException {
-        loop.after(TimeUnit.HOURS.toMillis(1), () -> ran.add("timer"));
-        loop.execute(() -> ran.add("first"));
+    void aTaskDoesNotWaitForALaterTimer() throws InterruptedException {
+        loop.after(TimeUnit.HOURS.toMillis(1), () -> executed.add("timer"));
+        loop.execute(() -> executed.add("first"));
         assertThat(take(1)).containsExactly("first");
 
-        loop.execute(() -> ran.add("second"));
+        loop.execute(() -> executed.add("second"));
 
         assertThat(take(1)).containsExactly("second");
     }
 
     @Test
-    void aTimerThatIsDueSoonerDoesNotWaitForOneThatWasAddedBefore() throws InterruptedException {
+    void anEarlierTimerDoesNotWaitForALaterOneAddedBefore() throws InterruptedException {
         loop.execute(() -> {
-            loop.after(TimeUnit.HOURS.toMillis(1), () -> ran.add("later"));
-            loop.after(20, () -> ran.add("sooner"));
+            loop.after(TimeUnit.HOURS.toMillis(1), () -> executed.add("later"));
+            loop.after(20, () -> executed.add("sooner"));
         });
         assertThat(take(1)).containsExactly("sooner");
 
-        loop.after(20, () -> ran.add("next"));
+        loop.after(20, () -> executed.add("next"));
 
         assertThat(take(1)).containsExactly("next");
     }
 
     @Test
-    void aTaskOfThePeriodRunsAgainAfterItHasFailed() throws InterruptedException {
+    void aPeriodicTaskRunsAgainAfterAFailure() throws InterruptedException {
         loop.every(1, () -> {
-            ran.add("run");
+            executed.add("run");
             throw new IllegalStateException("expected failure of the task");
         });
 
@@ -78,12 +78,12 @@
             }
         });
 
-        assertThat(left.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(left.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
 
     /** Several threads submit tasks while the loop's thread parks and wakes up repeatedly: no wake-up may be lost. */
     @Test
-    void noTaskIsLeftWhileTheLoopSleeps() throws InterruptedException {
+    void noTaskIsLeftWaitingWhileTheLoopIsParked() throws InterruptedException {
         int threads = 4;
         int tasks = 2000;
         CountDownLatch left = new CountDownLatch(threads * tasks);
@@ -97,21 +97,21 @@
                     .start();
         }
 
-        assertThat(left.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(left.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void aClosedLoopDropsTasks() {
+    void aClosedLoopDiscardsTasks() {
         loop.close();
-        loop.execute(() -> ran.add("late"));
+        loop.execute(() -> executed.add("late"));
 
-        assertThat(ran).isEmpty();
+        assertThat(executed).isEmpty();
     }
 
     private List<String> take(int number) throws InterruptedException {
         List<String> taken = new ArrayList<>();
         for (int i = 0; i < number; i++) {
-            taken.add(ran.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            taken.add(executed.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
         return taken;
     }
--- a/src/test/java/org/gooseberryhill/control/TimersTest.java
+++ b/src/test/java/org/gooseberryhill/control/TimersTest.java
@@ -14,42 +14,42 @@
     private static final long ORIGIN_NANOS = Long.MAX_VALUE - 5;
 
     private final Timers timers = new Timers(ORIGIN_NANOS);
-    private final List<String> ran = new ArrayList<>();
+    private final List<String> executed = new ArrayList<>();
 
     @Test
-    void tasksComeOutInTheOrderOfTheirTimes() {
-        timers.add(ORIGIN_NANOS + 30, () -> ran.add("third"));
-        timers.add(ORIGIN_NANOS + 10, () -> ran.add("first"));
-        timers.add(ORIGIN_NANOS + 20, () -> ran.add("second"));
+    void tasksAreTakenInTheOrderOfTheirDueTimes() {
+        timers.add(ORIGIN_NANOS + 30, () -> executed.add("third"));
+        timers.add(ORIGIN_NANOS + 10, () -> executed.add("first"));
+        timers.add(ORIGIN_NANOS + 20, () -> executed.add("second"));
 
         runDue(ORIGIN_NANOS + 30);
 
-        assertThat(ran).containsExactly("first", "second", "third");
+        assertThat(executed).containsExactly("first", "second", "third");
     }
 
     @Test
-    void tasksOfOneTimeComeOutAsTheyCameIn() {
-        timers.add(ORIGIN_NANOS + 10, () -> ran.add("first"));
-        timers.add(ORIGIN_NANOS + 10, () -> ran.add("second"));
+    void tasksDueAtTheSameTimeAreTakenInTheOrderOfInsertion() {
+        timers.add(ORIGIN_NANOS + 10, () -> executed.add("first"));
+        timers.add(ORIGIN_NANOS + 10, () -> executed.add("second"));
 
         runDue(ORIGIN_NANOS + 10);
 
-        assertThat(ran).containsExactly("first", "second");
+        assertThat(executed).containsExactly("first", "second");
     }
 
     @Test
-    void aTaskWaitsForItsTime() {
-        timers.add(ORIGIN_NANOS + 10, () -> ran.add("task"));
+    void aTaskIsNotTakenBeforeItsDueTime() {
+        timers.add(ORIGIN_NANOS + 10, () -> executed.add("task"));
 
         runDue(ORIGIN_NANOS + 9);
 
-        assertThat(ran).isEmpty();
-        assertThat(timers.nanosToNext(ORIGIN_NANOS + 9)).isEqualTo(1);
+        assertThat(executed).isEmpty();
+        assertThat(timers.nanosUntilNextDue(ORIGIN_NANOS + 9)).isEqualTo(1);
     }
 
     @Test
-    void withoutTasksThereIsNoNextTime() {
-        assertThat(timers.nanosToNext(ORIGIN_NANOS)).isEqualTo(Long.MAX_VALUE);
+    void withoutTasksNoTimerIsDue() {
+        assertThat(timers.nanosUntilNextDue(ORIGIN_NANOS)).isEqualTo(Long.MAX_VALUE);
         assertThat(timers.takeDue(ORIGIN_NANOS + 100)).isEmpty();
     }
 
--- a/src/test/java/org/gooseberryhill/external/HostListContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/HostListContractTest.java
@@ -17,7 +17,7 @@
 /** Contract of the platform's host list that the system relies on, tested against the stand-in. */
 class HostListContractTest {
     /** Far longer than a call takes, so that only a test that hangs reaches it. */
-    private static final int PATIENT_MILLIS = 60_000;
+    private static final int TIMEOUT_MILLIS = 60_000;
 
     private static final long LONG_LAG_MILLIS = 600_000;
 
@@ -25,7 +25,7 @@
     private final Address address = Loopback.freeAddress();
     private final HostListStandin standin = new HostListStandin(group, address, 0);
     private final HttpClient http = new HttpClient(group);
-    private final HostList hostList = new HttpHostList(http, address, PATIENT_MILLIS);
+    private final HostList hostList = new HttpHostList(http, address, TIMEOUT_MILLIS);
     private final List<Host> hosts = new SampleFleet(20_000, 1).hosts(1, 1, 1);
 
     @AfterEach
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void hostsComeWithTheirRolesZonesAndAddresses() {
+    void hostsAreListedWithTheirRolesZonesAndAddresses() {
         standin.start(hosts);
 
         assertThat(hostList.read().join().hosts()).isEqualTo(hosts);
     }
 
     @Test
-    void aLeavingEndpointIsNamed() {
+    void aLeavingEndpointIsListed() {
         standin.leaving("tutor-00");
 
         Loopback.await(
@@ -53,7 +53,7 @@
 
     /** While the list lags, it does not show a change and still shows the earlier hosts. */
     @Test
-    void aChangeShowsOnlyAfterTheLag() {
+    void aChangeIsVisibleOnlyAfterTheLag() {
         standin.start(hosts);
         standin.lag(LONG_LAG_MILLIS);
         standin.leaving("tutor-00");
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aListThatDoesNotAnswerIsAFailure() {
+    void aReadWithoutAnAnswerFails() {
         standin.close();
 
         assertThatThrownBy(() -> hostList.read().join()).hasCauseInstanceOf(ExternalServiceException.class);
--- a/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
@@ -26,19 +26,19 @@
 /** Contract of the key-value service that the system relies on, tested against the stand-in. */
 class KeyValueStoreContractTest {
     /** Far longer than a call takes, so that only a test that hangs reaches it. */
-    private static final int PATIENT_MILLIS = 60_000;
+    private static final int TIMEOUT_MILLIS = 60_000;
 
-    private static final int IMPATIENT_MILLIS = 300;
+    private static final int SHORT_TIMEOUT_MILLIS = 300;
 
     /** Longer than the time-out of any call here. */
-    private static final long NEVER_MILLIS = 600_000;
+    private static final long LONG_DELAY_MILLIS = 600_000;
 
     private final EventLoopGroup group = Loopback.group();
     private final Address address = Loopback.freeAddress();
     private final KeyValueStandin standin = new KeyValueStandin(group, address);
     private final HttpClient http = new HttpClient(group);
-    private final StreamingKeyValueStore store = new EtcdKeyValueStore(http, address, PATIENT_MILLIS);
-    private final StreamingKeyValueStore impatient = new EtcdKeyValueStore(http, address, IMPATIENT_MILLIS);
+    private final StreamingKeyValueStore store = new EtcdKeyValueStore(http, address, TIMEOUT_MILLIS);
+    private final StreamingKeyValueStore shortTimeoutStore = new EtcdKeyValueStore(http, address, SHORT_TIMEOUT_MILLIS);
 
     @AfterEach
     void close() {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aKeyIsCreatedOnlyWhereNoneIs() {
+    void aKeyIsCreatedOnlyIfAbsent() {
         assertThat(create("k", "one")).isTrue();
         assertThat(create("k", "two")).isFalse();
 
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void theAnswerToACreationCarriesTheKeysRevision() {
+    void theResultOfACreationHoldsTheKeysRevision() {
         KeyValueStore.WriteResult result = store.write(
                         Transaction.builder().ifAbsent("k").put("k", bytes("v")).build())
                 .join();
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void keysUnderALeaseEndWithIt() {
+    void keysBoundToALeaseEndWithIt() {
         long lease = store.grantLease(60_000).join();
         write(Transaction.builder().putUnderLease("k", bytes("v"), lease));
         assertThat(store.renewLease(lease).join()).isPositive();
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aKeyCannotBePutUnderALeaseThatIsGone() {
+    void aKeyCannotBeBoundToARevokedLease() {
         long lease = store.grantLease(60_000).join();
         store.revokeLease(lease).join();
 
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void aWatchTellsWritesAndDeletionsFromItsRevisionOn() throws IOException {
+    void aWatchReportsWritesAndDeletionsFromItsRevisionOn() throws IOException {
         create("/w/before", "1");
         long revision = store.read("/w/before").join().revision();
         List<String> seen = new CopyOnWriteArrayList<>();
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void anEffectWhoseAnswerIsLostIsAFailureWithTheEffectDone() {
+    void aWriteWhoseAnswerIsLostFailsButTakesEffect() {
         standin.faults(new KeyValueFaults(false, 0, 1, 0, false));
 
         assertThatThrownBy(() -> create("k", "v")).isInstanceOf(CompletionException.class);
@@ -188,9 +188,9 @@
 
     @Test
     void aServiceThatIsTooSlowCountsAsUnanswered() {
-        standin.faults(new KeyValueFaults(false, NEVER_MILLIS, 0, 0, false));
+        standin.faults(new KeyValueFaults(false, LONG_DELAY_MILLIS, 0, 0, false));
 
-        assertThatThrownBy(() -> impatient.read("k").join()).hasCauseInstanceOf(ExternalServiceException.class);
+        assertThatThrownBy(() -> shortTimeoutStore.read("k").join()).hasCauseInstanceOf(ExternalServiceException.class);
     }
 
     @Test
--- a/src/test/java/org/gooseberryhill/link/HybridClockTest.java
+++ b/src/test/java/org/gooseberryhill/link/HybridClockTest.java
@@ -10,7 +10,7 @@
     private final HybridClock clock = new HybridClock(millis::get);
 
     @Test
-    void readingsGrowAlsoWhenTheWallClockGoesBack() {
+    void timestampsIncreaseEvenIfTheWallClockGoesBack() {
         HybridTimestamp first = clock.now();
         millis.set(500);
 
@@ -19,7 +19,7 @@
 
     /** The sender's clock is ahead: timestamps of the receiver after the message must still be greater. */
     @Test
-    void anEffectComesAfterItsCauseOnAnotherHost() {
+    void aTimestampIsGreaterThanThatOfAReceivedMessage() {
         HybridTimestamp sent = new HybridClock(() -> 9000).now();
         clock.observe(sent);
 
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void theTimeOfDayIsKept() {
+    void aTimestampHoldsTheWallClockTime() {
         assertThat(clock.now().epochMillis()).isEqualTo(1000);
     }
 }
--- a/src/test/java/org/gooseberryhill/link/JsonTreesTest.java
+++ b/src/test/java/org/gooseberryhill/link/JsonTreesTest.java
@@ -22,7 +22,7 @@
                 "7",
                 "[[[[]]]]"
             })
-    void treesAreReadAndWrittenAsTheMapperDoes(String json) throws IOException {
+    void treesAreReadAndWrittenAsByTheObjectMapper(String json) throws IOException {
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
         JsonNode expected = Json.mapper().readTree(bytes);
 
@@ -34,14 +34,14 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "   ", "{", "{\"a\":", "[1,", "{\"a\" 1}", "nul", "{\"a\":1}}x{"})
-    void whatIsCutOrNoJsonIsAFailureOrItsFirstValue(String json) {
+    void malformedJsonFailsUnlessItBeginsWithACompleteValue(String json) {
         boolean read = Json.tree(json.getBytes(StandardCharsets.UTF_8)).isSuccess();
 
         assertThat(read).isEqualTo(json.startsWith("{\"a\":1}"));
     }
 
     @Test
-    void aDeepTreeIsRefusedAndOverflowsNothing() {
+    void aDeeplyNestedTreeIsRejectedWithoutStackOverflow() {
         byte[] deep = "[".repeat(100_000).getBytes(StandardCharsets.UTF_8);
 
         assertThat(Json.tree(deep).isFailure()).isTrue();
--- a/src/test/java/org/gooseberryhill/outbox/OutboxTest.java
+++ b/src/test/java/org/gooseberryhill/outbox/OutboxTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whatWasKeptIsThereAfterARestart() {
+    void aStoredSubmissionIsThereAfterARestart() {
         open();
         outbox.put(entry("b", "owner")).join();
         outbox.close();
@@ -37,16 +37,16 @@
         OutboxEntry found = outbox.readAll().join().get(0);
         assertThat(found.batch()).isEqualTo("b");
         assertThat(found.record()).isEqualTo(record("owner"));
-        assertThat(found.keptAtMillis()).isEqualTo(77);
+        assertThat(found.storedAtMillis()).isEqualTo(77);
         assertThat(found.body()).isEqualTo("items".getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void whatWasDroppedIsGone() {
+    void aDeletedSubmissionIsGone() {
         open();
         outbox.put(entry("b", "owner")).join();
 
-        outbox.drop(entry("b", "owner").name()).join();
+        outbox.delete(entry("b", "owner").name()).join();
 
         assertThat(outbox.readAll().join()).isEmpty();
         assertThat(outbox.read(entry("b", "owner").name()).join()).isEmpty();
@@ -54,18 +54,18 @@
 
     /** A deletion that is requested while the write is still in progress must not overtake it. */
     @Test
-    void aDropThatIsAskedForDuringAWriteComesAfterIt() {
+    void aDeletionRequestedDuringAWriteIsDoneAfterIt() {
         open();
         outbox.put(entry("b", "owner"));
 
-        outbox.drop(entry("b", "owner").name()).join();
+        outbox.delete(entry("b", "owner").name()).join();
 
         assertThat(outbox.readAll().join()).isEmpty();
     }
 
     /** If two gateways accept the same batch, both run it until the key-value store decides which of them owns it. */
     @Test
-    void theSameBatchOfTwoGatewaysIsKeptTwice() {
+    void theSameBatchFromTwoGatewaysIsStoredTwice() {
         open();
         outbox.put(entry("b", "one")).join();
         outbox.put(entry("b", "two")).join();
--- a/src/test/java/org/gooseberryhill/stored/StoredFormsTest.java
+++ b/src/test/java/org/gooseberryhill/stored/StoredFormsTest.java
@@ -21,7 +21,7 @@
             new BatchRecord("host", "/b/1?x=\"y\"", "hash", "owner", "start", 1L << 40, 2, 9, true, List.of(0, 4), 6);
 
     @Test
-    void whatIsWrittenIsReadAsItWas() {
+    void encodedValuesAreDecodedUnchanged() {
         ListedHost listed = new ListedHost(
                 new Host(new HostId("h"), Role.GATEWAY, new AvailabilityZone("z"), new Address("10.0.0.1", 80), false),
                 "start");
@@ -40,7 +40,7 @@
 
     /** A later version of the system may write additional fields; this version reads those that it knows. */
     @Test
-    void aFieldThatIsNotKnownIsPassedOver() {
+    void anUnknownFieldIsIgnored() {
         String json = new String(StoredForms.write(RECORD), StandardCharsets.UTF_8);
         String more = json.replaceFirst("\\{", "{\"later\":[1],");
 
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aValueThatLacksAFieldOrIsNoJsonIsNotRead() {
+    void aValueThatLacksAFieldOrIsNoJsonIsRejected() {
         String json = new String(StoredForms.write(RECORD), StandardCharsets.UTF_8);
         String less = json.replace("\"owner\"", "\"other\"");
 
--- a/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
+++ b/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
@@ -21,7 +21,7 @@
      * to an older revision.
      */
     @Property
-    void whateverTheOrderOfTheNewsTheViewEndsAsTheStoreAndNeverGoesBack(@ForAll Random random) {
+    void viewConvergesToTheStoreAndNeverGoesBackInAnyOrderOfUpdates(@ForAll Random random) {
         List<KeyChange> history = new ArrayList<>();
         for (long revision = 2; revision < 30; revision++) {
             String key = KEYS.get(random.nextInt(KEYS.size()));
@@ -34,7 +34,7 @@
         Map<String, Long> newest = new TreeMap<>();
         view.replace(1, List.of());
         for (int i = 0; i < 60; i++) {
-            offer(view, history, random);
+            applyRandomUpdate(view, history, random);
             for (KeyChange entry : view.entries()) {
                 assertThat(entry.revision()).isGreaterThanOrEqualTo(newest.getOrDefault(entry.key(), 0L));
                 newest.put(entry.key(), entry.revision());
@@ -47,7 +47,7 @@
 
     /** Another host forwards changes that begin after the known revision: applying them would hide the missing ones. */
     @Test
-    void changesAfterAGapAreRefused() {
+    void changesAfterAGapAreRejected() {
         KeyView view = new KeyView();
         view.replace(5, List.of());
 
@@ -58,14 +58,14 @@
 
     /** If the store no longer has the history, only the absence of a key from the listing shows that it was deleted. */
     @Test
-    void aKeyThatAListingLacksIsGoneUnlessItIsNewer() {
+    void aKeyAbsentFromAListingIsRemovedUnlessItIsNewer() {
         KeyView view = new KeyView();
         view.replace(5, List.of(KeyChange.written("a", new byte[0], 3), KeyChange.written("b", new byte[0], 4)));
         view.advance(5, 9, List.of(KeyChange.written("c", new byte[0], 9)));
 
-        List<KeyChange> news = view.replace(9, List.of(KeyChange.written("b", new byte[0], 4)));
+        List<KeyChange> changed = view.replace(9, List.of(KeyChange.written("b", new byte[0], 4)));
 
-        assertThat(news).extracting(KeyChange::key).contains("a");
+        assertThat(changed).extracting(KeyChange::key).contains("a");
         assertThat(view.find("a")).isEmpty();
         assertThat(view.find("b")).isPresent();
     }
@@ -79,7 +79,7 @@
         assertThat(view.find("a")).isPresent();
     }
 
-    private static void offer(KeyView view, List<KeyChange> history, Random random) {
+    private static void applyRandomUpdate(KeyView view, List<KeyChange> history, Random random) {
         long from = 1 + random.nextInt(28);
         long to = from + random.nextInt((int) (30 - from));
         if (random.nextInt(4) == 0) {
