--- a/src/main/java/org/gooseberryhill/control/Timers.java
+++ b/src/main/java/org/gooseberryhill/control/Timers.java
@@ -6,43 +6,46 @@
 import java.util.Queue;
 
 /**
- * Tasks that wait for their time. Not thread-safe.
+ * A queue of tasks that are due at given times. Not thread-safe.
  *
- * <p>Invariant: tasks come out in the order of their times, those of one time in the order in which they came in.
+ * <p>Invariant: tasks are taken in the order of their due times, and those due at the same time in the order of
+ * insertion.
  */
 final class Timers {
     private static final Comparator<Timer> ORDER =
-            Comparator.comparingLong(Timer::dueNanos).thenComparingLong(Timer::number);
+            Comparator.comparingLong(Timer::dueOffsetNanos).thenComparingLong(Timer::insertionNumber);
 
-    private final Queue<Timer> waiting = new PriorityQueue<>(ORDER);
+    private final Queue<Timer> queue = new PriorityQueue<>(ORDER);
     private final long originNanos;
-    private long added;
+    private long addedCount;
 
-    /** No tasks yet; times are compared as distances from a time that lies before all of them. */
+    /** Creates an empty queue. Times are compared as offsets from the origin, which must not be after any of them. */
     Timers(long originNanos) {
         this.originNanos = originNanos;
     }
 
-    /** Adds a task that is due at a time. */
+    /** Adds a task that is due at {@code dueNanos}. */
     void add(long dueNanos, Runnable task) {
-        waiting.add(new Timer(dueNanos - originNanos, added++, task));
+        queue.add(new Timer(dueNanos - originNanos, addedCount++, task));
     }
 
-    /** Takes out the next task that is due by a time; empty if there is none. */
+    /** Removes and returns the next task that is due at {@code nowNanos}; empty if there is none. */
     Optional<Runnable> takeDue(long nowNanos) {
-        Timer next = waiting.peek();
-        if (next == null || next.dueNanos > nowNanos - originNanos) {
+        Timer next = queue.peek();
+        if (next == null || next.dueOffsetNanos > nowNanos - originNanos) {
             return Optional.empty();
         }
-        return Optional.of(waiting.poll().task);
+        return Optional.of(queue.poll().task);
     }
 
-    /** How long it is until the next task is due; negative if it is late, the greatest number if there is none. */
-    long nanosToNext(long nowNanos) {
-        Timer next = waiting.peek();
-        return next == null ? Long.MAX_VALUE : next.dueNanos - (nowNanos - originNanos);
+    /**
+     * Returns the time until the next task is due: negative if it is overdue, {@link Long#MAX_VALUE} if there is none.
+     */
+    long nanosUntilNextDue(long nowNanos) {
+        Timer next = queue.peek();
+        return next == null ? Long.MAX_VALUE : next.dueOffsetNanos - (nowNanos - originNanos);
     }
 
-    /** A task, its time after the origin and its place among those that came in. */
-    private record Timer(long dueNanos, long number, Runnable task) {}
+    /** A task with its due time as an offset from the origin and its insertion number. */
+    private record Timer(long dueOffsetNanos, long insertionNumber, Runnable task) {}
 }
--- a/src/main/java/org/gooseberryhill/external/EtcdJson.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdJson.java
@@ -11,39 +11,40 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * The published JSON mapping of etcd v3's protocol: keys and values in base 64, 64-bit numbers as texts. Stateless.
+ * The published JSON mapping of the etcd v3 protocol: Base64 for keys and values, strings for 64-bit numbers.
+ * Stateless.
  */
 public final class EtcdJson {
     private EtcdJson() {}
 
-    /** Base 64 of a text. */
+    /** Encodes a text, as UTF-8, in Base64. */
     public static String encode(String text) {
         return encode(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Base 64 of bytes. */
+    /** Encodes bytes in Base64. */
     public static String encode(byte[] bytes) {
         return Base64.getEncoder().encodeToString(bytes);
     }
 
-    /** The bytes behind base 64. */
+    /** Decodes a Base64 node to bytes; an absent node yields no bytes. */
     public static byte[] decode(JsonNode node) {
         return Base64.getDecoder().decode(node.asText(""));
     }
 
-    /** The text behind base 64. */
+    /** Decodes a Base64 node to text. */
     public static String decodeText(JsonNode node) {
         return new String(decode(node), StandardCharsets.UTF_8);
     }
 
-    /** The first key after all keys with a prefix, in base 64. */
+    /** Returns the first key after all keys with the prefix, in Base64; the prefix must not be empty. */
     public static String encodeRangeEnd(String prefix) {
         byte[] bytes = prefix.getBytes(StandardCharsets.UTF_8);
         bytes[bytes.length - 1]++;
         return encode(bytes);
     }
 
-    static ObjectNode transaction(Transaction transaction) {
+    static ObjectNode encodeTransaction(Transaction transaction) {
         ObjectNode body = Json.object();
         ArrayNode compare = body.putArray("compare");
         for (Transaction.Condition condition : transaction.conditions()) {
@@ -68,14 +69,14 @@
         return body;
     }
 
-    static KeyValueStore.ReadResult readResult(JsonNode answer) {
+    static KeyValueStore.ReadResult decodeReadResult(JsonNode answer) {
         List<KeyValueStore.Entry> entries = new ArrayList<>();
-        answer.path("kvs").forEach(node -> entries.add(entry(node)));
+        answer.path("kvs").forEach(node -> entries.add(decodeEntry(node)));
         return new KeyValueStore.ReadResult(
                 revision(answer), entries, answer.path("more").asBoolean(false));
     }
 
-    static KeyValueStore.Entry entry(JsonNode node) {
+    static KeyValueStore.Entry decodeEntry(JsonNode node) {
         return new KeyValueStore.Entry(
                 decodeText(node.path("key")),
                 decode(node.path("value")),
@@ -83,9 +84,9 @@
                 node.path("mod_revision").asLong());
     }
 
-    static Optional<KeyValueStore.Entry> eventEntry(JsonNode event) {
+    static Optional<KeyValueStore.Entry> decodeEvent(JsonNode event) {
         boolean deleted = event.path("type").asText("PUT").equals("DELETE");
-        return deleted ? Optional.empty() : Optional.of(entry(event.path("kv")));
+        return deleted ? Optional.empty() : Optional.of(decodeEntry(event.path("kv")));
     }
 
     static long revision(JsonNode answer) {
--- a/src/main/java/org/gooseberryhill/link/JsonTrees.java
+++ b/src/main/java/org/gooseberryhill/link/JsonTrees.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 
 /**
- * Reads and writes trees of JSON with the library's streams. Thread-safe.
+ * Reads and writes JSON trees with Jackson's streaming API. Thread-safe.
  *
- * <p>The library's mapper does the same, but building it takes a tenth of a second of a process's start, during which
- * callers of a host that starts again wait. What a starting host reads and writes goes through here.
+ * <p>Jackson's {@code ObjectMapper} does the same, but creating it adds 0.1 s to the start of a process, during which
+ * the callers of a restarting host wait. Therefore a starting host reads and writes its JSON with this class.
  */
 final class JsonTrees {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -25,34 +25,34 @@
 
     private JsonTrees() {}
 
-    /** Reads the first value of a text. */
+    /** Reads the first value of a text; ignores what follows it. */
     static JsonNode read(byte[] json) throws IOException {
         try (JsonParser parser = FACTORY.createParser(json)) {
             JsonToken token = parser.nextToken();
             if (token == null) {
                 throw new IOException("empty");
             }
-            return value(parser, token);
+            return readValue(parser, token);
         }
     }
 
-    /** Writes a tree as UTF-8. */
+    /** Writes a tree as UTF-8 JSON. */
     static byte[] write(JsonNode node) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             write(node, generator);
         } catch (IOException e) {
-            throw new IllegalArgumentException("not expressible as JSON: " + node.getNodeType(), e);
+            throw new IllegalArgumentException("cannot be written as JSON: " + node.getNodeType(), e);
         }
         return out.toByteArray();
     }
 
-    private static JsonNode value(JsonParser parser, JsonToken token) throws IOException {
+    private static JsonNode readValue(JsonParser parser, JsonToken token) throws IOException {
         return switch (token) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> array(parser);
+            case START_OBJECT -> readObject(parser);
+            case START_ARRAY -> readArray(parser);
             case VALUE_STRING -> NODES.textNode(parser.getText());
-            case VALUE_NUMBER_INT -> integer(parser);
+            case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
@@ -61,23 +61,23 @@
         };
     }
 
-    private static JsonNode object(JsonParser parser) throws IOException {
+    private static JsonNode readObject(JsonParser parser) throws IOException {
         ObjectNode object = NODES.objectNode();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-            object.set(name, value(parser, parser.nextToken()));
+            object.set(name, readValue(parser, parser.nextToken()));
         }
         return object;
     }
 
-    private static JsonNode array(JsonParser parser) throws IOException {
+    private static JsonNode readArray(JsonParser parser) throws IOException {
         ArrayNode array = NODES.arrayNode();
         for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
-            array.add(value(parser, token));
+            array.add(readValue(parser, token));
         }
         return array;
     }
 
-    private static JsonNode integer(JsonParser parser) throws IOException {
+    private static JsonNode readInteger(JsonParser parser) throws IOException {
         return switch (parser.getNumberType()) {
             case INT -> NODES.numberNode(parser.getIntValue());
             case LONG -> NODES.numberNode(parser.getLongValue());
@@ -107,7 +107,7 @@
             case BOOLEAN -> generator.writeBoolean(node.booleanValue());
             case BINARY -> generator.writeBinary(node.binaryValue());
             case NULL, MISSING -> generator.writeNull();
-            default -> throw new IOException("a tree holds a " + node.getNodeType());
+            default -> throw new IOException("unsupported node type: " + node.getNodeType());
         }
     }
 
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -26,22 +26,24 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * The program of a host with a disk: it keeps submissions of batches until the key-value service has them. Thread-safe.
+ * The process of a host with a disk. It stores batch submissions until the key-value store has recorded them.
+ * Thread-safe.
  *
- * <p>Invariant: control state lives on the control thread; the disk has a thread of its own, since a sync takes milliseconds.
+ * <p>Invariant: only the control thread accesses control state. Disk operations run on a thread of their own, since a
+ * sync takes milliseconds.
  */
 public final class OutboxProcess implements Closeable {
-    private static final int TRAFFIC_THREADS = 1;
-    private static final long TICK_MILLIS = 250;
-    private static final long LOG_FLUSH_MILLIS = 250;
+    private static final int IO_THREADS = 1;
+    private static final long TICK_PERIOD_MILLIS = 250;
+    private static final long LOG_FLUSH_PERIOD_MILLIS = 250;
     private static final long GROUP_SHUTDOWN_MILLIS = 100;
 
-    /** A planned stop waits no longer for its key to be taken back. */
-    private static final long RELEASE_MILLIS = 1000;
+    /** Maximum time that a planned stop waits for the removal of the host's registration. */
+    private static final long RELEASE_TIMEOUT_MILLIS = 1000;
 
     private final OutboxSettings settings;
     private final String processStart = ProcessStarts.next();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(TRAFFIC_THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
     private final HttpClient http = new HttpClient(group);
     private final LogSink log = new LogSink();
@@ -49,12 +51,12 @@
     private final Timeline timeline;
     private final HostRegistration registration;
     private final Outbox outbox;
-    private final OutboxKeeper keeper;
+    private final OutboxService service;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private final AtomicBoolean closed = new AtomicBoolean();
     private Optional<PeerServer> peerServer = Optional.empty();
 
-    /** A process that is not started yet. */
+    /** Creates a process; {@link #start} starts it. */
     public OutboxProcess(OutboxSettings settings, BatchDialect batches, KeyValueStoreFactory storeFactory) {
         this.settings = settings;
         String name = settings.self().id().value();
@@ -64,11 +66,11 @@
         this.registration =
                 new HostRegistration(loop, store, timeline, () -> new ListedHost(settings.self(), processStart));
         this.outbox = new Outbox(settings.dataFolder());
-        this.keeper = new OutboxKeeper(
+        this.service = new OutboxService(
                 loop, timeline, outbox, new BatchStore(store, batches), new OutboxTiming(settings.retentionMillis()));
     }
 
-    /** Starts serving. */
+    /** Starts the peer server, loads the stored submissions and then registers the host. */
     public void start() {
         timeline.event(EventKind.PROCESS_STARTED)
                 .with("role", "outbox")
@@ -81,31 +83,31 @@
                 settings.self().address(),
                 clock,
                 new PeerTraffic(),
-                (from, message) -> keeper.handle(message)));
+                (from, message) -> service.handle(message)));
         loop.execute(() -> {
-            keeper.start(registration::start);
-            loop.every(TICK_MILLIS, keeper::tick);
-            loop.every(LOG_FLUSH_MILLIS, log::flush);
+            service.start(registration::start);
+            loop.every(TICK_PERIOD_MILLIS, service::tick);
+            loop.every(LOG_FLUSH_PERIOD_MILLIS, log::flush);
         });
     }
 
-    /** Asks for the planned stop; from any thread, any number of times. What it keeps stays on its disk. */
+    /** Requests the planned stop; may be called repeatedly, from any thread. Stored submissions stay on the disk. */
     public void askStop() {
         loop.execute(() -> {
             timeline.event(EventKind.PROCESS_STOPPING)
-                    .with("submissions", keeper.submissions())
+                    .with("submissions", service.submissionCount())
                     .write();
-            registration.release(this::end);
-            loop.after(RELEASE_MILLIS, this::end);
+            registration.release(this::completeStop);
+            loop.after(RELEASE_TIMEOUT_MILLIS, this::completeStop);
         });
     }
 
-    /** Completes when the planned stop is over. */
+    /** Returns a future that completes at the end of the planned stop. */
     public CompletableFuture<Void> ended() {
         return ended;
     }
 
-    /** Writes what the log still holds, in a time in milliseconds at the most. */
+    /** Writes the buffered log lines, within a time-out in milliseconds. */
     public void finishLog(long millis) {
         log.finish(millis);
     }
@@ -123,10 +125,10 @@
                 .awaitUninterruptibly(2 * GROUP_SHUTDOWN_MILLIS);
     }
 
-    private void end() {
+    private void completeStop() {
         if (!ended.isDone()) {
             timeline.event(EventKind.PROCESS_ENDED)
-                    .with("submissions", keeper.submissions())
+                    .with("submissions", service.submissionCount())
                     .write();
             ended.complete(null);
         }
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -22,48 +22,53 @@
 import org.gooseberryhill.host.Host;
 import org.gooseberryhill.host.HostId;
 
-/** Request batches in the key-value store: their records, items and committed results. Thread-safe. */
+/**
+ * Reads and writes request batches in the key-value store: records, items, checkpoints and committed results.
+ * Thread-safe.
+ */
 public final class BatchStore {
-    /** Below the store's limit for one value, 1 MiB, with room for its encoding. */
+    /** Stays below the store's limit of 1 MiB per value, with room for the encoding. */
     private static final int MAX_VALUE_BYTES = 768 * 1024;
 
-    /** The store takes 32 entries in one write, the condition among them. */
-    private static final int DELETIONS_PER_WRITE = 31;
+    /** The store accepts at most 32 entries in one transaction, and the condition is one of them. */
+    private static final int MAX_DELETIONS_PER_TRANSACTION = 31;
 
     private final PollingKeyValueStore store;
     private final BatchDialect dialect;
 
-    /** Batches in a store, their items as a dialect spells them. */
+    /** Creates an accessor for a store; the dialect parses the items of a batch. */
     public BatchStore(PollingKeyValueStore store, BatchDialect dialect) {
         this.store = store;
         this.dialect = dialect;
     }
 
-    /** How many values a body takes. */
+    /** Returns the number of values that a body is split into. */
     public static int bodyParts(byte[] body) {
         return Math.max(1, (body.length + MAX_VALUE_BYTES - 1) / MAX_VALUE_BYTES);
     }
 
-    /** Creates a batch whose id is free: its record and all its items in one step. */
+    /**
+     * Creates a batch, that is its record and all its items, in one transaction that succeeds only if the id is unused.
+     */
     public CompletableFuture<KeyValueStore.WriteResult> create(String id, BatchRecord record, byte[] body) {
-        Transaction.Builder create = Transaction.builder()
+        Transaction.Builder transaction = Transaction.builder()
                 .ifWrittenAt(StoredKeys.batch(id), 0)
                 .put(StoredKeys.batch(id), StoredForms.write(record));
         for (int part = 0; part < record.bodyParts(); part++) {
             int from = part * MAX_VALUE_BYTES;
             byte[] value = Arrays.copyOfRange(body, from, Math.min(body.length, from + MAX_VALUE_BYTES));
-            create.put(StoredKeys.body(id, part), value);
+            transaction.put(StoredKeys.body(id, part), value);
         }
-        return store.write(create.build());
+        return store.write(transaction.build());
     }
 
-    /** A batch's record with its revision; empty if there is no such batch. */
+    /** Reads a batch's record and its revision; empty if there is no such batch. */
     public CompletableFuture<Optional<Stored>> read(String id) {
         return store.read(StoredKeys.batch(id))
-                .thenApply(result -> result.first().map(entry -> stored(id, entry.value(), entry.modRevision())));
+                .thenApply(result -> result.first().map(entry -> decodeRecord(id, entry.value(), entry.modRevision())));
     }
 
-    /** A host by its key among those of the live hosts; empty if it has none. */
+    /** Reads the entry of a live host; empty if it has none or if it is unreadable. */
     public CompletableFuture<Optional<Host>> host(HostId id) {
         return store.read(StoredKeys.host(id.value()))
                 .thenApply(result -> result.first()
@@ -71,19 +76,26 @@
                         .map(ListedHost::host));
     }
 
-    /** All records. */
+    /**
+     * Lists the records of all batches.
+     *
+     * @param mayBeStale whether the list may be seconds old, which costs the store less
+     */
     public CompletableFuture<List<Stored>> list(boolean mayBeStale) {
         return store.list(StoredKeys.BATCHES, mayBeStale).thenApply(listing -> {
             List<Stored> records = new ArrayList<>();
             for (KeyChange entry : listing.entries()) {
                 String id = entry.key().substring(StoredKeys.BATCHES.length());
-                records.add(stored(id, entry.value().orElseThrow(), entry.revision()));
+                records.add(decodeRecord(id, entry.value().orElseThrow(), entry.revision()));
             }
             return records;
         });
     }
 
-    /** Replaces a record that still has a revision. */
+    /**
+     * Replaces a record if it still has the given revision. If the batch is finished, deletes its checkpoints in the
+     * same transaction.
+     */
     public CompletableFuture<KeyValueStore.WriteResult> replace(String id, long revision, BatchRecord record) {
         Transaction.Builder transaction = Transaction.builder()
                 .ifWrittenAt(StoredKeys.batch(id), revision)
@@ -95,8 +107,8 @@
     }
 
     /**
-     * Writes down results, and what open items have generated, of several batches in one step, each under the condition
-     * that its record still has its revision.
+     * Saves the results and checkpoints of several batches in one transaction, on condition that the record of each
+     * batch still has its revision.
      */
     public CompletableFuture<KeyValueStore.WriteResult> save(List<Commit> commits, List<Progress> progress) {
         Transaction.Builder transaction = Transaction.builder();
@@ -109,18 +121,18 @@
                 transaction.delete(StoredKeys.progress(commit.id));
             }
         }
-        for (Progress saved : progress) {
-            if (commits.stream().noneMatch(commit -> commit.id.equals(saved.id))) {
-                transaction.ifWrittenAt(StoredKeys.batch(saved.id), saved.revision);
+        for (Progress checkpoints : progress) {
+            if (commits.stream().noneMatch(commit -> commit.id.equals(checkpoints.id))) {
+                transaction.ifWrittenAt(StoredKeys.batch(checkpoints.id), checkpoints.revision);
             }
-            transaction.put(StoredKeys.progress(saved.id), StoredForms.writeCheckpoints(saved.items));
+            transaction.put(StoredKeys.progress(checkpoints.id), StoredForms.writeCheckpoints(checkpoints.items));
         }
         return store.write(transaction.build());
     }
 
     /**
-     * Deletes all that is kept of a batch if its record still has its revision; false if it has not. What it produced goes
-     * first, its record last.
+     * Deletes all keys of a batch if its record still has its revision, else returns false. Deletes results first and
+     * the record last, since all transactions depend on the record's revision.
      */
     public CompletableFuture<Boolean> delete(Stored found) {
         List<String> keys = new ArrayList<>();
@@ -137,7 +149,7 @@
         if (from >= keys.size()) {
             return CompletableFuture.completedFuture(true);
         }
-        int to = Math.min(keys.size(), from + DELETIONS_PER_WRITE);
+        int to = Math.min(keys.size(), from + MAX_DELETIONS_PER_TRANSACTION);
         Transaction.Builder transaction =
                 Transaction.builder().ifWrittenAt(StoredKeys.batch(found.id()), found.revision());
         keys.subList(from, to).forEach(transaction::delete);
@@ -146,16 +158,16 @@
                         result.succeeded() ? delete(found, keys, to) : CompletableFuture.completedFuture(false));
     }
 
-    /** What the open items of a batch had generated when it was last written down. */
+    /** Reads the latest saved checkpoints of a batch's open items; empty if none are saved. */
     public CompletableFuture<List<ItemCheckpoint>> progress(String id) {
         String key = StoredKeys.progress(id);
         return store.read(key)
                 .thenApply(result -> result.first()
-                        .map(entry -> require(key, StoredForms.readCheckpoints(entry.value())))
+                        .map(entry -> requireDecoded(key, StoredForms.readCheckpoints(entry.value())))
                         .orElse(List.of()));
     }
 
-    /** A batch as its owner runs it: its items and its committed results. */
+    /** Loads a batch for its owner: its items and all its committed results. */
     public CompletableFuture<OwnedBatch> load(Stored found) {
         BatchRecord record = found.record();
         return items(found.id(), record)
@@ -164,21 +176,26 @@
                         (items, results) -> new OwnedBatch(found.id(), record, found.revision(), items, results));
     }
 
-    /** The items of a batch. */
+    /** Reads all items of a batch. */
     public CompletableFuture<List<BatchItem>> items(String id, BatchRecord record) {
-        return parts(id, record, 0, new ByteArrayOutputStream())
+        return readParts(id, record, 0, new ByteArrayOutputStream())
                 .thenApply(body -> dialect.items(body)
                         .getOrElseThrow(findings ->
-                                new ExternalServiceException("the items of batch " + id + ": " + findings)));
+                                new ExternalServiceException("items of batch " + id + " are invalid: " + findings)));
     }
 
-    /** The committed results of a batch from the chunk that holds a position on, up to a number of chunks. */
+    /**
+     * Reads committed results of a batch.
+     *
+     * @param firstChunk the index of the first chunk to read
+     * @param chunks the maximum number of chunks to read
+     */
     public CompletableFuture<List<ItemResult>> results(String id, BatchRecord record, int firstChunk, int chunks) {
         int last = Math.min(record.chunks().size(), firstChunk + chunks);
-        return chunk(id, record, firstChunk, last, new ArrayList<>());
+        return readChunks(id, record, firstChunk, last, new ArrayList<>());
     }
 
-    private CompletableFuture<List<ItemResult>> chunk(
+    private CompletableFuture<List<ItemResult>> readChunks(
             String id, BatchRecord record, int chunk, int last, List<ItemResult> found) {
         if (chunk >= last) {
             return CompletableFuture.completedFuture(found);
@@ -186,11 +203,11 @@
         String key = StoredKeys.results(id, record.chunks().get(chunk));
         return store.read(key).thenCompose(result -> {
             found.addAll(decodeResults(key, result.first()));
-            return chunk(id, record, chunk + 1, last, found);
+            return readChunks(id, record, chunk + 1, last, found);
         });
     }
 
-    private CompletableFuture<byte[]> parts(String id, BatchRecord record, int part, ByteArrayOutputStream found) {
+    private CompletableFuture<byte[]> readParts(String id, BatchRecord record, int part, ByteArrayOutputStream found) {
         if (part >= record.bodyParts()) {
             return CompletableFuture.completedFuture(found.toByteArray());
         }
@@ -199,39 +216,39 @@
             found.writeBytes(result.first()
                     .orElseThrow(() -> new ExternalServiceException(key + " is missing"))
                     .value());
-            return parts(id, record, part + 1, found);
+            return readParts(id, record, part + 1, found);
         });
     }
 
     private static List<ItemResult> decodeResults(String key, Optional<KeyValueStore.Entry> entry) {
         byte[] value = entry.orElseThrow(() -> new ExternalServiceException(key + " is missing"))
                 .value();
-        return require(key, StoredForms.readResults(value));
+        return requireDecoded(key, StoredForms.readResults(value));
     }
 
-    private static <T> T require(String key, Try<T> decoded) {
+    private static <T> T requireDecoded(String key, Try<T> decoded) {
         return decoded.getOrElseThrow(failure -> new ExternalServiceException(key + ": " + failure.getMessage()));
     }
 
-    private static Stored stored(String id, byte[] value, long revision) {
-        BatchRecord record = require("batch " + id, StoredForms.readRecord(value));
+    private static Stored decodeRecord(String id, byte[] value, long revision) {
+        BatchRecord record = requireDecoded("batch " + id, StoredForms.readRecord(value));
         return new Stored(id, record, revision);
     }
 
     /**
-     * A record as it stands in the store. Immutable.
+     * A batch's record as read from the store. Immutable.
      *
      * @param id the batch's id
-     * @param record its record
-     * @param revision the revision that wrote it
+     * @param record the record
+     * @param revision the revision that last wrote the record
      */
     public record Stored(String id, BatchRecord record, long revision) {}
 
     /**
-     * Results to commit. Immutable.
+     * A chunk of results to commit. Immutable.
      *
      * @param id the batch's id
-     * @param revision the record's present revision
+     * @param revision the record's current revision
      * @param record the record with the new chunk
      * @param firstPosition the position of the first result
      * @param results the results
@@ -239,11 +256,11 @@
     public record Commit(String id, long revision, BatchRecord record, int firstPosition, List<ItemResult> results) {}
 
     /**
-     * What the open items of a batch have generated. Immutable.
+     * Checkpoints of a batch's open items to save. Immutable.
      *
      * @param id the batch's id
-     * @param revision the record's present revision
-     * @param items how far each of them is
+     * @param revision the record's current revision
+     * @param items the checkpoint of each item
      */
     public record Progress(String id, long revision, List<ItemCheckpoint> items) {}
 }
--- a/src/test/java/org/gooseberryhill/outbox/OutboxTest.java
+++ b/src/test/java/org/gooseberryhill/outbox/OutboxTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Submissions on a disk. */
+/** Tests the storage of submissions on a disk. */
 class OutboxTest {
     @TempDir
     Path folder;
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whatWasKeptIsThereAfterARestart() {
+    void aStoredSubmissionIsThereAfterARestart() {
         open();
         outbox.put(entry("b", "owner")).join();
         outbox.close();
@@ -37,35 +37,35 @@
         OutboxEntry found = outbox.readAll().join().get(0);
         assertThat(found.batch()).isEqualTo("b");
         assertThat(found.record()).isEqualTo(record("owner"));
-        assertThat(found.keptAtMillis()).isEqualTo(77);
+        assertThat(found.storedAtMillis()).isEqualTo(77);
         assertThat(found.body()).isEqualTo("items".getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void whatWasDroppedIsGone() {
+    void aDeletedSubmissionIsGone() {
         open();
         outbox.put(entry("b", "owner")).join();
 
-        outbox.drop(entry("b", "owner").name()).join();
+        outbox.delete(entry("b", "owner").name()).join();
 
         assertThat(outbox.readAll().join()).isEmpty();
         assertThat(outbox.read(entry("b", "owner").name()).join()).isEmpty();
     }
 
-    /** A drop that overtakes nothing: it is asked for while the disk still writes, and comes after it. */
+    /** A deletion that is requested while the write is still in progress must not overtake it. */
     @Test
-    void aDropThatIsAskedForDuringAWriteComesAfterIt() {
+    void aDeletionRequestedDuringAWriteIsDoneAfterIt() {
         open();
         outbox.put(entry("b", "owner"));
 
-        outbox.drop(entry("b", "owner").name()).join();
+        outbox.delete(entry("b", "owner").name()).join();
 
         assertThat(outbox.readAll().join()).isEmpty();
     }
 
-    /** Two gateways took the same batch in: each of them runs it until the key-value store says whose it is. */
+    /** If two gateways accept the same batch, both run it until the key-value store decides which of them owns it. */
     @Test
-    void theSameBatchOfTwoGatewaysIsKeptTwice() {
+    void theSameBatchFromTwoGatewaysIsStoredTwice() {
         open();
         outbox.put(entry("b", "one")).join();
         outbox.put(entry("b", "two")).join();
@@ -73,7 +73,7 @@
         assertThat(outbox.readAll().join()).hasSize(2);
     }
 
-    /** Power is lost inside a write, and what is left of the file is not what was to be written. */
+    /** A power failure during a write may leave a truncated file. */
     @Test
     void aDamagedSubmissionCountsAsMissing() throws IOException {
         open();
--- a/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
+++ b/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
@@ -16,11 +16,12 @@
     private static final List<String> KEYS = List.of("a", "b", "c");
 
     /**
-     * Changes and listings come from the store and from other hosts, again, late and out of order. Once all changes up to
-     * the latest revision have come, the view is what the store holds, and on the way no key ever goes back.
+     * Changes and listings arrive from the store and from other hosts repeatedly, late and out of order. Once all
+     * changes up to the latest revision have arrived, the view equals the store's content; until then no key goes back
+     * to an older revision.
      */
     @Property
-    void whateverTheOrderOfTheNewsTheViewEndsAsTheStoreAndNeverGoesBack(@ForAll Random random) {
+    void viewConvergesToTheStoreAndNeverGoesBackInAnyOrderOfUpdates(@ForAll Random random) {
         List<KeyChange> history = new ArrayList<>();
         for (long revision = 2; revision < 30; revision++) {
             String key = KEYS.get(random.nextInt(KEYS.size()));
@@ -33,7 +34,7 @@
         Map<String, Long> newest = new TreeMap<>();
         view.replace(1, List.of());
         for (int i = 0; i < 60; i++) {
-            offer(view, history, random);
+            applyRandomUpdate(view, history, random);
             for (KeyChange entry : view.entries()) {
                 assertThat(entry.revision()).isGreaterThanOrEqualTo(newest.getOrDefault(entry.key(), 0L));
                 newest.put(entry.key(), entry.revision());
@@ -44,9 +45,9 @@
         assertThat(view.entries()).containsExactlyElementsOf(listing(history, 29));
     }
 
-    /** Another host passes on changes that begin after what this one knows: taking them would hide what lies between. */
+    /** Another host forwards changes that begin after the known revision: applying them would hide the missing ones. */
     @Test
-    void changesAfterAGapAreRefused() {
+    void changesAfterAGapAreRejected() {
         KeyView view = new KeyView();
         view.replace(5, List.of());
 
@@ -55,16 +56,16 @@
         assertThat(view.revision()).isEqualTo(5);
     }
 
-    /** The store's history is gone; keys that were removed meanwhile are shown by their absence alone. */
+    /** If the store no longer has the history, only the absence of a key from the listing shows that it was deleted. */
     @Test
-    void aKeyThatAListingLacksIsGoneUnlessItIsNewer() {
+    void aKeyAbsentFromAListingIsRemovedUnlessItIsNewer() {
         KeyView view = new KeyView();
         view.replace(5, List.of(KeyChange.written("a", new byte[0], 3), KeyChange.written("b", new byte[0], 4)));
         view.advance(5, 9, List.of(KeyChange.written("c", new byte[0], 9)));
 
-        List<KeyChange> news = view.replace(9, List.of(KeyChange.written("b", new byte[0], 4)));
+        List<KeyChange> changed = view.replace(9, List.of(KeyChange.written("b", new byte[0], 4)));
 
-        assertThat(news).extracting(KeyChange::key).contains("a");
+        assertThat(changed).extracting(KeyChange::key).contains("a");
         assertThat(view.find("a")).isEmpty();
         assertThat(view.find("b")).isPresent();
     }
@@ -78,7 +79,7 @@
         assertThat(view.find("a")).isPresent();
     }
 
-    private static void offer(KeyView view, List<KeyChange> history, Random random) {
+    private static void applyRandomUpdate(KeyView view, List<KeyChange> history, Random random) {
         long from = 1 + random.nextInt(28);
         long to = from + random.nextInt((int) (30 - from));
         if (random.nextInt(4) == 0) {
