--- a/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
@@ -16,10 +16,10 @@
 /** Passes the messages of a client connection to its current exchange. Runs only on the connection's event loop. */
 final class ClientConnectionHandler extends ChannelDuplexHandler {
     private ClientExchange exchange;
-    private boolean closedHere;
+    private boolean closedLocally;
     private boolean keepAlive;
-    private boolean passedOver;
-    private boolean broken;
+    private boolean skippingResponse;
+    private boolean failed;
 
     void attach(ClientExchange newExchange) {
         exchange = newExchange;
@@ -31,53 +31,53 @@
 
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
-        closedHere = true;
+        closedLocally = true;
         context.close(promise);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            take(context, (HttpObject) message);
+            handleMessage(context, (HttpObject) message);
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void take(ChannelHandlerContext context, HttpObject message) {
+    private void handleMessage(ChannelHandlerContext context, HttpObject message) {
         if (exchange == null) {
             // Unsolicited bytes: the next exchange must never take them for its own response.
             context.close();
             return;
         }
         if (message.decoderResult().isFailure()) {
-            exchange.lost(
+            exchange.failWith(
                     ExchangeFailure.Kind.MALFORMED,
                     String.valueOf(message.decoderResult().cause()));
             return;
         }
-        if (message instanceof HttpResponse response && !head(response)) {
+        if (message instanceof HttpResponse response && !handleHead(response)) {
             return;
         }
-        if (passedOver) {
+        if (skippingResponse) {
             // The codec also ends an interim response, or one of another request, with LastHttpContent.
-            passedOver = !(message instanceof LastHttpContent);
+            skippingResponse = !(message instanceof LastHttpContent);
             return;
         }
         if (message instanceof HttpContent content) {
             if (content.content().isReadable()) {
-                exchange.bytes(ByteBufUtil.getBytes(content.content()));
+                exchange.onBytes(ByteBufUtil.getBytes(content.content()));
             }
-            if (content instanceof LastHttpContent && exchange != null && !broken) {
-                exchange.end(keepAlive);
+            if (content instanceof LastHttpContent && exchange != null && !failed) {
+                exchange.onEnd(keepAlive);
             }
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        lost(
-                closedHere
+        failExchange(
+                closedLocally
                         ? "this host closed the connection inside the answer"
                         : "the connection closed inside the answer");
     }
@@ -85,18 +85,18 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         // The codec reports the end of an unframed response whenever its connection ends, even after a reset.
-        broken = true;
-        lost(String.valueOf(cause));
+        failed = true;
+        failExchange(String.valueOf(cause));
         context.close();
     }
 
-    private boolean head(HttpResponse response) {
+    private boolean handleHead(HttpResponse response) {
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            passedOver = true;
+            skippingResponse = true;
             return true;
         }
-        if (!exchange.owns(response.headers())) {
-            passedOver = true;
+        if (!exchange.matches(response.headers())) {
+            skippingResponse = true;
             return true;
         }
         boolean framed = HttpUtil.isTransferEncodingChunked(response)
@@ -106,11 +106,11 @@
             // A response that ends with its connection can't be distinguished from a truncated one, unless the
             // connection
             // is reset.
-            exchange.lost(ExchangeFailure.Kind.MALFORMED, "the answer has neither a length nor an end mark");
+            exchange.failWith(ExchangeFailure.Kind.MALFORMED, "the answer has neither a length nor an end mark");
             return false;
         }
         keepAlive = framed && HttpUtil.isKeepAlive(response);
-        exchange.head(response.status().code(), response.headers());
+        exchange.onHead(response.status().code(), response.headers());
         return true;
     }
 
@@ -119,11 +119,11 @@
         return code == 204 || code == 304;
     }
 
-    private void lost(String detail) {
+    private void failExchange(String detail) {
         ClientExchange current = exchange;
         exchange = null;
         if (current != null) {
-            current.lost(ExchangeFailure.Kind.CONNECTION_LOST, detail);
+            current.failWith(ExchangeFailure.Kind.CONNECTION_LOST, detail);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/http/ClientExchange.java
+++ b/src/main/java/org/gooseberryhill/http/ClientExchange.java
@@ -32,7 +32,7 @@
     private boolean ended;
     private ScheduledFuture<?> silenceTimer;
     private volatile long heardNanos = System.nanoTime();
-    private volatile boolean silenceAsked;
+    private volatile boolean silenceCheckPending;
 
     ClientExchange(HttpClient client, ExchangeRequest request, ExchangeListener listener) {
         this.client = client;
@@ -43,12 +43,12 @@
     @Override
     public void cancel() {
         cancelled = true;
-        whileOwned(Channel::close);
+        runUnlessEnded(Channel::close);
     }
 
     @Override
     public void readAnswer(boolean reading) {
-        whileOwned(connection -> {
+        runUnlessEnded(connection -> {
             paused = !reading;
             connection.config().setAutoRead(reading);
         });
@@ -62,12 +62,12 @@
     /** Schedules at most one check at a time, so that checks do not pile up on a blocked event loop. */
     @Override
     public void failIfSilentSince(long sinceNanos) {
-        if (channel == null || silenceAsked) {
+        if (channel == null || silenceCheckPending) {
             return;
         }
-        silenceAsked = true;
-        whileOwned(connection ->
-                RecentRead.thenRun(connection.eventLoop(), () -> endIfSilentSince(connection, sinceNanos)));
+        silenceCheckPending = true;
+        runUnlessEnded(
+                connection -> AfterRead.run(connection.eventLoop(), () -> failIfStillSilent(connection, sinceNanos)));
     }
 
     /** Sends the request on a connection; {@code kept} tells whether it was used before. */
@@ -77,38 +77,38 @@
     }
 
     /** Returns whether a response with these headers belongs to this exchange. */
-    boolean owns(HttpHeaders headers) {
-        return request.options().answerCheck().isOwn(headers);
+    boolean matches(HttpHeaders headers) {
+        return request.options().responseMatcher().matches(headers);
     }
 
     boolean acceptsUnframed() {
-        return request.options().unframedAccepted();
+        return request.options().acceptsUnframed();
     }
 
-    void head(int status, HttpHeaders headers) {
-        heard();
-        KeptConnections.noteTimeout(channel, headers);
+    void onHead(int status, HttpHeaders headers) {
+        recordActivity();
+        IdleConnectionPool.recordIdleTimeout(channel, headers);
         if (!cancelled) {
             listener.onHead(status, headers);
         }
     }
 
-    void bytes(byte[] bytes) {
-        heard();
+    void onBytes(byte[] bytes) {
+        recordActivity();
         if (!cancelled && !ended) {
             listener.onBytes(bytes);
         }
     }
 
     /** Ends the exchange after its complete response. */
-    void end(boolean keepAlive) {
-        if (!finish()) {
+    void onEnd(boolean keepAlive) {
+        if (!markEnded()) {
             return;
         }
         Channel connection = channel;
         connection.pipeline().get(ClientConnectionHandler.class).detach();
         if (keepAlive && !cancelled) {
-            client.keep(request.address(), connection);
+            client.keepForReuse(request.address(), connection);
         } else {
             connection.close();
         }
@@ -117,12 +117,12 @@
         }
     }
 
-    void lost(ExchangeFailure.Kind kind, String detail) {
+    void failWith(ExchangeFailure.Kind kind, String detail) {
         fail(new ExchangeFailure(kind, outcome, detail));
     }
 
     void fail(ExchangeFailure failure) {
-        if (!finish()) {
+        if (!markEnded()) {
             return;
         }
         if (channel != null) {
@@ -144,7 +144,7 @@
             return;
         }
         if (!connection.isActive()) {
-            lost(ExchangeFailure.Kind.CONNECTION_LOST, "the connection closed before anything was sent");
+            failWith(ExchangeFailure.Kind.CONNECTION_LOST, "the connection closed before anything was sent");
             return;
         }
         connection.pipeline().get(ClientConnectionHandler.class).attach(this);
@@ -152,12 +152,12 @@
         heardNanos = System.nanoTime();
         connection.writeAndFlush(httpRequest()).addListener(done -> {
             if (!done.isSuccess()) {
-                lost(
+                failWith(
                         ExchangeFailure.Kind.CONNECTION_LOST,
                         String.valueOf(done.cause().getMessage()));
             }
         });
-        armSilenceTimer(TimeUnit.MILLISECONDS.toNanos(request.options().silenceMillis()));
+        scheduleSilenceCheck(TimeUnit.MILLISECONDS.toNanos(request.options().silenceTimeoutMillis()));
     }
 
     private FullHttpRequest httpRequest() {
@@ -175,38 +175,40 @@
         return message;
     }
 
-    private void heard() {
+    private void recordActivity() {
         heardNanos = System.nanoTime();
     }
 
-    private void armSilenceTimer(long delayNanos) {
+    private void scheduleSilenceCheck(long delayNanos) {
         silenceTimer = channel.eventLoop().schedule(this::checkSilence, delayNanos, TimeUnit.NANOSECONDS);
     }
 
     private void checkSilence() {
-        long limitNanos = TimeUnit.MILLISECONDS.toNanos(request.options().silenceMillis());
+        long limitNanos = TimeUnit.MILLISECONDS.toNanos(request.options().silenceTimeoutMillis());
         long leftNanos = limitNanos - (System.nanoTime() - heardNanos);
         if (paused) {
             // Reading is paused on this side, so the endpoint does not count as silent.
-            armSilenceTimer(limitNanos);
+            scheduleSilenceCheck(limitNanos);
         } else if (leftNanos <= 0) {
-            lost(ExchangeFailure.Kind.SILENT, "no byte for " + request.options().silenceMillis() + " ms");
+            failWith(
+                    ExchangeFailure.Kind.SILENT,
+                    "no byte for " + request.options().silenceTimeoutMillis() + " ms");
         } else {
-            armSilenceTimer(leftNanos);
+            scheduleSilenceCheck(leftNanos);
         }
     }
 
-    private void endIfSilentSince(Channel connection, long sinceNanos) {
-        silenceAsked = false;
+    private void failIfStillSilent(Channel connection, long sinceNanos) {
+        silenceCheckPending = false;
         boolean sentHere = outcome == Outcome.MAY_HAVE_RUN && channel == connection;
         if (sentHere && !paused && heardNanos == sinceNanos) {
             long silentMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
-            lost(ExchangeFailure.Kind.SILENT, "no byte for " + silentMillis + " ms");
+            failWith(ExchangeFailure.Kind.SILENT, "no byte for " + silentMillis + " ms");
         }
     }
 
     /** Runs an action on the connection's event loop, unless the exchange has ended by then. */
-    private void whileOwned(Consumer<Channel> action) {
+    private void runUnlessEnded(Consumer<Channel> action) {
         Channel connection = channel;
         if (connection == null) {
             return;
@@ -218,7 +220,7 @@
         });
     }
 
-    private boolean finish() {
+    private boolean markEnded() {
         if (ended) {
             return false;
         }
--- a/src/main/java/org/gooseberryhill/http/EventStreamReader.java
+++ b/src/main/java/org/gooseberryhill/http/EventStreamReader.java
@@ -12,7 +12,7 @@
  */
 public final class EventStreamReader {
     private static final String DATA = "data:";
-    private static final String DONE = "[DONE]";
+    private static final String DONE_DATA = "[DONE]";
 
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
     private byte last;
@@ -42,14 +42,14 @@
             return;
         }
         String data = text.substring(DATA.length()).strip();
-        if (data.equals(DONE)) {
+        if (data.equals(DONE_DATA)) {
             consumer.onEvent(event, "", true);
             return;
         }
-        consumer.onEvent(event, token(data), false);
+        consumer.onEvent(event, extractToken(data), false);
     }
 
-    private static String token(String data) {
+    private static String extractToken(String data) {
         JsonNode choice = Json.tree(data.getBytes(StandardCharsets.UTF_8))
                 .map(json -> json.path("choices").path(0))
                 .getOrElse(Json.object());
--- a/src/main/java/org/gooseberryhill/http/ExchangeRequest.java
+++ b/src/main/java/org/gooseberryhill/http/ExchangeRequest.java
@@ -31,13 +31,13 @@
             String target,
             Map<String, String> headers,
             byte[] body,
-            int silenceMillis,
+            int silenceTimeoutMillis,
             boolean freshConnection) {
-        this(address, method, target, headers.entrySet(), body, options(silenceMillis, freshConnection));
+        this(address, method, target, headers.entrySet(), body, options(silenceTimeoutMillis, freshConnection));
     }
 
-    private static ExchangeOptions options(int silenceMillis, boolean freshConnection) {
-        ExchangeOptions options = ExchangeOptions.withSilence(silenceMillis);
+    private static ExchangeOptions options(int silenceTimeoutMillis, boolean freshConnection) {
+        ExchangeOptions options = ExchangeOptions.withSilenceTimeout(silenceTimeoutMillis);
         return freshConnection ? options.onFreshConnection() : options;
     }
 }
--- a/src/main/java/org/gooseberryhill/http/ForwardedHeaders.java
+++ b/src/main/java/org/gooseberryhill/http/ForwardedHeaders.java
@@ -8,7 +8,7 @@
 
 /** Copies the headers of forwarded messages without the hop-by-hop headers (RFC 9110, section 7.6.1). Stateless. */
 public final class ForwardedHeaders {
-    private static final List<AsciiString> OF_ONE_CONNECTION = Stream.of(
+    private static final List<AsciiString> HOP_BY_HOP_HEADERS = Stream.of(
                     "connection",
                     "keep-alive",
                     "proxy-connection",
@@ -43,7 +43,7 @@
                 copy.remove(name.strip());
             }
         }
-        for (AsciiString name : OF_ONE_CONNECTION) {
+        for (AsciiString name : HOP_BY_HOP_HEADERS) {
             copy.remove(name);
         }
         return copy;
--- a/src/main/java/org/gooseberryhill/http/HttpClient.java
+++ b/src/main/java/org/gooseberryhill/http/HttpClient.java
@@ -28,7 +28,7 @@
     private static final int MAX_HEADER_BYTES = 65_536;
 
     private final Bootstrap bootstrap;
-    private final KeptConnections kept = new KeptConnections();
+    private final IdleConnectionPool idleConnections = new IdleConnectionPool();
     private final LongAdder connects = new LongAdder();
 
     /** Creates a client on the given event loops. */
@@ -48,7 +48,8 @@
     /** Starts an exchange whose events are passed to the listener. */
     public Exchange start(ExchangeRequest request, ExchangeListener listener) {
         ClientExchange exchange = new ClientExchange(this, request, listener);
-        Channel channel = kept.take(request.address(), request.options().maxIdleMillis(), System.nanoTime());
+        Channel channel =
+                idleConnections.take(request.address(), request.options().maxIdleMillis(), System.nanoTime());
         if (channel != null) {
             exchange.begin(channel, true);
             return exchange;
@@ -60,16 +61,16 @@
     /**
      * Opens a connection and keeps it for the next exchange.
      *
-     * @param connectMillis connect timeout
+     * @param connectTimeoutMillis connect timeout
      * @return completes when the connection is established, and exceptionally if it can't be
      */
-    public CompletableFuture<Void> probe(Address address, int connectMillis) {
+    public CompletableFuture<Void> probe(Address address, int connectTimeoutMillis) {
         connects.increment();
         CompletableFuture<Void> reached = new CompletableFuture<>();
-        ChannelFuture connecting = connecting(address, connectMillis);
+        ChannelFuture connecting = openConnection(address, connectTimeoutMillis);
         connecting.addListener(done -> {
             if (done.isSuccess()) {
-                keep(address, connecting.channel());
+                keepForReuse(address, connecting.channel());
                 reached.complete(null);
             } else {
                 reached.completeExceptionally(done.cause());
@@ -82,7 +83,7 @@
     void connect(ClientExchange exchange, ExchangeRequest request) {
         connects.increment();
         ChannelFuture connecting =
-                connecting(request.address(), request.options().connectMillis());
+                openConnection(request.address(), request.options().connectTimeoutMillis());
         connecting.addListener(done -> {
             if (done.isSuccess()) {
                 exchange.begin(connecting.channel(), false);
@@ -104,17 +105,17 @@
 
     @Override
     public void close() {
-        kept.close();
+        idleConnections.close();
     }
 
     /** Closes the idle connections to an address, for an address that another process has taken over. */
     public void forget(Address address) {
-        kept.drop(address);
+        idleConnections.closeAll(address);
     }
 
     /** Returns whether there is an idle connection to an address. */
     public boolean hasKept(Address address) {
-        return kept.has(address);
+        return idleConnections.hasIdle(address);
     }
 
     /** Returns the number of connection attempts so far. */
@@ -123,14 +124,14 @@
     }
 
     /** Keeps a connection for reuse after a complete response. */
-    void keep(Address address, Channel channel) {
-        kept.keep(address, channel, System.nanoTime());
+    void keepForReuse(Address address, Channel channel) {
+        idleConnections.add(address, channel, System.nanoTime());
     }
 
-    private ChannelFuture connecting(Address address, int connectMillis) {
+    private ChannelFuture openConnection(Address address, int connectTimeoutMillis) {
         return bootstrap
                 .clone()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                 .connect(new InetSocketAddress(address.ip(), address.port()));
     }
 
--- a/src/main/java/org/gooseberryhill/http/HttpLimits.java
+++ b/src/main/java/org/gooseberryhill/http/HttpLimits.java
@@ -5,12 +5,16 @@
  *
  * @param maxHeaderBytes maximum total size of the headers of one request
  * @param maxRequestLineBytes maximum size of method, target and version
- * @param idleMillis how long a connection may be idle while no request is in progress
+ * @param idleTimeoutMillis how long a connection may be idle while no request is in progress
  * @param maxPendingWriteBytes unsent bytes at which the connection of a slow reader is closed
- * @param headerMillis maximum time for the head of a request from its first byte on, and between two parts of a body
+ * @param headerTimeoutMillis maximum time for the head of a request from its first byte on, and between two parts of a body
  */
 public record HttpLimits(
-        int maxHeaderBytes, int maxRequestLineBytes, int idleMillis, int maxPendingWriteBytes, int headerMillis) {
+        int maxHeaderBytes,
+        int maxRequestLineBytes,
+        int idleTimeoutMillis,
+        int maxPendingWriteBytes,
+        int headerTimeoutMillis) {
     /** The defaults, as documented in docs/OPERATIONS.md. */
     public static final HttpLimits DEFAULT = new HttpLimits(16_384, 8_192, 60_000, 8 * 1024 * 1024, 10_000);
 }
--- a/src/main/java/org/gooseberryhill/http/HttpServer.java
+++ b/src/main/java/org/gooseberryhill/http/HttpServer.java
@@ -29,28 +29,28 @@
      * Consecutive event loop iterations without an accepted connection before the listening socket closes. One is not enough:
      * the kernel establishes a connection for the caller shortly before it can be accepted.
      */
-    private static final int QUIET_ROUNDS = 20;
+    private static final int EMPTY_ACCEPT_ITERATIONS = 20;
 
     /**
      * Maximum number of iterations, since callers may keep connecting. By then every connection that was in the backlog at the
      * beginning has been accepted.
      */
-    private static final int MAX_ROUNDS = QUIET_ROUNDS + ListeningSocket.BACKLOG;
+    private static final int MAX_ACCEPT_ITERATIONS = EMPTY_ACCEPT_ITERATIONS + ListeningSocket.BACKLOG;
 
     private final Channel listener;
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final AtomicInteger unanswered = new AtomicInteger();
-    private final AtomicBoolean listeningEnds = new AtomicBoolean();
-    private volatile boolean closingConnections;
+    private final AtomicBoolean stopListeningRequested = new AtomicBoolean();
+    private volatile boolean announceClose;
 
     /** The number of accepted connections; accessed only on the listening socket's event loop. */
-    private long accepted;
+    private long acceptedCount;
 
     private HttpServer(EventLoopGroup group, ListeningSocket socket, Supplier<HttpLimits> limits, HttpHandler handler) {
         listener = new ServerBootstrap()
                 .group(group)
                 .channelFactory(() -> new NioServerSocketChannel(socket.channel()))
-                .handler(new AcceptedConnections())
+                .handler(new ConnectionRegistrar())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -60,9 +60,9 @@
                                 .setWriteBufferWaterMark(new WriteBufferWaterMark(
                                         LOW_WATER_BYTES, currentLimits.maxPendingWriteBytes()));
                         channel.pipeline()
-                                .addLast(codec(currentLimits))
+                                .addLast(newCodec(currentLimits))
                                 .addLast(new ServerConnectionHandler(
-                                        handler, currentLimits, () -> closingConnections, unanswered));
+                                        handler, currentLimits, () -> announceClose, unanswered));
                     }
                 })
                 .register()
@@ -71,7 +71,7 @@
     }
 
     /** Creates the codec of a connection, with the size limits of requests. */
-    static HttpServerCodec codec(HttpLimits limits) {
+    static HttpServerCodec newCodec(HttpLimits limits) {
         HttpDecoderConfig decoder = new HttpDecoderConfig()
                 .setMaxInitialLineLength(limits.maxRequestLineBytes())
                 .setMaxHeaderSize(limits.maxHeaderBytes());
@@ -96,8 +96,8 @@
     }
 
     /** Makes each further response announce that its connection closes ({@code Connection: close}). */
-    public void closeAfterAnswers() {
-        closingConnections = true;
+    public void closeAfterResponses() {
+        announceClose = true;
     }
 
     /** Closes the connections without a request in progress; a request that has already arrived is still read and answered. */
@@ -105,7 +105,7 @@
         for (Channel connection : connections) {
             ServerConnectionHandler handler = connection.pipeline().get(ServerConnectionHandler.class);
             if (handler != null) {
-                RecentRead.thenRun(connection.eventLoop(), () -> handler.closeIfIdle(connection));
+                AfterRead.run(connection.eventLoop(), () -> handler.closeIfIdle(connection));
             }
         }
     }
@@ -125,8 +125,8 @@
 
     /** Starts closing the listening socket; pending connections are still accepted, and open ones stay open. */
     public void stopListening() {
-        if (listeningEnds.compareAndSet(false, true)) {
-            listener.eventLoop().execute(() -> closeWhenNobodyWaits(0, MAX_ROUNDS));
+        if (stopListeningRequested.compareAndSet(false, true)) {
+            listener.eventLoop().execute(() -> closeWhenBacklogIsEmpty(0, MAX_ACCEPT_ITERATIONS));
         }
     }
 
@@ -143,22 +143,23 @@
     }
 
     /** Closes the listening socket after enough consecutive event loop iterations without an accepted connection. */
-    private void closeWhenNobodyWaits(int quietRounds, int roundsLeft) {
-        if (quietRounds >= QUIET_ROUNDS || roundsLeft == 0) {
+    private void closeWhenBacklogIsEmpty(int emptyIterations, int iterationsLeft) {
+        if (emptyIterations >= EMPTY_ACCEPT_ITERATIONS || iterationsLeft == 0) {
             listener.close();
             return;
         }
-        long acceptedBefore = accepted;
-        RecentRead.thenRun(
+        long acceptedBefore = acceptedCount;
+        AfterRead.run(
                 listener.eventLoop(),
-                () -> closeWhenNobodyWaits(accepted == acceptedBefore ? quietRounds + 1 : 0, roundsLeft - 1));
+                () -> closeWhenBacklogIsEmpty(
+                        acceptedCount == acceptedBefore ? emptyIterations + 1 : 0, iterationsLeft - 1));
     }
 
     /** Registers each connection as soon as it is accepted, hence before the listening socket can be seen as closed. */
-    private final class AcceptedConnections extends ChannelInboundHandlerAdapter {
+    private final class ConnectionRegistrar extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object connection) {
-            accepted++;
+            acceptedCount++;
             connections.add((Channel) connection);
             context.fireChannelRead(connection);
         }
--- a/src/main/java/org/gooseberryhill/http/KeptConnections.java
+++ b/src/main/java/org/gooseberryhill/http/IdleConnectionPool.java
@@ -15,39 +15,39 @@
  * <p>Invariant: a connection is handed out only if the idle timeout that the peer announced, if any, is far enough away that
  * a request sent now can't cross with the close of the connection.
  */
-final class KeptConnections {
-    private static final int MAX_KEPT_PER_ADDRESS = 64;
+final class IdleConnectionPool {
+    private static final int MAX_IDLE_PER_ADDRESS = 64;
 
     /** Safety margin before the peer's idle timeout, for clock differences and the time that the request is in transit. */
     private static final long TIMEOUT_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    private static final AttributeKey<Long> IDLE_SINCE = AttributeKey.valueOf("idleSinceNanos");
-    private static final AttributeKey<Long> IDLE_LIMIT = AttributeKey.valueOf("idleLimitNanos");
+    private static final AttributeKey<Long> IDLE_SINCE_NANOS = AttributeKey.valueOf("idleSinceNanos");
+    private static final AttributeKey<Long> IDLE_LIMIT_NANOS = AttributeKey.valueOf("idleLimitNanos");
 
     private final Map<Address, ConcurrentLinkedDeque<Channel>> byAddress = new ConcurrentHashMap<>();
     private volatile boolean closed;
 
     /** Records the idle timeout that a response announces for its connection, if any. */
-    static void noteTimeout(Channel channel, HttpHeaders answer) {
+    static void recordIdleTimeout(Channel channel, HttpHeaders answer) {
         String value = answer.get("keep-alive");
         if (value == null) {
             return;
         }
         KeepAliveTimeout.seconds(value).ifPresent(seconds -> {
             long nanos = TimeUnit.SECONDS.toNanos(seconds);
-            channel.attr(IDLE_LIMIT).set(Math.max(0, nanos - TIMEOUT_MARGIN_NANOS));
+            channel.attr(IDLE_LIMIT_NANOS).set(Math.max(0, nanos - TIMEOUT_MARGIN_NANOS));
         });
     }
 
     /** Adds a connection after a complete response; closes it if the pool is closed or full for this address. */
-    void keep(Address address, Channel channel, long nowNanos) {
+    void add(Address address, Channel channel, long nowNanos) {
         ConcurrentLinkedDeque<Channel> channels =
                 byAddress.computeIfAbsent(address, key -> new ConcurrentLinkedDeque<>());
-        if (closed || channels.size() >= MAX_KEPT_PER_ADDRESS) {
+        if (closed || channels.size() >= MAX_IDLE_PER_ADDRESS) {
             channel.close();
             return;
         }
-        channel.attr(IDLE_SINCE).set(nowNanos);
+        channel.attr(IDLE_SINCE_NANOS).set(nowNanos);
         channels.addFirst(channel);
     }
 
@@ -74,14 +74,14 @@
     }
 
     /** Returns whether there is an idle connection to an address; the peer may be closing it. */
-    boolean has(Address address) {
+    boolean hasIdle(Address address) {
         ConcurrentLinkedDeque<Channel> channels = byAddress.get(address);
         Channel latest = channels == null ? null : channels.peekFirst();
         return latest != null && latest.isActive();
     }
 
     /** Closes all idle connections to an address, for an address that another process has taken over. */
-    void drop(Address address) {
+    void closeAll(Address address) {
         ConcurrentLinkedDeque<Channel> channels = byAddress.remove(address);
         if (channels != null) {
             channels.forEach(Channel::close);
@@ -94,12 +94,12 @@
     }
 
     private static boolean isExpired(Channel channel, long nowNanos) {
-        Long limit = channel.attr(IDLE_LIMIT).get();
+        Long limit = channel.attr(IDLE_LIMIT_NANOS).get();
         return limit != null && idleNanos(channel, nowNanos) > limit;
     }
 
     private static long idleNanos(Channel channel, long nowNanos) {
-        Long since = channel.attr(IDLE_SINCE).get();
+        Long since = channel.attr(IDLE_SINCE_NANOS).get();
         return since == null ? 0 : nowNanos - since;
     }
 }
--- a/src/main/java/org/gooseberryhill/http/KeepAliveTimeout.java
+++ b/src/main/java/org/gooseberryhill/http/KeepAliveTimeout.java
@@ -21,13 +21,13 @@
             int equals = parameter.indexOf('=');
             boolean named = equals > 0 && parameter.substring(0, equals).strip().equalsIgnoreCase(TIMEOUT);
             if (named) {
-                return number(parameter.substring(equals + 1).strip());
+                return parseNumber(parameter.substring(equals + 1).strip());
             }
         }
         return OptionalLong.empty();
     }
 
-    private static OptionalLong number(String text) {
+    private static OptionalLong parseNumber(String text) {
         if (text.isEmpty() || text.length() > MAX_DIGITS || !text.chars().allMatch(Character::isDigit)) {
             return OptionalLong.empty();
         }
--- a/src/main/java/org/gooseberryhill/http/AnswerCheck.java
+++ b/src/main/java/org/gooseberryhill/http/ResponseMatcher.java
@@ -9,10 +9,10 @@
  * connection is expected: the caller would receive the response to another request.
  */
 @FunctionalInterface
-public interface AnswerCheck {
+public interface ResponseMatcher {
     /** Accepts every response. */
-    AnswerCheck NONE = headers -> true;
+    ResponseMatcher NONE = headers -> true;
 
     /** Returns whether the response with these headers belongs to the request; any other response is skipped. */
-    boolean isOwn(HttpHeaders headers);
+    boolean matches(HttpHeaders headers);
 }
--- a/src/main/java/org/gooseberryhill/http/ServerCall.java
+++ b/src/main/java/org/gooseberryhill/http/ServerCall.java
@@ -33,11 +33,11 @@
     private final HttpMethod method;
     private final QueryStringDecoder target;
     private final HttpHeaders headers;
-    private final boolean keepAliveAsked;
+    private final boolean keepAliveRequested;
     private boolean keepAlive;
     private Runnable disconnectCallback;
     private boolean disconnected;
-    private boolean begun;
+    private boolean responseBegun;
     private boolean ended;
 
     ServerCall(ChannelHandlerContext context, ServerConnectionHandler connection, HttpRequest request) {
@@ -46,7 +46,7 @@
         this.method = request.method();
         this.target = new QueryStringDecoder(request.uri());
         this.headers = request.headers();
-        this.keepAliveAsked = HttpUtil.isKeepAlive(request);
+        this.keepAliveRequested = HttpUtil.isKeepAlive(request);
     }
 
     @Override
@@ -77,11 +77,11 @@
 
     @Override
     public void reply(int status, Iterable<Map.Entry<String, String>> replyHeaders, byte[] body) {
-        onLoop(() -> {
+        runOnEventLoop(() -> {
             if (ended) {
                 return;
             }
-            if (begun) {
+            if (responseBegun) {
                 abort();
                 return;
             }
@@ -96,17 +96,17 @@
             }
             setConnectionHeader(response);
             context.writeAndFlush(response);
-            end(keepAlive);
+            completeResponse(keepAlive);
         });
     }
 
     @Override
     public void beginStream(int status, Iterable<Map.Entry<String, String>> replyHeaders) {
-        onLoop(() -> {
+        runOnEventLoop(() -> {
             if (ended) {
                 return;
             }
-            begun = true;
+            responseBegun = true;
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
             MessageHeaders.addAll(response.headers(), replyHeaders);
             if (!response.headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
@@ -119,31 +119,31 @@
 
     @Override
     public CompletableFuture<Void> write(byte[] bytes) {
-        CompletableFuture<Void> taken = new CompletableFuture<>();
-        onLoop(() -> {
+        CompletableFuture<Void> written = new CompletableFuture<>();
+        runOnEventLoop(() -> {
             if (ended) {
-                taken.completeExceptionally(new ClosedChannelException());
+                written.completeExceptionally(new ClosedChannelException());
                 return;
             }
             context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)))
-                    .addListener(done -> complete(taken, done.cause()));
+                    .addListener(done -> complete(written, done.cause()));
         });
-        return taken;
+        return written;
     }
 
     @Override
     public void endStream() {
-        onLoop(() -> {
+        runOnEventLoop(() -> {
             if (!ended) {
                 context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-                end(keepAlive);
+                completeResponse(keepAlive);
             }
         });
     }
 
     @Override
     public void abortStream() {
-        onLoop(() -> {
+        runOnEventLoop(() -> {
             if (!ended) {
                 abort();
             }
@@ -152,16 +152,16 @@
 
     @Override
     public void readBody(boolean reading) {
-        onLoop(() -> {
+        runOnEventLoop(() -> {
             if (!ended) {
-                connection.holdBodyBack(context.channel(), !reading);
+                connection.setBodyReadingPaused(context.channel(), !reading);
             }
         });
     }
 
     @Override
     public void onDisconnect(Runnable callback) {
-        onLoop(() -> {
+        runOnEventLoop(() -> {
             if (disconnected) {
                 callback.run();
                 return;
@@ -192,19 +192,19 @@
         context.close();
     }
 
-    private void end(boolean keepConnection) {
+    private void completeResponse(boolean keepConnection) {
         ended = true;
-        connection.callEnded(context, keepConnection);
+        connection.responseCompleted(context, keepConnection);
     }
 
     private void setConnectionHeader(HttpResponse response) {
-        keepAlive = keepAliveAsked && !connection.isClosing();
+        keepAlive = keepAliveRequested && !connection.closesAfterResponse();
         if (!keepAlive) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
     }
 
-    private void onLoop(Runnable task) {
+    private void runOnEventLoop(Runnable task) {
         if (context.executor().inEventLoop()) {
             task.run();
         } else {
--- a/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
@@ -36,93 +36,97 @@
  */
 final class ServerConnectionHandler extends ChannelDuplexHandler {
     /** How long a new connection does not count as idle, since its first request may be in transit. */
-    static final long FIRST_REQUEST_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    static final long FIRST_REQUEST_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     /**
      * Reading pauses while this many messages of pipelined requests are queued. Messages that were already read may exceed it.
      */
-    private static final int MAX_WAITING_MESSAGES = 64;
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     private static final Lazy<Logger> LOG = Logs.of(ServerConnectionHandler.class);
 
     private final HttpHandler handler;
     private final HttpLimits limits;
-    private final Queue<HttpObject> waiting = new ArrayDeque<>();
+    private final Queue<HttpObject> queuedMessages = new ArrayDeque<>();
     private ServerCall call;
     private HttpBody body;
-    private boolean bodyDone;
-    private boolean bodyHeldBack;
-    private boolean takingWaiting;
-    private long requests;
-    private boolean messageCame;
-    private boolean headBegun;
-    private boolean lastAnswerGiven;
+    private boolean bodyComplete;
+    private boolean bodyReadingPaused;
+    private boolean processingQueued;
+    private long requestCount;
+    private boolean messageDecoded;
+    private boolean partialMessageReceived;
+    private boolean discardingInput;
     private long acceptedNanos;
-    private final BooleanSupplier closing;
-    private final AtomicInteger unanswered;
+    private final BooleanSupplier closesAfterResponse;
+    private final AtomicInteger requestsInProgress;
     private ScheduledFuture<?> idleTimer;
 
     /**
      * Creates the handler of a connection.
      *
-     * @param closing whether responses announce that their connection closes
-     * @param unanswered counts the requests of all connections whose response is not complete
+     * @param closesAfterResponse whether responses announce that their connection closes
+     * @param requestsInProgress counts the requests of all connections whose response is not complete
      */
-    ServerConnectionHandler(HttpHandler handler, HttpLimits limits, BooleanSupplier closing, AtomicInteger unanswered) {
+    ServerConnectionHandler(
+            HttpHandler handler,
+            HttpLimits limits,
+            BooleanSupplier closesAfterResponse,
+            AtomicInteger requestsInProgress) {
         this.handler = handler;
         this.limits = limits;
-        this.closing = closing;
-        this.unanswered = unanswered;
+        this.closesAfterResponse = closesAfterResponse;
+        this.requestsInProgress = requestsInProgress;
     }
 
     /** Returns whether responses announce that their connection closes. */
-    boolean isClosing() {
-        return closing.getAsBoolean();
+    boolean closesAfterResponse() {
+        return closesAfterResponse.getAsBoolean();
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
         acceptedNanos = nanoTime(context.channel());
-        closeWhenIdle(context.channel());
+        startIdleTimeout(context.channel());
         context.fireChannelActive();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         HttpObject object = (HttpObject) message;
-        messageCame = true;
-        headBegun = false;
-        if (lastAnswerGiven) {
+        messageDecoded = true;
+        partialMessageReceived = false;
+        if (discardingInput) {
             ReferenceCountUtil.release(object);
             return;
         }
-        boolean belongsToNext = call != null && bodyDone;
-        if (belongsToNext || !waiting.isEmpty()) {
-            waiting.add(object);
-            readAsFitting(context.channel());
+        boolean belongsToNext = call != null && bodyComplete;
+        if (belongsToNext || !queuedMessages.isEmpty()) {
+            queuedMessages.add(object);
+            updateAutoRead(context.channel());
             return;
         }
-        process(context, object);
+        processMessage(context, object);
     }
 
     /** Bytes that were read without completing a message are the beginning of one. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        headBegun = headBegun || !messageCame;
-        messageCame = false;
+        partialMessageReceived = partialMessageReceived || !messageDecoded;
+        messageDecoded = false;
         context.fireChannelReadComplete();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         cancelIdleTimer();
-        dropWaiting();
+        releaseQueued();
         if (call != null) {
-            if (body != null && !bodyDone) {
+            if (body != null && !bodyComplete) {
                 body.onAborted();
             }
             call.disconnected();
-            unanswered.decrementAndGet();
+            requestsInProgress.decrementAndGet();
         }
     }
 
@@ -143,64 +147,64 @@
 
     /** Closes the connection unless a request is in progress on it; a response that is still being sent is sent first. */
     void closeIfIdle(Channel connection) {
-        boolean isNew = requests == 0 && nanoTime(connection) - acceptedNanos < FIRST_REQUEST_NANOS;
-        if (call == null && !isNew && !headBegun) {
-            closeUnannounced(connection);
+        boolean isNew = requestCount == 0 && nanoTime(connection) - acceptedNanos < FIRST_REQUEST_GRACE_NANOS;
+        if (call == null && !isNew && !partialMessageReceived) {
+            closeIdleConnection(connection);
         }
     }
 
     /** Pauses or resumes reading the body of the current request. */
-    void holdBodyBack(Channel connection, boolean holdBack) {
-        bodyHeldBack = holdBack;
-        readAsFitting(connection);
+    void setBodyReadingPaused(Channel connection, boolean paused) {
+        bodyReadingPaused = paused;
+        updateAutoRead(connection);
     }
 
     /** Called when the current response is complete: processes the next request, or closes the connection. */
-    void callEnded(ChannelHandlerContext context, boolean keepAlive) {
-        boolean unreadBody = !bodyDone;
+    void responseCompleted(ChannelHandlerContext context, boolean keepAlive) {
+        boolean unreadBody = !bodyComplete;
         call = null;
-        bodyHeldBack = false;
-        unanswered.decrementAndGet();
+        bodyReadingPaused = false;
+        requestsInProgress.decrementAndGet();
         if (!keepAlive || unreadBody) {
-            closeAnnounced(context.channel());
+            closeAfterFinalResponse(context.channel());
             return;
         }
-        closeWhenIdle(context.channel());
-        takeWaiting(context);
+        startIdleTimeout(context.channel());
+        processQueued(context);
     }
 
     /** Processes queued requests. A response given inside the loop does not start another loop, which bounds the stack depth. */
-    private void takeWaiting(ChannelHandlerContext context) {
-        if (takingWaiting) {
+    private void processQueued(ChannelHandlerContext context) {
+        if (processingQueued) {
             return;
         }
-        takingWaiting = true;
+        processingQueued = true;
         try {
-            while (!lastAnswerGiven && !waiting.isEmpty() && (call == null || !bodyDone)) {
-                process(context, waiting.poll());
+            while (!discardingInput && !queuedMessages.isEmpty() && (call == null || !bodyComplete)) {
+                processMessage(context, queuedMessages.poll());
             }
         } finally {
-            takingWaiting = false;
-            readAsFitting(context.channel());
+            processingQueued = false;
+            updateAutoRead(context.channel());
         }
     }
 
     /** Reads unless the queue is full or the body is paused, since only reading detects that the caller has disconnected. */
-    private void readAsFitting(Channel connection) {
-        connection.config().setAutoRead(!bodyHeldBack && waiting.size() < MAX_WAITING_MESSAGES);
+    private void updateAutoRead(Channel connection) {
+        connection.config().setAutoRead(!bodyReadingPaused && queuedMessages.size() < MAX_QUEUED_MESSAGES);
     }
 
     /**
      * Closes a connection whose caller does not expect it. It closes at once after the flush, since requests that arrive before
      * the close would be read and discarded.
      */
-    private void closeUnannounced(Channel connection) {
-        if (lastAnswerGiven) {
+    private void closeIdleConnection(Channel connection) {
+        if (discardingInput) {
             return;
         }
-        takeNothingMore(connection);
+        discardFurtherInput(connection);
         connection.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(flushed -> connection.close());
-        closeAfterSilentPeriod(connection);
+        closeIfWriteStalls(connection);
     }
 
     /**
@@ -208,65 +212,65 @@
      * the caller loses the part of the response that is still in transit. So the data is read first; if reading is off, only
      * the output is shut down and the caller closes the connection.
      */
-    private void closeAnnounced(Channel connection) {
-        if (lastAnswerGiven) {
+    private void closeAfterFinalResponse(Channel connection) {
+        if (discardingInput) {
             return;
         }
         boolean hasUnread = !connection.config().isAutoRead();
-        takeNothingMore(connection);
+        discardFurtherInput(connection);
         Runnable close = hasUnread && connection instanceof DuplexChannel caller
                 ? caller::shutdownOutput
-                : () -> RecentRead.thenRun(connection.eventLoop(), connection::close);
+                : () -> AfterRead.run(connection.eventLoop(), connection::close);
         connection.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(flushed -> close.run());
-        closeAfterSilentPeriod(connection);
+        closeIfWriteStalls(connection);
     }
 
-    private void takeNothingMore(Channel connection) {
-        lastAnswerGiven = true;
+    private void discardFurtherInput(Channel connection) {
+        discardingInput = true;
         cancelIdleTimer();
-        dropWaiting();
-        readAsFitting(connection);
+        releaseQueued();
+        updateAutoRead(connection);
     }
 
     /** Closes the connection if no byte is sent for a whole idle period, because the reader has stalled. */
-    private void closeAfterSilentPeriod(Channel connection) {
+    private void closeIfWriteStalls(Channel connection) {
         if (connection.isOpen()) {
-            afterSilentPeriod(connection, connection::close);
+            runAfterIdlePeriod(connection, connection::close);
         }
     }
 
-    private void process(ChannelHandlerContext context, HttpObject object) {
+    private void processMessage(ChannelHandlerContext context, HttpObject object) {
         try {
             if (object.decoderResult().isFailure()) {
                 rejectMalformed(context, object.decoderResult().cause());
                 return;
             }
             if (object instanceof HttpRequest request) {
-                begin(context, request);
+                beginRequest(context, request);
             }
             if (object instanceof HttpContent content) {
-                takeBody(content);
+                processBody(content);
             }
         } finally {
             ReferenceCountUtil.release(object);
         }
     }
 
-    private void begin(ChannelHandlerContext context, HttpRequest request) {
+    private void beginRequest(ChannelHandlerContext context, HttpRequest request) {
         cancelIdleTimer();
-        requests++;
-        unanswered.incrementAndGet();
-        bodyDone = false;
+        requestCount++;
+        requestsInProgress.incrementAndGet();
+        bodyComplete = false;
         if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
-        ServerCall started = new ServerCall(context, this, request);
-        call = started;
-        body = handler.handle(started);
+        ServerCall newCall = new ServerCall(context, this, request);
+        call = newCall;
+        body = handler.handle(newCall);
     }
 
-    private void takeBody(HttpContent content) {
+    private void processBody(HttpContent content) {
         if (body == null) {
             return;
         }
@@ -274,10 +278,10 @@
             body.onBytes(ByteBufUtil.getBytes(content.content()));
         }
         if (content instanceof LastHttpContent) {
-            HttpBody whole = body;
+            HttpBody completedBody = body;
             body = null;
-            bodyDone = true;
-            whole.onEnd();
+            bodyComplete = true;
+            completedBody.onEnd();
         }
     }
 
@@ -292,29 +296,29 @@
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.length);
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
         context.write(response);
-        closeAnnounced(context.channel());
+        closeAfterFinalResponse(context.channel());
     }
 
-    private void dropWaiting() {
-        waiting.forEach(ReferenceCountUtil::release);
-        waiting.clear();
+    private void releaseQueued() {
+        queuedMessages.forEach(ReferenceCountUtil::release);
+        queuedMessages.clear();
     }
 
-    private void closeWhenIdle(Channel connection) {
-        afterSilentPeriod(connection, () -> closeUnlessRequestComes(connection, requests));
+    private void startIdleTimeout(Channel connection) {
+        runAfterIdlePeriod(connection, () -> closeUnlessRequestArrives(connection, requestCount));
     }
 
     /** Reads first: a delayed event loop thread may not have read a request that arrived before the end of the idle period. */
-    private void closeUnlessRequestComes(Channel connection, long requestsBefore) {
-        RecentRead.thenRun(connection.eventLoop(), () -> {
-            if (requests == requestsBefore) {
-                closeUnannounced(connection);
+    private void closeUnlessRequestArrives(Channel connection, long requestCountBefore) {
+        AfterRead.run(connection.eventLoop(), () -> {
+            if (requestCount == requestCountBefore) {
+                closeIdleConnection(connection);
             }
         });
     }
 
     /** Runs an action once no byte has been sent for a whole idle period, unless the timer is cancelled first. */
-    private void afterSilentPeriod(Channel connection, Runnable action) {
+    private void runAfterIdlePeriod(Channel connection, Runnable action) {
         cancelIdleTimer();
         UnsentBytes before = UnsentBytes.of(connection);
         idleTimer = connection
@@ -325,9 +329,9 @@
                                 action.run();
                                 return;
                             }
-                            afterSilentPeriod(connection, action);
+                            runAfterIdlePeriod(connection, action);
                         },
-                        limits.idleMillis(),
+                        limits.idleTimeoutMillis(),
                         TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/org/gooseberryhill/http/StoppingServer.java
+++ b/src/main/java/org/gooseberryhill/http/StoppingServer.java
@@ -12,13 +12,13 @@
             case SERVING -> {
                 // Connections stay open, and responses say so.
             }
-            case ANNOUNCED -> server.closeAfterAnswers();
+            case ANNOUNCED -> server.closeAfterResponses();
             case DRAINING -> {
-                server.closeAfterAnswers();
+                server.closeAfterResponses();
                 server.closeIdle();
             }
             case CLOSING, ENDED -> {
-                server.closeAfterAnswers();
+                server.closeAfterResponses();
                 server.stopListening();
                 server.closeIdle();
             }
--- a/src/main/java/org/gooseberryhill/http/StreamEvent.java
+++ b/src/main/java/org/gooseberryhill/http/StreamEvent.java
@@ -21,7 +21,7 @@
         Optional<Long> id = Optional.empty();
         for (int from = 0; from < raw.length; from = nextLine(from)) {
             if (startsWith(from, ID)) {
-                id = number(from + ID.length, lineEnd(from));
+                id = parseNumber(from + ID.length, lineEnd(from));
             }
         }
         return id;
@@ -76,7 +76,7 @@
         return end > from && raw[end - 1] == '\r' ? end - 1 : end;
     }
 
-    private Optional<Long> number(int from, int to) {
+    private Optional<Long> parseNumber(int from, int to) {
         int start = from;
         int end = to;
         while (start < end && raw[start] == ' ') {
--- a/src/main/java/org/gooseberryhill/http/UnsentBytes.java
+++ b/src/main/java/org/gooseberryhill/http/UnsentBytes.java
@@ -7,10 +7,10 @@
  * Snapshot of the outbound buffer of a connection. If two snapshots differ and nothing was written between them, bytes have
  * been sent. Immutable.
  *
- * @param waitingBytes total size of all messages that are not completely sent, each counted in full
- * @param sentOfFirstBytes bytes of the first of them that are already sent
+ * @param pendingBytes total size of all messages that are not completely sent, each counted in full
+ * @param firstMessageSentBytes bytes of the first of them that are already sent
  */
-record UnsentBytes(long waitingBytes, long sentOfFirstBytes) {
+record UnsentBytes(long pendingBytes, long firstMessageSentBytes) {
     private static final UnsentBytes NONE = new UnsentBytes(0, 0);
 
     /** Takes a snapshot; must be called on the connection's event loop. */
--- a/src/main/java/org/gooseberryhill/http/WholeBody.java
+++ b/src/main/java/org/gooseberryhill/http/WholeBody.java
@@ -6,7 +6,7 @@
 /** Collects a request body up to a maximum size and passes it on as a whole. Used by one event loop thread. */
 public final class WholeBody implements HttpBody {
     private final int maxBytes;
-    private final Consumer<byte[]> onWhole;
+    private final Consumer<byte[]> onComplete;
     private final Runnable onTooLarge;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private boolean tooLarge;
@@ -15,12 +15,12 @@
      * Creates a collector.
      *
      * @param maxBytes the maximum size of the body; a larger one is discarded
-     * @param onWhole receives the complete body
+     * @param onComplete receives the complete body
      * @param onTooLarge called once for a body that exceeds the maximum size
      */
-    public WholeBody(int maxBytes, Consumer<byte[]> onWhole, Runnable onTooLarge) {
+    public WholeBody(int maxBytes, Consumer<byte[]> onComplete, Runnable onTooLarge) {
         this.maxBytes = maxBytes;
-        this.onWhole = onWhole;
+        this.onComplete = onComplete;
         this.onTooLarge = onTooLarge;
     }
 
@@ -41,7 +41,7 @@
     @Override
     public void onEnd() {
         if (!tooLarge) {
-            onWhole.accept(bytes.toByteArray());
+            onComplete.accept(bytes.toByteArray());
         }
     }
 }
--- a/src/test/java/org/gooseberryhill/http/LateServerTest.java
+++ b/src/test/java/org/gooseberryhill/http/BlockedEventLoopTest.java
@@ -23,47 +23,47 @@
  * Tests closing idle connections while the only event loop thread of the server is delayed. All delays are lower bounds, so
  * load on the machine can't invalidate a test.
  */
-class LateServerTest {
+class BlockedEventLoopTest {
     private static final HttpLimits LIMITS = new HttpLimits(512, 256, 600_000, 1024 * 1024, 600_000);
     private static final int MAX_BODY_BYTES = 100;
     private static final int SMALL_ANSWER_BYTES = 1024;
 
     /** Ends a test that would otherwise hang; shorter than the idle timeout. */
-    private static final int OUTCOME_MILLIS = 60_000;
+    private static final int READ_TIMEOUT_MILLIS = 60_000;
 
     /** Blocks the event loop long enough that its timers are due when it continues. */
-    private static final long LATE_MILLIS = 20;
+    private static final long DELAY_MILLIS = 20;
 
     /** Blocks the event loop long enough that its last read no longer counts as recent. */
-    private static final long VERY_LATE_MILLIS = 200;
+    private static final long LONG_DELAY_MILLIS = 200;
 
     /** More connections than an event loop accepts in one iteration. */
-    private static final int WAITING_CALLERS = 40;
+    private static final int PENDING_CALLERS = 40;
 
-    private final EventLoopGroup one = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Address address = Loopback.freeAddress();
-    private final CountDownLatch begun = new CountDownLatch(1);
-    private final CountDownLatch busy = new CountDownLatch(1);
-    private final HttpServer server = HttpServer.start(one, address, LIMITS, this::handle);
+    private final CountDownLatch blocked = new CountDownLatch(1);
+    private final CountDownLatch release = new CountDownLatch(1);
+    private final HttpServer server = HttpServer.start(eventLoop, address, LIMITS, this::handle);
 
     @AfterEach
     void close() {
-        busy.countDown();
+        release.countDown();
         server.close();
-        one.shutdownGracefully();
+        eventLoop.shutdownGracefully();
     }
 
     /** Guards against a lost request that a busy host has not read yet when it closes the connection as idle. */
     @Test
     void closingIdleConnectionsReadsWhatHasArrivedBefore() throws IOException, InterruptedException {
         try (Socket caller = answeredCaller()) {
-            one.execute(this::beBusy);
-            begun.await();
+            eventLoop.execute(this::blockEventLoop);
+            blocked.await();
 
             send(caller, "GET /two HTTP/1.1\r\nconnection: close\r\n\r\n");
             server.closeIdle();
-            pass(LATE_MILLIS);
-            busy.countDown();
+            waitFor(DELAY_MILLIS);
+            release.countDown();
 
             assertThat(readToEnd(caller)).contains("/two");
         }
@@ -71,27 +71,27 @@
 
     /** Guards against a lost request that arrives after a delayed event loop has read and before it closes idle connections. */
     @Test
-    void closingIdleConnectionsReadsAgainWhenItsThreadIsLateAfterReading() throws IOException, InterruptedException {
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch sent = new CountDownLatch(1);
+    void closingIdleConnectionsReadsAgainWhenItsThreadIsDelayedAfterReading() throws IOException, InterruptedException {
+        CountDownLatch closeRequested = new CountDownLatch(1);
+        CountDownLatch requestSent = new CountDownLatch(1);
         try (Socket caller = answeredCaller();
                 Socket other = answeredCaller()) {
-            one.execute(() -> {
+            eventLoop.execute(() -> {
                 server.closeIdle();
-                one.execute(() -> {
-                    asked.countDown();
-                    awaitRelease(sent);
+                eventLoop.execute(() -> {
+                    closeRequested.countDown();
+                    awaitRelease(requestSent);
                 });
             });
-            asked.await();
+            closeRequested.await();
             send(other, "GET /busy HTTP/1.1\r\n\r\n");
-            pass(LATE_MILLIS);
-            sent.countDown();
-            begun.await();
+            waitFor(DELAY_MILLIS);
+            requestSent.countDown();
+            blocked.await();
 
             send(caller, "GET /two HTTP/1.1\r\nconnection: close\r\n\r\n");
-            pass(VERY_LATE_MILLIS);
-            busy.countDown();
+            waitFor(LONG_DELAY_MILLIS);
+            release.countDown();
 
             assertThat(readToEnd(caller)).contains("/two");
         }
@@ -99,19 +99,19 @@
 
     /** Guards against refusing callers whose connections a busy host has not accepted yet when it stops listening. */
     @Test
-    void stoppingToListenAcceptsWhoHasConnectedBefore() throws IOException, InterruptedException {
-        one.execute(this::beBusy);
-        begun.await();
+    void stopListeningAcceptsCallersThatConnectedBefore() throws IOException, InterruptedException {
+        eventLoop.execute(this::blockEventLoop);
+        blocked.await();
         List<Socket> callers = new ArrayList<>();
-        for (int i = 0; i < WAITING_CALLERS; i++) {
+        for (int i = 0; i < PENDING_CALLERS; i++) {
             Socket caller = connect();
             callers.add(caller);
             send(caller, "GET /one HTTP/1.1\r\nconnection: close\r\n\r\n");
         }
 
         server.stopListening();
-        pass(LATE_MILLIS);
-        busy.countDown();
+        waitFor(DELAY_MILLIS);
+        release.countDown();
 
         for (Socket caller : callers) {
             try (caller) {
@@ -123,7 +123,7 @@
 
     private HttpBody handle(HttpCall call) {
         if (call.path().equals("/busy")) {
-            beBusy();
+            blockEventLoop();
         }
         return new WholeBody(
                 MAX_BODY_BYTES,
@@ -131,9 +131,9 @@
                 () -> call.reply(413, Map.of(), new byte[0]));
     }
 
-    private void beBusy() {
-        begun.countDown();
-        awaitRelease(busy);
+    private void blockEventLoop() {
+        blocked.countDown();
+        awaitRelease(release);
     }
 
     private static void awaitRelease(CountDownLatch latch) {
@@ -145,7 +145,7 @@
     }
 
     /** Waits for at least the given time. */
-    private static void pass(long millis) {
+    private static void waitFor(long millis) {
         long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() - untilNanos < 0) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
@@ -154,7 +154,7 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(address.ip(), address.port());
-        socket.setSoTimeout(OUTCOME_MILLIS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         return socket;
     }
 
--- a/src/test/java/org/gooseberryhill/http/ClosingIdleConnectionsTest.java
+++ b/src/test/java/org/gooseberryhill/http/ClosingIdleConnectionsTest.java
@@ -26,33 +26,33 @@
     private static final int SMALL_ANSWER_BYTES = 1024;
 
     /** Ends a test that would otherwise hang; shorter than the default idle timeout. */
-    private static final int OUTCOME_MILLIS = 10_000;
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     /** Guards against a lost request that a busy host has not read yet when it closes the connection as idle. */
     @Test
     void closingIdleConnectionsReadsWhatHasArrivedBefore() throws IOException {
-        AwaitedReading reading = new AwaitedReading();
-        EventLoopGroup loop = reading.eventLoop();
+        BlockingSelectStrategy selectStrategy = new BlockingSelectStrategy();
+        EventLoopGroup loop = selectStrategy.eventLoop();
         Address busyAddress = Loopback.freeAddress();
         HttpServer busy = HttpServer.start(loop, busyAddress, HttpLimits.DEFAULT, ClosingIdleConnectionsTest::handle);
         try (busy;
                 Socket caller = new Socket(busyAddress.ip(), busyAddress.port());
-                reading) {
-            caller.setSoTimeout(OUTCOME_MILLIS);
+                selectStrategy) {
+            caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /one HTTP/1.1\r\n\r\n"));
             assertThat(caller.getInputStream().read(new byte[SMALL_ANSWER_BYTES]))
                     .isPositive();
-            CountDownLatch decided = holdUp(loop);
-            reading.beginToAwait();
+            CountDownLatch loopBlock = blockEventLoop(loop);
+            selectStrategy.awaitReadable();
 
             busy.closeIdle();
-            CountDownLatch read = new CountDownLatch(1);
-            loop.execute(() -> awaitRelease(read));
+            CountDownLatch readBlock = new CountDownLatch(1);
+            loop.execute(() -> awaitRelease(readBlock));
             caller.getOutputStream().write(RawEndpoint.ascii("GET /two HTTP/1.1\r\nconnection: close\r\n\r\n"));
-            passCloseDelay();
-            decided.countDown();
-            passCloseDelay();
-            read.countDown();
+            waitForNextIterationDelay();
+            loopBlock.countDown();
+            waitForNextIterationDelay();
+            readBlock.countDown();
 
             assertThat(new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1))
                     .contains("/two");
@@ -66,20 +66,20 @@
     }
 
     /** Blocks the event loop until the returned latch is released; returns when it is blocked. */
-    private static CountDownLatch holdUp(EventLoopGroup loop) {
-        CountDownLatch begun = new CountDownLatch(1);
+    private static CountDownLatch blockEventLoop(EventLoopGroup loop) {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
-            begun.countDown();
+            blocked.countDown();
             awaitRelease(release);
         });
-        awaitRelease(begun);
+        awaitRelease(blocked);
         return release;
     }
 
     /** Waits until the timers that were set before are due. */
-    private static void passCloseDelay() {
-        long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RecentRead.NEXT_ROUND_MILLIS);
+    private static void waitForNextIterationDelay() {
+        long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AfterRead.NEXT_ITERATION_DELAY_MILLIS);
         while (System.nanoTime() - dueNanos <= 0) {
             Thread.onSpinWait();
         }
@@ -94,14 +94,14 @@
     }
 
     /** Makes the next reading iteration of an event loop wait until there is something to read. */
-    private static final class AwaitedReading implements SelectStrategy, Closeable {
+    private static final class BlockingSelectStrategy implements SelectStrategy, Closeable {
         private volatile boolean awaiting;
 
         EventLoopGroup eventLoop() {
             return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), () -> this));
         }
 
-        void beginToAwait() {
+        void awaitReadable() {
             awaiting = true;
         }
 
--- a/src/test/java/org/gooseberryhill/http/EndedExchangeTest.java
+++ b/src/test/java/org/gooseberryhill/http/EndedExchangeTest.java
@@ -36,9 +36,9 @@
 
     /** Guards against a response that is cut off by the late cancellation of an earlier exchange on its connection. */
     @Test
-    void givingAnEndedExchangeUpDoesNotCutTheNextOnItsConnection() throws InterruptedException {
-        Exchange ended = endedExchange();
-        CompletableFuture<HttpResult> next = begunExchange();
+    void cancellingAnEndedExchangeDoesNotCutOffTheNextOneOnItsConnection() throws InterruptedException {
+        Exchange ended = completeExchange();
+        CompletableFuture<HttpResult> next = startExchange();
 
         ended.cancel();
         answer("next");
@@ -49,9 +49,9 @@
 
     /** Guards against a response that is never read because an earlier exchange on its connection was paused late. */
     @Test
-    void holdingAnEndedExchangeBackDoesNotHoldTheNextOnItsConnection() throws InterruptedException {
-        Exchange ended = endedExchange();
-        CompletableFuture<HttpResult> next = begunExchange();
+    void pausingAnEndedExchangeDoesNotPauseTheNextOneOnItsConnection() throws InterruptedException {
+        Exchange ended = completeExchange();
+        CompletableFuture<HttpResult> next = startExchange();
 
         ended.readAnswer(false);
         answer("next");
@@ -61,14 +61,14 @@
 
     /** Guards against a reused connection that is never read because its exchange was paused as its response completed. */
     @Test
-    void holdingAnExchangeBackAsItsAnswerComesWholeLeavesItsConnectionReadable() throws InterruptedException {
+    void pausingAnExchangeAsItsAnswerCompletesLeavesItsConnectionReadable() throws InterruptedException {
         EndListener listener = new EndListener();
         Exchange held = client.start(request(), listener);
         listener.onHead = () -> held.readAnswer(false);
         answer("first");
         listener.ended.join();
 
-        CompletableFuture<HttpResult> next = begunExchange();
+        CompletableFuture<HttpResult> next = startExchange();
         answer("next");
 
         assertThat(next.join().body()).isEqualTo(ascii("next"));
@@ -76,7 +76,7 @@
 
     /** Guards against an exchange that continues after it was cancelled while its response was pending. */
     @Test
-    void givingAnExchangeUpInTimeClosesItsConnection() throws InterruptedException {
+    void cancellingAnExchangeInProgressClosesItsConnection() throws InterruptedException {
         EndListener listener = new EndListener();
         Exchange exchange = client.start(request(), listener);
         CompletableFuture<Void> disconnected = new CompletableFuture<>();
@@ -88,7 +88,7 @@
         assertThat(listener.ended).isNotDone();
     }
 
-    private Exchange endedExchange() throws InterruptedException {
+    private Exchange completeExchange() throws InterruptedException {
         EndListener listener = new EndListener();
         Exchange exchange = client.start(request(), listener);
         answer("first");
@@ -96,7 +96,7 @@
         return exchange;
     }
 
-    private CompletableFuture<HttpResult> begunExchange() {
+    private CompletableFuture<HttpResult> startExchange() {
         CompletableFuture<HttpResult> result = client.call(request(), MAX_ANSWER_BYTES);
         Loopback.await("the request at the endpoint", () -> !calls.isEmpty());
         return result;
--- a/src/test/java/org/gooseberryhill/http/EventSplitterProperties.java
+++ b/src/test/java/org/gooseberryhill/http/EventSplitterProperties.java
@@ -17,7 +17,7 @@
 class EventSplitterProperties {
     /** The bytes of an endpoint may be split anywhere, even inside an event or its id, without changing the events. */
     @Property
-    void eventsDoNotDependOnHowTheBytesAreCut(
+    void eventsDoNotDependOnHowTheBytesAreSplit(
             @ForAll("streams") String stream, @ForAll @IntRange(min = 1, max = 40) int pieceBytes) {
         byte[] bytes = stream.getBytes(StandardCharsets.UTF_8);
         EventSplitter whole = new EventSplitter();
@@ -36,7 +36,7 @@
 
     /** No byte may be changed, dropped or duplicated. */
     @Property
-    void allBytesAreInTheEventsAndTheRest(@ForAll("streams") String stream) {
+    void theEventsAndTheRemainderContainAllBytes(@ForAll("streams") String stream) {
         EventSplitter splitter = new EventSplitter();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
 
--- a/src/test/java/org/gooseberryhill/http/EventStreamReaderTest.java
+++ b/src/test/java/org/gooseberryhill/http/EventStreamReaderTest.java
@@ -18,7 +18,7 @@
 
     /** Whatever the size of the pieces, the same complete events are emitted, and never the truncated one. */
     @Test
-    void onlyWholeEventsComeOutWhateverThePieces() {
+    void onlyCompleteEventsAreEmittedWhateverTheSizeOfThePieces() {
         for (int size = 1; size <= STREAM.length; size++) {
             EventStreamReader reader = new EventStreamReader();
             List<String> tokens = new ArrayList<>();
--- a/src/test/java/org/gooseberryhill/http/HttpClientTest.java
+++ b/src/test/java/org/gooseberryhill/http/HttpClientTest.java
@@ -19,9 +19,9 @@
 
 class HttpClientTest {
     /** Far longer than any response takes; ends a test that would otherwise hang. */
-    private static final int PATIENT_MILLIS = 60_000;
+    private static final int LONG_SILENCE_MILLIS = 60_000;
 
-    private static final int IMPATIENT_MILLIS = 300;
+    private static final int SHORT_SILENCE_MILLIS = 300;
     private static final String LENGTH_ANSWER = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
     private static final String CHUNKED_ANSWER =
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
@@ -41,11 +41,11 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {LENGTH_ANSWER, CHUNKED_ANSWER})
-    void anAnswerCutAtAnyByteIsAFailureThatMayHaveRun(String answer) throws IOException {
+    void anAnswerTruncatedAtAnyByteIsAFailureThatMayHaveRun(String answer) throws IOException {
         for (int length = 0; length < answer.length(); length++) {
             byte[] part = Arrays.copyOf(ascii(answer), length);
             try (RawEndpoint endpoint = new RawEndpoint(part, length % 2 == 0)) {
-                ExchangeFailure failure = failure(endpoint.address(), PATIENT_MILLIS);
+                ExchangeFailure failure = failure(endpoint.address(), LONG_SILENCE_MILLIS);
                 assertThat(failure.outcome()).as("cut after %d bytes", length).isEqualTo(Outcome.MAY_HAVE_RUN);
                 assertThat(failure.kind())
                         .as("cut after %d bytes", length)
@@ -56,9 +56,9 @@
 
     @ParameterizedTest
     @ValueSource(strings = {LENGTH_ANSWER, CHUNKED_ANSWER})
-    void aWholeAnswerComesWhole(String answer) throws IOException {
+    void aCompleteAnswerIsReturnedWhole(String answer) throws IOException {
         try (RawEndpoint endpoint = new RawEndpoint(ascii(answer), false)) {
-            assertThat(client.call(request(endpoint.address(), PATIENT_MILLIS), 100)
+            assertThat(client.call(request(endpoint.address(), LONG_SILENCE_MILLIS), 100)
                             .join()
                             .body())
                     .isEqualTo(ascii("hello"));
@@ -67,7 +67,7 @@
 
     @Test
     void anEndpointThatCannotBeReachedDidNotRunTheRequest() {
-        ExchangeFailure failure = failure(Loopback.freeAddress(), PATIENT_MILLIS);
+        ExchangeFailure failure = failure(Loopback.freeAddress(), LONG_SILENCE_MILLIS);
 
         assertThat(failure.kind()).isEqualTo(ExchangeFailure.Kind.CONNECT_FAILED);
         assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -77,14 +77,16 @@
     @Test
     void anAnswerWithoutLengthOrEndMarkIsAFailure() throws IOException {
         try (RawEndpoint endpoint = new RawEndpoint(ascii("HTTP/1.1 200 OK\r\n\r\nhello"), false)) {
-            assertThat(failure(endpoint.address(), PATIENT_MILLIS).kind()).isEqualTo(ExchangeFailure.Kind.MALFORMED);
+            assertThat(failure(endpoint.address(), LONG_SILENCE_MILLIS).kind())
+                    .isEqualTo(ExchangeFailure.Kind.MALFORMED);
         }
     }
 
     @Test
     void anAnswerThatIsNotHttpIsAFailure() throws IOException {
         try (RawEndpoint endpoint = new RawEndpoint(ascii("no such thing\r\n\r\n"), false)) {
-            assertThat(failure(endpoint.address(), PATIENT_MILLIS).kind()).isEqualTo(ExchangeFailure.Kind.MALFORMED);
+            assertThat(failure(endpoint.address(), LONG_SILENCE_MILLIS).kind())
+                    .isEqualTo(ExchangeFailure.Kind.MALFORMED);
         }
     }
 
@@ -92,18 +94,18 @@
     @Test
     void aDuplicatedAnswerIsNotTakenByTheNextExchange() throws IOException {
         try (RawEndpoint endpoint = new RawEndpoint(ascii(LENGTH_ANSWER + LENGTH_ANSWER), false)) {
-            client.call(request(endpoint.address(), PATIENT_MILLIS), 100).join();
-            client.call(request(endpoint.address(), PATIENT_MILLIS), 100).join();
+            client.call(request(endpoint.address(), LONG_SILENCE_MILLIS), 100).join();
+            client.call(request(endpoint.address(), LONG_SILENCE_MILLIS), 100).join();
 
             assertThat(endpoint.requests()).isEqualTo(2);
         }
     }
 
     @Test
-    void anInterimAnswerIsPassedOver() throws IOException {
+    void anInterimAnswerIsSkipped() throws IOException {
         String interim = "HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n" + LENGTH_ANSWER;
         try (RawEndpoint endpoint = new RawEndpoint(ascii(interim), false)) {
-            HttpResult result = client.call(request(endpoint.address(), PATIENT_MILLIS), 100)
+            HttpResult result = client.call(request(endpoint.address(), LONG_SILENCE_MILLIS), 100)
                     .join();
             assertThat(result.status()).isEqualTo(200);
             assertThat(result.body()).isEqualTo(ascii("hello"));
@@ -113,7 +115,7 @@
     @Test
     void aSilentEndpointFailsTheExchange() throws IOException {
         try (ServerSocket silent = new ServerSocket(0)) {
-            ExchangeFailure failure = failure(new Address("127.0.0.1", silent.getLocalPort()), IMPATIENT_MILLIS);
+            ExchangeFailure failure = failure(new Address("127.0.0.1", silent.getLocalPort()), SHORT_SILENCE_MILLIS);
             assertThat(failure.kind()).isEqualTo(ExchangeFailure.Kind.SILENT);
             assertThat(failure.outcome()).isEqualTo(Outcome.MAY_HAVE_RUN);
         }
--- a/src/test/java/org/gooseberryhill/http/HttpServerTest.java
+++ b/src/test/java/org/gooseberryhill/http/HttpServerTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class HttpServerTest {
-    private static final HttpLimits LIMITS = limits(HttpLimits.DEFAULT.idleMillis());
+    private static final HttpLimits LIMITS = limits(HttpLimits.DEFAULT.idleTimeoutMillis());
     private static final int SHORT_IDLE_MILLIS = 200;
     private static final int SMALL_ANSWER_BYTES = 1024;
 
     /** Ends a test that would otherwise hang; shorter than the default idle timeout. */
-    private static final int OUTCOME_MILLIS = 10_000;
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     private static final int LARGE_ANSWER_BYTES = 8 * 1024 * 1024;
     private static final int UNREAD_BYTES = 16 * 1024;
@@ -39,7 +39,7 @@
     private final Address address = Loopback.freeAddress();
     private final AtomicInteger disconnects = new AtomicInteger();
     private final AtomicInteger answered = new AtomicInteger();
-    private final Queue<HttpCall> held = new ConcurrentLinkedQueue<>();
+    private final Queue<HttpCall> heldCalls = new ConcurrentLinkedQueue<>();
     private final HttpServer server = HttpServer.start(group, address, LIMITS, this::handle);
 
     @AfterEach
@@ -56,14 +56,14 @@
                 "POST / HTTP/1.1\r\ncontent-length: many\r\n\r\n",
                 "POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n"
             })
-    void brokenHttpGetsAClearErrorAndAClosedConnection(String request) throws IOException {
+    void malformedHttpGetsAnErrorAndAClosedConnection(String request) throws IOException {
         String answer = send(request);
 
         assertThat(answer).startsWith("HTTP/1.1 400").contains("\"code\":\"invalid-request\"", "connection: close");
     }
 
     @Test
-    void headersBeyondTheirBoundAreRefused() throws IOException {
+    void headersBeyondTheLimitAreRefused() throws IOException {
         assertThat(send("GET / HTTP/1.1\r\nx: " + "y".repeat(1000) + "\r\n\r\n"))
                 .startsWith("HTTP/1.1 400");
         assertThat(send("GET /" + "y".repeat(1000) + " HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 400");
@@ -71,14 +71,14 @@
 
     /** Guards against a connection that is never read again after a large request was queued during a response. */
     @Test
-    void aLargeRequestBehindAnAnswerInProgressIsReadOnAfterIt() throws Exception {
+    void aLargePipelinedRequestIsReadAfterTheAnswerInProgress() throws Exception {
         try (Socket caller = new Socket(address.ip(), address.port())) {
-            caller.setSoTimeout(OUTCOME_MILLIS);
+            caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
-            Loopback.await("the request", () -> !held.isEmpty());
+            Loopback.await("the request", () -> !heldCalls.isEmpty());
             CompletableFuture<Void> sent = CompletableFuture.runAsync(() -> upload(caller));
 
-            held.remove().reply(200, Map.of(), RawEndpoint.ascii("first"));
+            heldCalls.remove().reply(200, Map.of(), RawEndpoint.ascii("first"));
 
             assertThat(new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1))
                     .contains("first")
@@ -129,9 +129,9 @@
     void aRequestIsNoLongerUnansweredOnceItsAnswerIsWhole() throws IOException {
         try (Socket caller = new Socket(address.ip(), address.port())) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
-            Loopback.await("the request", () -> server.unanswered() == 1 && !held.isEmpty());
+            Loopback.await("the request", () -> server.unanswered() == 1 && !heldCalls.isEmpty());
 
-            held.remove().reply(200, Map.of(), RawEndpoint.ascii("whole"));
+            heldCalls.remove().reply(200, Map.of(), RawEndpoint.ascii("whole"));
 
             Loopback.await("its answer", () -> server.unanswered() == 0);
             assertThat(server.openConnections()).isEqualTo(1);
@@ -140,11 +140,11 @@
 
     /** Guards against a request that is never read because the handler of the previous one paused the connection late. */
     @Test
-    void holdingTheBodyOfAnAnsweredRequestBackDoesNotHoldTheNextOne() throws IOException {
+    void pausingTheBodyOfAnAnsweredRequestDoesNotPauseTheNextOne() throws IOException {
         try (Socket caller = new Socket(address.ip(), address.port())) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
-            Loopback.await("the request", () -> !held.isEmpty());
-            HttpCall answered = held.remove();
+            Loopback.await("the request", () -> !heldCalls.isEmpty());
+            HttpCall answered = heldCalls.remove();
             answered.reply(200, Map.of(), RawEndpoint.ascii("whole"));
             assertThat(caller.getInputStream().read(new byte[SMALL_ANSWER_BYTES]))
                     .isPositive();
@@ -152,18 +152,18 @@
             answered.readBody(false);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
 
-            Loopback.await("the next request", () -> !held.isEmpty());
+            Loopback.await("the next request", () -> !heldCalls.isEmpty());
         }
     }
 
     /** Guards against a stop that waits for idle connections until their idle timeout. */
     @Test
-    void closingIdleConnectionsClosesOneThatHadItsRequest() throws IOException {
+    void closingIdleConnectionsClosesOneWhoseRequestIsAnswered() throws IOException {
         Address patientAddress = Loopback.freeAddress();
         HttpServer patient = HttpServer.start(group, patientAddress, HttpLimits.DEFAULT, this::handle);
         try (patient;
                 Socket caller = new Socket(patientAddress.ip(), patientAddress.port())) {
-            caller.setSoTimeout(OUTCOME_MILLIS);
+            caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /one HTTP/1.1\r\n\r\n"));
             assertThat(caller.getInputStream().read()).isPositive();
             Loopback.await("the answer", () -> patient.unanswered() == 0);
@@ -176,7 +176,7 @@
 
     /** Guards against closing a connection as idle, and cutting off the response, while the caller is still reading it. */
     @Test
-    void closingIdleConnectionsCutsNoAnswerThatIsOnItsWay() throws IOException {
+    void closingIdleConnectionsDoesNotCutOffAnAnswerInTransit() throws IOException {
         try (Socket caller = slowReader()) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /large HTTP/1.1\r\n\r\n"));
             Loopback.await("the answer", () -> answered.get() == 1 && server.unanswered() == 0);
@@ -189,12 +189,12 @@
 
     /** Guards against a last response that is truncated because the host closes while bytes from the caller are unread. */
     @Test
-    void theLastAnswerArrivesWholeAlthoughBytesBehindItAreUnread() throws IOException {
+    void theLastAnswerArrivesCompletelyAlthoughBytesFromTheCallerAreUnread() throws IOException {
         try (Socket caller = slowReader()) {
-            caller.setSoTimeout(OUTCOME_MILLIS);
+            caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\nconnection: close\r\n\r\n"));
-            Loopback.await("the request", () -> !held.isEmpty());
-            HttpCall call = held.remove();
+            Loopback.await("the request", () -> !heldCalls.isEmpty());
+            HttpCall call = heldCalls.remove();
             call.beginStream(200, Map.of());
             call.readBody(false);
             call.write(new byte[1]).join();
@@ -210,8 +210,8 @@
 
     /** Guards against accepting a request after the last response of its connection, which the close would then cut off. */
     @Test
-    void nothingIsTakenInAfterTheLastAnswerOfAConnection() throws IOException {
-        server.closeAfterAnswers();
+    void noRequestIsAcceptedAfterTheLastAnswerOfAConnection() throws IOException {
+        server.closeAfterResponses();
         try (Socket caller = slowReader()) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /large HTTP/1.1\r\n\r\n"));
             Loopback.await("the answer", () -> answered.get() == 1 && server.unanswered() == 0);
@@ -219,21 +219,21 @@
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
 
             assertThat(caller.getInputStream().readAllBytes()).hasSizeGreaterThan(LARGE_ANSWER_BYTES);
-            assertThat(held).isEmpty();
+            assertThat(heldCalls).isEmpty();
         }
     }
 
     /** Guards against a caller that waits until the idle timeout because an error reply follows the start of its response. */
     @Test
-    void aReplyToAnAnswerThatHasBegunEndsItAsBroken() throws IOException {
+    void aReplyAfterTheAnswerHasBegunAbortsIt() throws IOException {
         Address patientAddress = Loopback.freeAddress();
         HttpServer patient = HttpServer.start(group, patientAddress, HttpLimits.DEFAULT, this::handle);
         try (patient;
                 Socket caller = new Socket(patientAddress.ip(), patientAddress.port())) {
-            caller.setSoTimeout(OUTCOME_MILLIS);
+            caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
-            Loopback.await("the request", () -> !held.isEmpty());
-            HttpCall call = held.remove();
+            Loopback.await("the request", () -> !heldCalls.isEmpty());
+            HttpCall call = heldCalls.remove();
             call.beginStream(200, Map.of());
             call.write(RawEndpoint.ascii("part")).join();
 
@@ -250,7 +250,7 @@
         HttpServer impatient = HttpServer.start(group, impatientAddress, limits(SHORT_IDLE_MILLIS), this::handle);
         try (impatient;
                 Socket caller = new Socket(impatientAddress.ip(), impatientAddress.port())) {
-            caller.setSoTimeout(OUTCOME_MILLIS);
+            caller.setSoTimeout(READ_TIMEOUT_MILLIS);
 
             assertThat(caller.getInputStream().readAllBytes()).isEmpty();
         }
@@ -258,7 +258,7 @@
 
     /** A handler must learn that its caller disconnected during a streamed response, so that it can stop the work. */
     @Test
-    void aCallerThatGoesAwayIsNoticed() throws IOException {
+    void aCallerThatDisconnectsIsDetected() throws IOException {
         try (Socket socket = new Socket(address.ip(), address.port())) {
             socket.getOutputStream().write(RawEndpoint.ascii("GET /stream HTTP/1.1\r\n\r\n"));
             assertThat(socket.getInputStream().read()).isPositive();
@@ -269,7 +269,7 @@
 
     /** The connection of an aborted stream must close without the last chunk. */
     @Test
-    void aBrokenOffStreamHasNoEndMark() throws IOException {
+    void anAbortedStreamHasNoLastChunk() throws IOException {
         String answer = send("GET /abort HTTP/1.1\r\n\r\n");
 
         assertThat(answer).contains("part").doesNotContain("\r\n0\r\n");
@@ -298,7 +298,7 @@
                     () -> {});
         }
         if (call.path().equals("/held")) {
-            return new WholeBody(100, body -> held.add(call), () -> {});
+            return new WholeBody(100, body -> heldCalls.add(call), () -> {});
         }
         if (call.path().equals("/abort")) {
             call.beginStream(200, Map.of());
--- a/src/test/java/org/gooseberryhill/http/KeepAliveTimeoutTest.java
+++ b/src/test/java/org/gooseberryhill/http/KeepAliveTimeoutTest.java
@@ -17,7 +17,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "max=100", "timeout", "timeout=", "timeout=soon", "timeout=-1", "timeout=1234567"})
-    void aHeaderWithoutAWholeNumberTellsNone(String header) {
+    void aHeaderWithoutAWholeNumberGivesNoTimeout(String header) {
         assertThat(KeepAliveTimeout.seconds(header)).isEmpty();
     }
 }
--- a/src/test/java/org/gooseberryhill/http/ListeningSocketTest.java
+++ b/src/test/java/org/gooseberryhill/http/ListeningSocketTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 class ListeningSocketTest {
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Address address = FreePorts.next();
@@ -31,10 +31,10 @@
 
     /** Callers that connect to a restarting host before its server is started must wait and be answered. */
     @Test
-    void aCallerThatComesBeforeTheServerIsAnswered() throws IOException {
+    void aCallerThatConnectsBeforeTheServerStartsIsAnswered() throws IOException {
         try (ListeningSocket socket = ListeningSocket.open(address);
                 Socket caller = new Socket(address.ip(), address.port())) {
-            caller.setSoTimeout(PATIENCE_MILLIS);
+            caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write("GET / HTTP/1.1\r\nhost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
 
             try (HttpServer server =
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anAddressThatIsTakenIsAnError() {
+    void anAddressInUseIsAnError() {
         try (ListeningSocket socket = ListeningSocket.open(address)) {
             assertThat(socket.address()).isEqualTo(address);
             assertThatThrownBy(() -> ListeningSocket.open(address)).isInstanceOf(UncheckedIOException.class);
--- a/src/test/java/org/gooseberryhill/http/ServerConnectionHandlerTest.java
+++ b/src/test/java/org/gooseberryhill/http/ServerConnectionHandlerTest.java
@@ -22,8 +22,8 @@
 /** Tests one connection without a socket, in virtual time. */
 class ServerConnectionHandlerTest {
     private static final HttpLimits LIMITS = HttpLimits.DEFAULT;
-    private static final long FIRST_REQUEST_MILLIS =
-            TimeUnit.NANOSECONDS.toMillis(ServerConnectionHandler.FIRST_REQUEST_NANOS);
+    private static final long FIRST_REQUEST_GRACE_MILLIS =
+            TimeUnit.NANOSECONDS.toMillis(ServerConnectionHandler.FIRST_REQUEST_GRACE_NANOS);
     private static final int BODY_BYTES = 100;
     private static final String SMALL_REQUEST = "GET /one HTTP/1.1\r\nhost: h\r\n\r\n";
     private static final int MANY_REQUESTS = 5_000;
@@ -32,14 +32,14 @@
     private static final int LARGE_ANSWER_PIECES = 10;
     private static final String LARGE_ANSWER = "x".repeat(LARGE_ANSWER_PIECES * PIECE_BYTES);
 
-    private final AtomicBoolean closing = new AtomicBoolean();
-    private final AtomicInteger unanswered = new AtomicInteger();
-    private final List<String> begun = new ArrayList<>();
-    private final List<HttpCall> held = new ArrayList<>();
-    private final MockTicker time = Ticker.newMockTicker();
+    private final AtomicBoolean closesAfterResponse = new AtomicBoolean();
+    private final AtomicInteger requestsInProgress = new AtomicInteger();
+    private final List<String> startedPaths = new ArrayList<>();
+    private final List<HttpCall> heldCalls = new ArrayList<>();
+    private final MockTicker ticker = Ticker.newMockTicker();
     private final ServerConnectionHandler handler =
-            new ServerConnectionHandler(this::handle, LIMITS, closing::get, unanswered);
-    private final CallerConnection connection = new CallerConnection(time, handler);
+            new ServerConnectionHandler(this::handle, LIMITS, closesAfterResponse::get, requestsInProgress);
+    private final CallerConnection connection = new CallerConnection(ticker, handler);
 
     @AfterEach
     void close() {
@@ -48,114 +48,114 @@
 
     /** Guards against starting a request after the last response of its connection, which the close would then cut off. */
     @Test
-    void aPipelinedRequestBehindTheLastAnswerIsNotBegun() {
+    void aPipelinedRequestAfterTheLastAnswerIsNotStarted() {
         receive("GET /held HTTP/1.1\r\n\r\nGET /one HTTP/1.1\r\n\r\nGET /held HTTP/1.1\r\n\r\n");
-        HttpCall first = held.remove(0);
+        HttpCall first = heldCalls.remove(0);
         first.beginStream(200, Map.of());
-        closing.set(true);
-        connection.takeUpTo(0);
+        closesAfterResponse.set(true);
+        connection.readUpTo(0);
 
         first.endStream();
-        connection.takeUpTo(Long.MAX_VALUE);
+        connection.readUpTo(Long.MAX_VALUE);
 
-        passRound();
+        runIteration();
 
-        assertThat(begun).containsExactly("/held", "/one");
-        assertThat(connection.taken()).contains("connection: close").endsWith("/one");
-        assertThat(unanswered).hasValue(0);
+        assertThat(startedPaths).containsExactly("/held", "/one");
+        assertThat(connection.readText()).contains("connection: close").endsWith("/one");
+        assertThat(requestsInProgress).hasValue(0);
         assertThat(connection.isOpen()).isFalse();
     }
 
     /** Guards against cutting off the last response while a slow reader is still reading it. */
     @Test
-    void aReaderThatIsSlowGetsItsLastAnswerWhole() {
-        connection.takeUpTo(0);
+    void aSlowReaderReceivesItsLastAnswerCompletely() {
+        connection.readUpTo(0);
         receive("GET /large HTTP/1.1\r\nconnection: close\r\n\r\n");
 
-        takeLargeAnswerSlowly();
-        passRound();
+        readLargeAnswerSlowly();
+        runIteration();
 
-        assertThat(connection.taken()).endsWith(LARGE_ANSWER);
+        assertThat(connection.readText()).endsWith(LARGE_ANSWER);
         assertThat(connection.isOpen()).isFalse();
     }
 
     /** Guards against closing a keep-alive connection as idle while a slow reader is still reading the response. */
     @Test
-    void aReaderThatIsSlowKeepsItsConnection() {
-        connection.takeUpTo(0);
+    void aSlowReaderKeepsItsConnection() {
+        connection.readUpTo(0);
         receive("GET /large HTTP/1.1\r\n\r\n");
-        takeLargeAnswerSlowly();
-        assertThat(connection.taken()).endsWith(LARGE_ANSWER);
+        readLargeAnswerSlowly();
+        assertThat(connection.readText()).endsWith(LARGE_ANSWER);
 
-        connection.takeUpTo(Long.MAX_VALUE);
+        connection.readUpTo(Long.MAX_VALUE);
         receive("GET /one HTTP/1.1\r\n\r\n");
 
-        assertThat(connection.taken()).endsWith("/one");
+        assertThat(connection.readText()).endsWith("/one");
     }
 
     /** Guards against a connection that stays open forever because its reader stalled in the middle of the last response. */
     @Test
-    void aReaderThatTakesNothingForAWholePeriodIsCut() {
-        connection.takeUpTo(0);
+    void aReaderThatReadsNothingForAWholeIdlePeriodIsDisconnected() {
+        connection.readUpTo(0);
         receive("GET /large HTTP/1.1\r\nconnection: close\r\n\r\n");
-        connection.takeUpTo(PIECE_BYTES);
-        passHalfAPeriod();
-        passHalfAPeriod();
-        passHalfAPeriod();
+        connection.readUpTo(PIECE_BYTES);
+        advanceHalfIdlePeriod();
+        advanceHalfIdlePeriod();
+        advanceHalfIdlePeriod();
         assertThat(connection.isOpen()).isTrue();
 
-        passHalfAPeriod();
+        advanceHalfIdlePeriod();
 
         assertThat(connection.isOpen()).isFalse();
     }
 
     /** Guards against a keep-alive connection that stays open forever because its reader stalled inside a response. */
     @Test
-    void aKeptConnectionWhoseReaderTakesNothingIsCut() {
-        connection.takeUpTo(0);
+    void aKeepAliveConnectionWhoseReaderReadsNothingIsClosed() {
+        connection.readUpTo(0);
         receive("GET /large HTTP/1.1\r\n\r\n");
 
-        passHalfAPeriod();
-        passHalfAPeriod();
-        passRound();
-        passHalfAPeriod();
-        passHalfAPeriod();
+        advanceHalfIdlePeriod();
+        advanceHalfIdlePeriod();
+        runIteration();
+        advanceHalfIdlePeriod();
+        advanceHalfIdlePeriod();
 
         assertThat(connection.isOpen()).isFalse();
     }
 
     /** Guards against an idle period that restarts although no bytes are being sent. */
     @Test
-    void aConnectionWithoutRequestsIsClosedAfterOnePeriod() {
+    void aConnectionWithoutRequestsIsClosedAfterOneIdlePeriod() {
         receive("GET /one HTTP/1.1\r\n\r\n");
 
-        pass(LIMITS.idleMillis() - 1);
+        advance(LIMITS.idleTimeoutMillis() - 1);
         assertThat(connection.isOpen()).isTrue();
-        pass(1);
-        passRound();
+        advance(1);
+        runIteration();
 
         assertThat(connection.isOpen()).isFalse();
     }
 
     /** Guards against closing a new connection while its first request is in transit. */
     @Test
-    void aConnectionThatHasJustBeenMadeIsNotClosedAsIdle() {
+    void aNewConnectionIsNotClosedAsIdle() {
         handler.closeIfIdle(connection);
-        pass(FIRST_REQUEST_MILLIS - 1);
+        advance(FIRST_REQUEST_GRACE_MILLIS - 1);
         handler.closeIfIdle(connection);
 
         receive("GET /one HTTP/1.1\r\n\r\n");
 
-        assertThat(connection.taken()).endsWith("/one");
+        assertThat(connection.readText()).endsWith("/one");
     }
 
     /** Guards against a stop that waits for connections that never receive a request. */
     @Test
     void aConnectionOnWhichNoRequestComesIsClosedAsIdle() {
-        pass(FIRST_REQUEST_MILLIS);
+        advance(FIRST_REQUEST_GRACE_MILLIS);
 
         handler.closeIfIdle(connection);
-        passRound();
+        runIteration();
 
         assertThat(connection.isOpen()).isFalse();
     }
@@ -168,11 +168,11 @@
         receive("GET /one HTTP/1.1\r\n\r\n".repeat(MANY_REQUESTS));
         assertThat(connection.isOpen()).isTrue();
         assertThat(connection.config().isAutoRead()).isFalse();
-        held.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
+        heldCalls.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
 
-        assertThat(begun).hasSize(1 + MANY_REQUESTS);
-        assertThat(connection.taken().split("/one", -1)).hasSize(1 + MANY_REQUESTS);
-        assertThat(connection.taken()).endsWith("/one");
+        assertThat(startedPaths).hasSize(1 + MANY_REQUESTS);
+        assertThat(connection.readText().split("/one", -1)).hasSize(1 + MANY_REQUESTS);
+        assertThat(connection.readText()).endsWith("/one");
         assertThat(connection.config().isAutoRead()).isTrue();
     }
 
@@ -184,16 +184,16 @@
         assertThat(connection.isOpen()).isTrue();
         assertThat(connection.config().isAutoRead()).isFalse();
 
-        held.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
+        heldCalls.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
         assertThat(connection.config().isAutoRead()).isTrue();
         receiveBodyPieces(1);
 
-        assertThat(connection.taken()).contains("/held").endsWith("/one");
+        assertThat(connection.readText()).contains("/held").endsWith("/one");
     }
 
     /** Guards against missing that a caller disconnects while a few requests are queued. */
     @Test
-    void readingGoesOnWhileFewRequestsWait() {
+    void readingContinuesWhileFewRequestsAreQueued() {
         receive("GET /held HTTP/1.1\r\n\r\nGET /one HTTP/1.1\r\n\r\n");
 
         assertThat(connection.config().isAutoRead()).isTrue();
@@ -201,70 +201,70 @@
 
     /** Guards against unbounded memory when the handler of the request in progress resumes reading its body. */
     @Test
-    void askingForTheBodyDoesNotReadOnWhileManyRequestsWait() {
+    void resumingTheBodyDoesNotResumeReadingWhileManyRequestsAreQueued() {
         receive("GET /held HTTP/1.1\r\n\r\n" + "GET /one HTTP/1.1\r\n\r\n".repeat(MANY_REQUESTS));
 
-        held.get(0).readBody(false);
-        held.get(0).readBody(true);
+        heldCalls.get(0).readBody(false);
+        heldCalls.get(0).readBody(true);
 
         assertThat(connection.config().isAutoRead()).isFalse();
     }
 
     /** Guards against a connection that is never read again because the body of an answered request was paused. */
     @Test
-    void aBodyThatIsHeldBackIsReadOnAfterTheAnswer() {
+    void readingOfAPausedBodyResumesAfterTheAnswer() {
         receive("GET /held HTTP/1.1\r\n\r\n");
-        held.get(0).readBody(false);
+        heldCalls.get(0).readBody(false);
         assertThat(connection.config().isAutoRead()).isFalse();
 
-        held.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
+        heldCalls.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
 
         assertThat(connection.config().isAutoRead()).isTrue();
     }
 
     /** Guards against a connection that stays open until its timeout because the disconnect of its caller is never read. */
     @Test
-    void theLastAnswerHasReadingGoOn() {
+    void readingResumesWithTheLastAnswer() {
         receive("GET /held HTTP/1.1\r\n\r\n" + "GET /one HTTP/1.1\r\n\r\n".repeat(MANY_REQUESTS));
-        closing.set(true);
-        connection.takeUpTo(0);
+        closesAfterResponse.set(true);
+        connection.readUpTo(0);
 
-        held.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
+        heldCalls.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
 
         assertThat(connection.config().isAutoRead()).isTrue();
     }
 
     /** Guards against losing a request whose connection is closed as idle while its head is partly received. */
     @Test
-    void aConnectionOnWhichAHeadHasBegunToComeIsNotClosedAsIdle() {
+    void aConnectionWithAPartlyReceivedHeadIsNotClosedAsIdle() {
         for (int received = 1; received < SMALL_REQUEST.length(); received++) {
             receive(SMALL_REQUEST.substring(0, received));
-            pass(FIRST_REQUEST_MILLIS);
+            advance(FIRST_REQUEST_GRACE_MILLIS);
 
             handler.closeIfIdle(connection);
             receive(SMALL_REQUEST.substring(received));
 
-            assertThat(begun).hasSize(received);
+            assertThat(startedPaths).hasSize(received);
         }
-        assertThat(connection.taken()).endsWith("/one");
+        assertThat(connection.readText()).endsWith("/one");
     }
 
     /** Guards against a stop that waits for a connection because its last request arrived in two parts. */
     @Test
-    void aConnectionWhoseRequestCameInPartsIsClosedAsIdleAfterItsAnswer() {
+    void aConnectionWhoseRequestArrivedInPartsIsClosedAsIdleAfterItsAnswer() {
         receive("GET /one HT");
         receive("TP/1.1\r\n\r\n");
 
         handler.closeIfIdle(connection);
-        passRound();
+        runIteration();
 
         assertThat(connection.isOpen()).isFalse();
-        assertThat(connection.taken()).endsWith("/one");
+        assertThat(connection.readText()).endsWith("/one");
     }
 
     /** Guards against reading and discarding a request on a connection that is already being closed as idle. */
     @Test
-    void anIdleConnectionClosesAtOnceSoThatNothingIsTakenFromItAndDropped() {
+    void anIdleConnectionClosesAtOnceSoThatNoRequestIsReadAndDiscarded() {
         receive("GET /one HTTP/1.1\r\n\r\n");
 
         handler.closeIfIdle(connection);
@@ -275,47 +275,47 @@
     /** Guards against discarding a request that a delayed thread reads only after the end of the idle period. */
     @Test
     void aRequestThatIsReadRightAfterTheIdlePeriodIsAnswered() {
-        pass(LIMITS.idleMillis());
+        advance(LIMITS.idleTimeoutMillis());
 
         receive("GET /one HTTP/1.1\r\n\r\n");
-        passRound();
+        runIteration();
 
-        assertThat(connection.taken()).endsWith("/one");
+        assertThat(connection.readText()).endsWith("/one");
         assertThat(connection.isOpen()).isTrue();
     }
 
     /** Guards against losing a response to a reset because bytes from the caller were unread at the close. */
     @Test
-    void whatComesWhileTheLastAnswerGoesOutIsReadAndDroppedBeforeTheClose() {
+    void bytesReceivedDuringTheLastAnswerAreReadAndDiscardedBeforeTheClose() {
         receive("GET /one HTTP/1.1\r\nconnection: close\r\n\r\n");
-        assertThat(connection.taken()).endsWith("/one");
+        assertThat(connection.readText()).endsWith("/one");
         assertThat(connection.isOpen()).isTrue();
 
         receive("GET /two HTTP/1.1\r\n\r\n");
-        passRound();
+        runIteration();
 
         assertThat(connection.isOpen()).isFalse();
-        assertThat(begun).containsExactly("/one");
+        assertThat(startedPaths).containsExactly("/one");
     }
 
     /** Guards against losing an error response to a reset because the rest of the request was unread at the close. */
     @Test
-    void whatComesAfterAMalformedRequestIsReadAndDroppedBeforeTheClose() {
+    void bytesReceivedAfterAMalformedRequestAreReadAndDiscardedBeforeTheClose() {
         receive("what is this\r\n\r\n");
-        assertThat(connection.taken()).startsWith("HTTP/1.1 400");
+        assertThat(connection.readText()).startsWith("HTTP/1.1 400");
         assertThat(connection.isOpen()).isTrue();
 
         receive("GET /two HTTP/1.1\r\n\r\n");
-        passRound();
+        runIteration();
 
         assertThat(connection.isOpen()).isFalse();
-        assertThat(begun).isEmpty();
+        assertThat(startedPaths).isEmpty();
     }
 
     private HttpBody handle(HttpCall call) {
-        begun.add(call.path());
+        startedPaths.add(call.path());
         if (call.path().equals("/held")) {
-            held.add(call);
+            heldCalls.add(call);
             return new WholeBody(BODY_BYTES, body -> {}, () -> {});
         }
         String answer = call.path().equals("/large") ? LARGE_ANSWER : call.path();
@@ -323,25 +323,25 @@
     }
 
     /** Reads one piece of the response in each half of an idle period. */
-    private void takeLargeAnswerSlowly() {
+    private void readLargeAnswerSlowly() {
         for (int pieces = 0; pieces <= LARGE_ANSWER_PIECES; pieces++) {
-            connection.takeUpTo(PIECE_BYTES);
-            passHalfAPeriod();
+            connection.readUpTo(PIECE_BYTES);
+            advanceHalfIdlePeriod();
         }
     }
 
     /** Runs one event loop iteration and the tasks that wait for it. */
-    private void passRound() {
+    private void runIteration() {
         connection.runPendingTasks();
-        pass(RecentRead.NEXT_ROUND_MILLIS);
+        advance(AfterRead.NEXT_ITERATION_DELAY_MILLIS);
     }
 
-    private void passHalfAPeriod() {
-        pass(LIMITS.idleMillis() / 2);
+    private void advanceHalfIdlePeriod() {
+        advance(LIMITS.idleTimeoutMillis() / 2);
     }
 
-    private void pass(long millis) {
-        time.advance(millis, TimeUnit.MILLISECONDS);
+    private void advance(long millis) {
+        ticker.advance(millis, TimeUnit.MILLISECONDS);
         connection.runScheduledPendingTasks();
     }
 
@@ -357,31 +357,31 @@
 
     /** A connection whose caller reads as many bytes as a test allows. */
     private static final class CallerConnection extends EmbeddedChannel {
-        private final StringBuilder taken = new StringBuilder();
-        private long takesBytes = Long.MAX_VALUE;
+        private final StringBuilder readText = new StringBuilder();
+        private long readLimitBytes = Long.MAX_VALUE;
 
-        CallerConnection(Ticker time, ServerConnectionHandler handler) {
-            super(builder().ticker(time).handlers(HttpServer.codec(LIMITS), handler));
+        CallerConnection(Ticker ticker, ServerConnectionHandler handler) {
+            super(builder().ticker(ticker).handlers(HttpServer.newCodec(LIMITS), handler));
             config().setWriteBufferWaterMark(new WriteBufferWaterMark(0, LIMITS.maxPendingWriteBytes()));
         }
 
         /** Lets the caller read up to the given number of bytes, of data already written or written later. */
-        void takeUpTo(long bytes) {
-            takesBytes = bytes;
+        void readUpTo(long bytes) {
+            readLimitBytes = bytes;
             flush();
         }
 
-        String taken() {
-            return taken.toString();
+        String readText() {
+            return readText.toString();
         }
 
         @Override
         protected void doWrite(ChannelOutboundBuffer written) {
             ByteBuf next = (ByteBuf) written.current();
-            while (next != null && (takesBytes > 0 || !next.isReadable())) {
-                int bytes = (int) Math.min(takesBytes, next.readableBytes());
-                taken.append(next.toString(next.readerIndex(), bytes, StandardCharsets.ISO_8859_1));
-                takesBytes -= bytes;
+            while (next != null && (readLimitBytes > 0 || !next.isReadable())) {
+                int bytes = (int) Math.min(readLimitBytes, next.readableBytes());
+                readText.append(next.toString(next.readerIndex(), bytes, StandardCharsets.ISO_8859_1));
+                readLimitBytes -= bytes;
                 written.removeBytes(bytes);
                 next = (ByteBuf) written.current();
             }
--- a/src/test/java/org/gooseberryhill/http/SilentExchangeTest.java
+++ b/src/test/java/org/gooseberryhill/http/SilentExchangeTest.java
@@ -22,11 +22,11 @@
 
 /** Tests that an exchange fails as silent only if its endpoint was silent, even if the event loops of the client stall. */
 class SilentExchangeTest {
-    private static final int PATIENCE_MILLIS = 60_000;
+    private static final int SILENCE_MILLIS = 60_000;
     private static final int MAX_ANSWER_BYTES = 100;
 
     /** Longer than the delay of tasks that the event loop defers until it has read. */
-    private static final long STANDSTILL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
     private final EventLoopGroup clientGroup = Loopback.group();
     private final EventLoopGroup endpointGroup = Loopback.group();
@@ -34,11 +34,11 @@
     private final Address address = Loopback.freeAddress();
     private final BlockingQueue<HttpCall> calls = new LinkedBlockingQueue<>();
     private final HttpServer endpoint = HttpServer.start(endpointGroup, address, HttpLimits.DEFAULT, this::handle);
-    private final CountDownLatch standstill = new CountDownLatch(1);
+    private final CountDownLatch release = new CountDownLatch(1);
 
     @AfterEach
     void close() {
-        standstill.countDown();
+        release.countDown();
         client.close();
         endpoint.close();
         clientGroup.shutdownGracefully();
@@ -47,20 +47,20 @@
 
     /** Guards against cutting off a response because the host had not yet read what the endpoint had sent in time. */
     @Test
-    void whatArrivesWhileTheTrafficThreadStandsStillIsHeardBeforeAnExchangeEndsAsSilent() throws InterruptedException {
-        Answer answer = new Answer();
+    void bytesThatArriveWhileTheEventLoopIsBlockedAreReadBeforeAnExchangeFailsAsSilent() throws InterruptedException {
+        CollectedAnswer answer = new CollectedAnswer();
         Exchange exchange = client.start(request(), answer);
         HttpCall call = calls.take();
         call.beginStream(200, Map.of());
         call.write(ascii("one "));
         Loopback.await("the first part", () -> answer.text().equals("one "));
         long heardNanos = exchange.heardNanos();
-        standStill();
+        blockClientEventLoops();
 
         exchange.failIfSilentSince(heardNanos);
         call.write(ascii("two ")).join();
-        LockSupport.parkNanos(STANDSTILL_NANOS);
-        standstill.countDown();
+        LockSupport.parkNanos(STALL_NANOS);
+        release.countDown();
         call.write(ascii("three"));
         call.endStream();
 
@@ -70,18 +70,18 @@
 
     /** Guards against failing a request because of a silent period that began before it was sent. */
     @Test
-    void aRequestThatIsSentAfterAStandstillIsAnswered() throws InterruptedException {
-        Answer first = new Answer();
+    void aRequestThatIsSentAfterTheEventLoopWasBlockedIsAnswered() throws InterruptedException {
+        CollectedAnswer first = new CollectedAnswer();
         client.start(request(), first);
         calls.take().reply(200, Map.of(), ascii("first"));
         first.ended.join();
-        standStill();
-        Answer next = new Answer();
+        blockClientEventLoops();
+        CollectedAnswer next = new CollectedAnswer();
         Exchange exchange = client.start(request(), next);
 
         exchange.failIfSilentSince(exchange.heardNanos());
-        LockSupport.parkNanos(STANDSTILL_NANOS);
-        standstill.countDown();
+        LockSupport.parkNanos(STALL_NANOS);
+        release.countDown();
         calls.take().reply(200, Map.of(), ascii("next"));
 
         next.ended.join();
@@ -89,8 +89,8 @@
     }
 
     @Test
-    void anExchangeWhoseEndpointIsSilentEndsAsSilentAndMayHaveRun() throws InterruptedException {
-        Answer answer = new Answer();
+    void anExchangeWhoseEndpointIsSilentFailsAsSilentAndMayHaveRun() throws InterruptedException {
+        CollectedAnswer answer = new CollectedAnswer();
         Exchange exchange = client.start(request(), answer);
         CompletableFuture<Void> disconnected = new CompletableFuture<>();
         calls.take().onDisconnect(() -> disconnected.complete(null));
@@ -104,11 +104,11 @@
     }
 
     /** Blocks all event loops of the client; returns when they are blocked. */
-    private void standStill() {
+    private void blockClientEventLoops() {
         CountDownLatch blockedLoops = new CountDownLatch(2);
         clientGroup.forEach(loop -> loop.execute(() -> {
             blockedLoops.countDown();
-            awaitRelease(standstill);
+            awaitRelease(release);
         }));
         awaitRelease(blockedLoops);
     }
@@ -126,11 +126,11 @@
     }
 
     private ExchangeRequest request() {
-        return new ExchangeRequest(address, "GET", "/", Map.of(), new byte[0], PATIENCE_MILLIS, false);
+        return new ExchangeRequest(address, "GET", "/", Map.of(), new byte[0], SILENCE_MILLIS, false);
     }
 
     /** Collects a response and how its exchange ended. Thread-safe. */
-    private static final class Answer implements ExchangeListener {
+    private static final class CollectedAnswer implements ExchangeListener {
         private final CompletableFuture<Void> ended = new CompletableFuture<>();
         private final CompletableFuture<ExchangeFailure> failed = new CompletableFuture<>();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/src/test/java/org/gooseberryhill/http/StreamEventTest.java
+++ b/src/test/java/org/gooseberryhill/http/StreamEventTest.java
@@ -7,7 +7,7 @@
 
 class StreamEventTest {
     @Test
-    void anEventTellsItsIdAndItsData() {
+    void anEventExposesItsIdAndData() {
         StreamEvent event = event("id: 17\nevent: token\ndata: a word\n\n");
 
         assertThat(event.id()).contains(17L);
@@ -20,24 +20,24 @@
     }
 
     @Test
-    void onlyOneSpaceBelongsToTheFieldsForm() {
+    void onlyOneSpaceAfterTheColonIsRemoved() {
         assertThat(event("data:  indented \n\n").data()).isEqualTo(" indented ");
     }
 
     @Test
-    void anIdThatIsNoWholeNumberIsNone() {
+    void anIdThatIsNotAWholeNumberIsIgnored() {
         assertThat(event("id: seven\ndata: x\n\n").id()).isEmpty();
         assertThat(event("id:\ndata: x\n\n").id()).isEmpty();
         assertThat(event("id: 99999999999999999999\n\n").id()).isEmpty();
     }
 
     @Test
-    void ofSeveralIdsTheLastCounts() {
+    void theLastOfSeveralIdsIsUsed() {
         assertThat(event("id: 1\nid: 2\n\n").id()).contains(2L);
     }
 
     @Test
-    void anEventWithoutFieldsHasNeither() {
+    void anEventWithoutFieldsHasNoIdAndNoData() {
         assertThat(event(": a comment\n\n").id()).isEmpty();
         assertThat(event(": a comment\n\n").data()).isEmpty();
     }
