--- a/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
@@ -103,9 +103,8 @@
                 || response.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 || isBodyless(response);
         if (!framed && !exchange.acceptsUnframed()) {
-            // A response that ends with its connection can't be distinguished from a truncated one, unless the
-            // connection
-            // is reset.
+            // A response that ends with its connection can't be distinguished from a truncated one,
+            // unless the connection is reset.
             exchange.failWith(ExchangeFailure.Kind.MALFORMED, "the answer has neither a length nor an end mark");
             return false;
         }
--- a/src/main/java/org/gooseberryhill/http/HttpClient.java
+++ b/src/main/java/org/gooseberryhill/http/HttpClient.java
@@ -137,8 +137,7 @@
 
     private static HttpClientCodec newCodec() {
         HttpDecoderConfig decoder = new HttpDecoderConfig().setMaxHeaderSize(MAX_HEADER_BYTES);
-        // failOnMissingResponse = true: without it, a connection that ends inside a response looks like the response's
-        // end.
+        // Without failOnMissingResponse (true), a connection that ends inside a response looks like the response's end.
         return new HttpClientCodec(decoder, false, true);
     }
 
