--- a/src/main/java/org/gooseberryhill/http/EventStreamReader.java
+++ b/src/main/java/org/gooseberryhill/http/EventStreamReader.java
@@ -6,18 +6,18 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Cuts a stream of server-sent events into whole events. Used by one thread at a time.
+ * Splits a stream of server-sent events into complete events and extracts their tokens. Not thread-safe.
  *
- * <p>Invariant: only whole events come out, so what is passed on can be continued by another endpoint.
+ * <p>Invariant: only complete events are emitted, so another endpoint can continue a stream that was relayed in part.
  */
 public final class EventStreamReader {
     private static final String DATA = "data:";
-    private static final String DONE = "[DONE]";
+    private static final String DONE_DATA = "[DONE]";
 
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
     private byte last;
 
-    /** Takes in bytes; the consumer gets each whole event. */
+    /** Appends bytes of the stream and passes each event that they complete to the consumer. */
     public void read(byte[] bytes, EventConsumer consumer) {
         for (byte next : bytes) {
             if (next == '\r') {
@@ -42,14 +42,14 @@
             return;
         }
         String data = text.substring(DATA.length()).strip();
-        if (data.equals(DONE)) {
+        if (data.equals(DONE_DATA)) {
             consumer.onEvent(event, "", true);
             return;
         }
-        consumer.onEvent(event, token(data), false);
+        consumer.onEvent(event, extractToken(data), false);
     }
 
-    private static String token(String data) {
+    private static String extractToken(String data) {
         JsonNode choice = Json.tree(data.getBytes(StandardCharsets.UTF_8))
                 .map(json -> json.path("choices").path(0))
                 .getOrElse(Json.object());
@@ -57,10 +57,16 @@
         return content.isEmpty() ? choice.path("text").asText("") : content;
     }
 
-    /** Takes whole events. */
+    /** Consumes complete events. */
     @FunctionalInterface
     public interface EventConsumer {
-        /** An event as it came, the token in it if any, and whether it is the end mark. */
+        /**
+         * Handles one event.
+         *
+         * @param event its bytes as received, without carriage returns
+         * @param token the generated text in it; empty if there is none
+         * @param done whether it is the {@code [DONE]} event that ends the stream
+         */
         void onEvent(byte[] event, String token, boolean done);
     }
 }
--- a/src/main/java/org/gooseberryhill/http/HttpServer.java
+++ b/src/main/java/org/gooseberryhill/http/HttpServer.java
@@ -25,38 +25,44 @@
 public final class HttpServer implements Closeable {
     private static final int LOW_WATER_BYTES = 64 * 1024;
 
-    /** Rounds that accept nobody before listening ends: a connection is made for its caller a little before it can be accepted. */
-    private static final int QUIET_ROUNDS = 20;
-
-    /** Callers may come all the while: after so many rounds all have been accepted that waited at the beginning. */
-    private static final int MAX_ROUNDS = QUIET_ROUNDS + ListeningSocket.BACKLOG;
+    /**
+     * Consecutive event loop iterations without an accepted connection before the listening socket closes. One is not enough:
+     * the kernel establishes a connection for the caller shortly before it can be accepted.
+     */
+    private static final int EMPTY_ACCEPT_ITERATIONS = 20;
+
+    /**
+     * Maximum number of iterations, since callers may keep connecting. By then every connection that was in the backlog at the
+     * beginning has been accepted.
+     */
+    private static final int MAX_ACCEPT_ITERATIONS = EMPTY_ACCEPT_ITERATIONS + ListeningSocket.BACKLOG;
 
     private final Channel listener;
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final AtomicInteger unanswered = new AtomicInteger();
-    private final AtomicBoolean listeningEnds = new AtomicBoolean();
-    private volatile boolean closingConnections;
+    private final AtomicBoolean stopListeningRequested = new AtomicBoolean();
+    private volatile boolean announceClose;
 
-    /** How many connections were accepted; on the listening socket's event loop only. */
-    private long accepted;
+    /** The number of accepted connections; accessed only on the listening socket's event loop. */
+    private long acceptedCount;
 
     private HttpServer(EventLoopGroup group, ListeningSocket socket, Supplier<HttpLimits> limits, HttpHandler handler) {
         listener = new ServerBootstrap()
                 .group(group)
                 .channelFactory(() -> new NioServerSocketChannel(socket.channel()))
-                .handler(new AcceptedConnections())
+                .handler(new ConnectionRegistrar())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        HttpLimits now = limits.get();
+                        HttpLimits currentLimits = limits.get();
                         channel.config()
-                                .setWriteBufferWaterMark(
-                                        new WriteBufferWaterMark(LOW_WATER_BYTES, now.maxPendingWriteBytes()));
+                                .setWriteBufferWaterMark(new WriteBufferWaterMark(
+                                        LOW_WATER_BYTES, currentLimits.maxPendingWriteBytes()));
                         channel.pipeline()
-                                .addLast(codec(now))
+                                .addLast(newCodec(currentLimits))
                                 .addLast(new ServerConnectionHandler(
-                                        handler, now, () -> closingConnections, unanswered));
+                                        handler, currentLimits, () -> announceClose, unanswered));
                     }
                 })
                 .register()
@@ -64,87 +70,96 @@
                 .channel();
     }
 
-    /** How a connection reads requests. */
-    static HttpServerCodec codec(HttpLimits limits) {
+    /** Creates the codec of a connection, with the size limits of requests. */
+    static HttpServerCodec newCodec(HttpLimits limits) {
         HttpDecoderConfig decoder = new HttpDecoderConfig()
                 .setMaxInitialLineLength(limits.maxRequestLineBytes())
                 .setMaxHeaderSize(limits.maxHeaderBytes());
-        // No bound of its own, which would cut the answer in progress: the connection's handler stops reading.
+        // The codec's own limit on pipelined requests would cut off the response in progress. ServerConnectionHandler
+        // stops reading instead.
         return new HttpServerCodec(decoder, Integer.MAX_VALUE);
     }
 
-    /** Starts listening; throws the bind's failure if the address is taken. */
+    /** Starts a server on a new listening socket; throws the bind failure if the address is in use. */
     public static HttpServer start(EventLoopGroup group, Address address, HttpLimits limits, HttpHandler handler) {
         return new HttpServer(group, ListeningSocket.open(address), () -> limits, handler);
     }
 
-    /** Serves a socket that listens already; each new connection is held to the limits of its moment. */
+    /**
+     * Starts a server on an open listening socket.
+     *
+     * @param limits queried for each new connection, which keeps the limits in force at that time
+     */
     public static HttpServer start(
             EventLoopGroup group, ListeningSocket socket, Supplier<HttpLimits> limits, HttpHandler handler) {
         return new HttpServer(group, socket, limits, handler);
     }
 
-    /** From now on each answer tells the caller that its connection closes after it. */
-    public void closeAfterAnswers() {
-        closingConnections = true;
+    /** Makes each further response announce that its connection closes ({@code Connection: close}). */
+    public void closeAfterResponses() {
+        announceClose = true;
     }
 
-    /** Closes the connections on which no request is in progress; a request that has arrived is read before, and answered. */
+    /** Closes the connections without a request in progress; a request that has already arrived is still read and answered. */
     public void closeIdle() {
         for (Channel connection : connections) {
             ServerConnectionHandler handler = connection.pipeline().get(ServerConnectionHandler.class);
             if (handler != null) {
-                RecentRead.thenRun(connection.eventLoop(), () -> handler.closeIfIdle(connection));
+                AfterRead.run(connection.eventLoop(), () -> handler.closeIfIdle(connection));
             }
         }
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     public int openConnections() {
         return connections.size();
     }
 
-    /** How many requests have begun to come in whose whole answer has not been handed to their connection yet. */
+    /**
+     * Returns the number of requests in progress: their head has been received, and their complete response has not been handed
+     * to the connection yet.
+     */
     public int unanswered() {
         return unanswered.get();
     }
 
-    /** Begins to close the listening socket; those who have connected before are accepted, and connections go on. */
+    /** Starts closing the listening socket; pending connections are still accepted, and open ones stay open. */
     public void stopListening() {
-        if (listeningEnds.compareAndSet(false, true)) {
-            listener.eventLoop().execute(() -> closeWhenNobodyWaits(0, MAX_ROUNDS));
+        if (stopListeningRequested.compareAndSet(false, true)) {
+            listener.eventLoop().execute(() -> closeWhenBacklogIsEmpty(0, MAX_ACCEPT_ITERATIONS));
         }
     }
 
-    /** Whether nothing can come in any more and nothing is unanswered: the socket and all connections are closed. */
+    /** Returns whether the listening socket and all connections are closed and no request is in progress. */
     public boolean isDrained() {
         return !listener.isOpen() && connections.isEmpty() && unanswered.get() == 0;
     }
 
-    /** Closes the listening socket and cuts all connections. */
+    /** Closes the listening socket and all connections immediately. */
     @Override
     public void close() {
         listener.close().syncUninterruptibly();
         connections.close().awaitUninterruptibly();
     }
 
-    /** Closes the listening socket after enough rounds of its event loop in a row that have accepted nobody. */
-    private void closeWhenNobodyWaits(int quietRounds, int roundsLeft) {
-        if (quietRounds >= QUIET_ROUNDS || roundsLeft == 0) {
+    /** Closes the listening socket after enough consecutive event loop iterations without an accepted connection. */
+    private void closeWhenBacklogIsEmpty(int emptyIterations, int iterationsLeft) {
+        if (emptyIterations >= EMPTY_ACCEPT_ITERATIONS || iterationsLeft == 0) {
             listener.close();
             return;
         }
-        long acceptedBefore = accepted;
-        RecentRead.thenRun(
+        long acceptedBefore = acceptedCount;
+        AfterRead.run(
                 listener.eventLoop(),
-                () -> closeWhenNobodyWaits(accepted == acceptedBefore ? quietRounds + 1 : 0, roundsLeft - 1));
+                () -> closeWhenBacklogIsEmpty(
+                        acceptedCount == acceptedBefore ? emptyIterations + 1 : 0, iterationsLeft - 1));
     }
 
-    /** Knows each connection from its acceptance on: before the listening socket can be seen as closed. */
-    private final class AcceptedConnections extends ChannelInboundHandlerAdapter {
+    /** Registers each connection as soon as it is accepted, hence before the listening socket can be seen as closed. */
+    private final class ConnectionRegistrar extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object connection) {
-            accepted++;
+            acceptedCount++;
             connections.add((Channel) connection);
             context.fireChannelRead(connection);
         }
--- a/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
@@ -29,106 +29,112 @@
 import org.gooseberryhill.logging.Logs;
 
 /**
- * Serves the requests of one connection, one after the other. Runs on the connection's event loop only.
+ * Serves the requests of one connection sequentially. Runs only on the connection's event loop.
  *
- * <p>Invariant: the next request is looked at only after the answer before it is complete, so an answer can never go
- * to another request of the same connection.
+ * <p>Invariant: a request is processed only after the previous response is complete, so a response can never be sent for
+ * another request of the same connection.
  */
 final class ServerConnectionHandler extends ChannelDuplexHandler {
-    /** How long a new connection is not idle yet: its first request is on the way. */
-    static final long FIRST_REQUEST_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    /** How long a new connection does not count as idle, since its first request may be in transit. */
+    static final long FIRST_REQUEST_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-    /** Nothing is read while as many messages of pipelined requests wait; what was read before may come on top. */
-    private static final int MAX_WAITING_MESSAGES = 64;
+    /**
+     * Reading pauses while this many messages of pipelined requests are queued. Messages that were already read may exceed it.
+     */
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     private static final Lazy<Logger> LOG = Logs.of(ServerConnectionHandler.class);
 
     private final HttpHandler handler;
     private final HttpLimits limits;
-    private final Queue<HttpObject> waiting = new ArrayDeque<>();
+    private final Queue<HttpObject> queuedMessages = new ArrayDeque<>();
     private ServerCall call;
     private HttpBody body;
-    private boolean bodyDone;
-    private boolean bodyHeldBack;
-    private boolean takingWaiting;
-    private long requests;
-    private boolean messageCame;
-    private boolean headBegun;
-    private boolean lastAnswerGiven;
+    private boolean bodyComplete;
+    private boolean bodyReadingPaused;
+    private boolean processingQueued;
+    private long requestCount;
+    private boolean messageDecoded;
+    private boolean partialMessageReceived;
+    private boolean discardingInput;
     private long acceptedNanos;
-    private final BooleanSupplier closing;
-    private final AtomicInteger unanswered;
+    private final BooleanSupplier closesAfterResponse;
+    private final AtomicInteger requestsInProgress;
     private ScheduledFuture<?> idleTimer;
 
     /**
-     * Serves a connection.
+     * Creates the handler of a connection.
      *
-     * @param closing whether answers are to say that their connection closes
-     * @param unanswered counts the requests of all connections that have no whole answer yet
+     * @param closesAfterResponse whether responses announce that their connection closes
+     * @param requestsInProgress counts the requests of all connections whose response is not complete
      */
-    ServerConnectionHandler(HttpHandler handler, HttpLimits limits, BooleanSupplier closing, AtomicInteger unanswered) {
+    ServerConnectionHandler(
+            HttpHandler handler,
+            HttpLimits limits,
+            BooleanSupplier closesAfterResponse,
+            AtomicInteger requestsInProgress) {
         this.handler = handler;
         this.limits = limits;
-        this.closing = closing;
-        this.unanswered = unanswered;
+        this.closesAfterResponse = closesAfterResponse;
+        this.requestsInProgress = requestsInProgress;
     }
 
-    /** Whether answers are to say that their connection closes. */
-    boolean isClosing() {
-        return closing.getAsBoolean();
+    /** Returns whether responses announce that their connection closes. */
+    boolean closesAfterResponse() {
+        return closesAfterResponse.getAsBoolean();
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
         acceptedNanos = nanoTime(context.channel());
-        closeWhenIdle(context.channel());
+        startIdleTimeout(context.channel());
         context.fireChannelActive();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         HttpObject object = (HttpObject) message;
-        messageCame = true;
-        headBegun = false;
-        if (lastAnswerGiven) {
+        messageDecoded = true;
+        partialMessageReceived = false;
+        if (discardingInput) {
             ReferenceCountUtil.release(object);
             return;
         }
-        boolean belongsToNext = call != null && bodyDone;
-        if (belongsToNext || !waiting.isEmpty()) {
-            waiting.add(object);
-            readAsFitting(context.channel());
+        boolean belongsToNext = call != null && bodyComplete;
+        if (belongsToNext || !queuedMessages.isEmpty()) {
+            queuedMessages.add(object);
+            updateAutoRead(context.channel());
             return;
         }
-        process(context, object);
+        processMessage(context, object);
     }
 
-    /** What was read without a message is the beginning of one. */
+    /** Bytes that were read without completing a message are the beginning of one. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        headBegun = headBegun || !messageCame;
-        messageCame = false;
+        partialMessageReceived = partialMessageReceived || !messageDecoded;
+        messageDecoded = false;
         context.fireChannelReadComplete();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         cancelIdleTimer();
-        dropWaiting();
+        releaseQueued();
         if (call != null) {
-            if (body != null && !bodyDone) {
+            if (body != null && !bodyComplete) {
                 body.onAborted();
             }
             call.disconnected();
-            unanswered.decrementAndGet();
+            requestsInProgress.decrementAndGet();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        // A reader that takes nothing would make the answer pile up in memory; closing shows it the cut.
+        // The response to a reader that stalls would accumulate in memory. The close shows the caller the truncation.
         if (!context.channel().isWritable()) {
-            LOG.get().warn("closing a connection whose reader is too slow");
+            LOG.get().warn("closing connection: unsent bytes exceed the limit because the reader is too slow");
             context.close();
         }
     }
@@ -139,128 +145,132 @@
         context.close();
     }
 
-    /** Closes the connection unless a request is in progress on it; an answer that is still on its way goes out before. */
+    /** Closes the connection unless a request is in progress on it; a response that is still being sent is sent first. */
     void closeIfIdle(Channel connection) {
-        boolean isNew = requests == 0 && nanoTime(connection) - acceptedNanos < FIRST_REQUEST_NANOS;
-        if (call == null && !isNew && !headBegun) {
-            closeUnannounced(connection);
+        boolean isNew = requestCount == 0 && nanoTime(connection) - acceptedNanos < FIRST_REQUEST_GRACE_NANOS;
+        if (call == null && !isNew && !partialMessageReceived) {
+            closeIdleConnection(connection);
         }
     }
 
-    /** Stops or continues reading the body of the present request. */
-    void holdBodyBack(Channel connection, boolean holdBack) {
-        bodyHeldBack = holdBack;
-        readAsFitting(connection);
+    /** Pauses or resumes reading the body of the current request. */
+    void setBodyReadingPaused(Channel connection, boolean paused) {
+        bodyReadingPaused = paused;
+        updateAutoRead(connection);
     }
 
-    /** The present answer is complete: looks at the next request, or closes. */
-    void callEnded(ChannelHandlerContext context, boolean keepAlive) {
-        boolean unreadBody = !bodyDone;
+    /** Called when the current response is complete: processes the next request, or closes the connection. */
+    void responseCompleted(ChannelHandlerContext context, boolean keepAlive) {
+        boolean unreadBody = !bodyComplete;
         call = null;
-        bodyHeldBack = false;
-        unanswered.decrementAndGet();
+        bodyReadingPaused = false;
+        requestsInProgress.decrementAndGet();
         if (!keepAlive || unreadBody) {
-            closeAnnounced(context.channel());
+            closeAfterFinalResponse(context.channel());
             return;
         }
-        closeWhenIdle(context.channel());
-        takeWaiting(context);
+        startIdleTimeout(context.channel());
+        processQueued(context);
     }
 
-    /** An answer that is given within the loop does not begin another one, so the stack stays flat. */
-    private void takeWaiting(ChannelHandlerContext context) {
-        if (takingWaiting) {
+    /** Processes queued requests. A response given inside the loop does not start another loop, which bounds the stack depth. */
+    private void processQueued(ChannelHandlerContext context) {
+        if (processingQueued) {
             return;
         }
-        takingWaiting = true;
+        processingQueued = true;
         try {
-            while (!lastAnswerGiven && !waiting.isEmpty() && (call == null || !bodyDone)) {
-                process(context, waiting.poll());
+            while (!discardingInput && !queuedMessages.isEmpty() && (call == null || !bodyComplete)) {
+                processMessage(context, queuedMessages.poll());
             }
         } finally {
-            takingWaiting = false;
-            readAsFitting(context.channel());
+            processingQueued = false;
+            updateAutoRead(context.channel());
         }
     }
 
-    /** Reads on as long as memory allows, since only reading shows that the caller has gone. */
-    private void readAsFitting(Channel connection) {
-        connection.config().setAutoRead(!bodyHeldBack && waiting.size() < MAX_WAITING_MESSAGES);
+    /** Reads unless the queue is full or the body is paused, since only reading detects that the caller has disconnected. */
+    private void updateAutoRead(Channel connection) {
+        connection.config().setAutoRead(!bodyReadingPaused && queuedMessages.size() < MAX_QUEUED_MESSAGES);
     }
 
-    /** Closes a connection whose caller does not expect it: at once, or what comes meanwhile would be read and dropped. */
-    private void closeUnannounced(Channel connection) {
-        if (lastAnswerGiven) {
+    /**
+     * Closes a connection whose caller does not expect it. It closes at once after the flush, since requests that arrive before
+     * the close would be read and discarded.
+     */
+    private void closeIdleConnection(Channel connection) {
+        if (discardingInput) {
             return;
         }
-        takeNothingMore(connection);
+        discardFurtherInput(connection);
         connection.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(flushed -> connection.close());
-        closeAfterSilentPeriod(connection);
+        closeIfWriteStalls(connection);
     }
 
     /**
-     * Closes a connection whose caller was told so. One that closes over something unread is reset, and its reader loses
-     * what is still on the way: it is read before, or left to the caller to close.
+     * Closes a connection after its response announced the close. Closing a socket with unread data resets the connection, and
+     * the caller loses the part of the response that is still in transit. So the data is read first; if reading is off, only
+     * the output is shut down and the caller closes the connection.
      */
-    private void closeAnnounced(Channel connection) {
-        if (lastAnswerGiven) {
+    private void closeAfterFinalResponse(Channel connection) {
+        if (discardingInput) {
             return;
         }
         boolean hasUnread = !connection.config().isAutoRead();
-        takeNothingMore(connection);
+        discardFurtherInput(connection);
         Runnable close = hasUnread && connection instanceof DuplexChannel caller
                 ? caller::shutdownOutput
-                : () -> RecentRead.thenRun(connection.eventLoop(), connection::close);
+                : () -> AfterRead.run(connection.eventLoop(), connection::close);
         connection.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(flushed -> close.run());
-        closeAfterSilentPeriod(connection);
+        closeIfWriteStalls(connection);
     }
 
-    private void takeNothingMore(Channel connection) {
-        lastAnswerGiven = true;
+    private void discardFurtherInput(Channel connection) {
+        discardingInput = true;
         cancelIdleTimer();
-        dropWaiting();
-        readAsFitting(connection);
+        releaseQueued();
+        updateAutoRead(connection);
     }
 
-    /** Closes the connection of a reader that takes nothing for too long. */
-    private void closeAfterSilentPeriod(Channel connection) {
+    /** Closes the connection if no byte is sent for a whole idle period, because the reader has stalled. */
+    private void closeIfWriteStalls(Channel connection) {
         if (connection.isOpen()) {
-            afterSilentPeriod(connection, connection::close);
+            runAfterIdlePeriod(connection, connection::close);
         }
     }
 
-    private void process(ChannelHandlerContext context, HttpObject object) {
+    private void processMessage(ChannelHandlerContext context, HttpObject object) {
         try {
             if (object.decoderResult().isFailure()) {
                 rejectMalformed(context, object.decoderResult().cause());
                 return;
             }
             if (object instanceof HttpRequest request) {
-                begin(context, request);
+                beginRequest(context, request);
             }
             if (object instanceof HttpContent content) {
-                takeBody(content);
+                processBody(content);
             }
         } finally {
             ReferenceCountUtil.release(object);
         }
     }
 
-    private void begin(ChannelHandlerContext context, HttpRequest request) {
+    private void beginRequest(ChannelHandlerContext context, HttpRequest request) {
         cancelIdleTimer();
-        requests++;
-        unanswered.incrementAndGet();
-        bodyDone = false;
+        requestCount++;
+        requestsInProgress.incrementAndGet();
+        bodyComplete = false;
         if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
-        ServerCall started = new ServerCall(context, this, request);
-        call = started;
-        body = handler.handle(started);
+        ServerCall newCall = new ServerCall(context, this, request);
+        call = newCall;
+        body = handler.handle(newCall);
     }
 
-    private void takeBody(HttpContent content) {
+    private void processBody(HttpContent content) {
         if (body == null) {
             return;
         }
@@ -268,10 +278,10 @@
             body.onBytes(ByteBufUtil.getBytes(content.content()));
         }
         if (content instanceof LastHttpContent) {
-            HttpBody whole = body;
+            HttpBody completedBody = body;
             body = null;
-            bodyDone = true;
-            whole.onEnd();
+            bodyComplete = true;
+            completedBody.onEnd();
         }
     }
 
@@ -286,29 +296,29 @@
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.length);
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
         context.write(response);
-        closeAnnounced(context.channel());
+        closeAfterFinalResponse(context.channel());
     }
 
-    private void dropWaiting() {
-        waiting.forEach(ReferenceCountUtil::release);
-        waiting.clear();
+    private void releaseQueued() {
+        queuedMessages.forEach(ReferenceCountUtil::release);
+        queuedMessages.clear();
     }
 
-    private void closeWhenIdle(Channel connection) {
-        afterSilentPeriod(connection, () -> closeUnlessRequestComes(connection, requests));
+    private void startIdleTimeout(Channel connection) {
+        runAfterIdlePeriod(connection, () -> closeUnlessRequestArrives(connection, requestCount));
     }
 
-    /** A thread that was late may not have read yet what came before the end of the idle period. */
-    private void closeUnlessRequestComes(Channel connection, long requestsBefore) {
-        RecentRead.thenRun(connection.eventLoop(), () -> {
-            if (requests == requestsBefore) {
-                closeUnannounced(connection);
+    /** Reads first: a delayed event loop thread may not have read a request that arrived before the end of the idle period. */
+    private void closeUnlessRequestArrives(Channel connection, long requestCountBefore) {
+        AfterRead.run(connection.eventLoop(), () -> {
+            if (requestCount == requestCountBefore) {
+                closeIdleConnection(connection);
             }
         });
     }
 
-    /** Acts once when nothing has gone out for a whole period, unless the timer is cancelled before. */
-    private void afterSilentPeriod(Channel connection, Runnable action) {
+    /** Runs an action once no byte has been sent for a whole idle period, unless the timer is cancelled first. */
+    private void runAfterIdlePeriod(Channel connection, Runnable action) {
         cancelIdleTimer();
         UnsentBytes before = UnsentBytes.of(connection);
         idleTimer = connection
@@ -319,9 +329,9 @@
                                 action.run();
                                 return;
                             }
-                            afterSilentPeriod(connection, action);
+                            runAfterIdlePeriod(connection, action);
                         },
-                        limits.idleMillis(),
+                        limits.idleTimeoutMillis(),
                         TimeUnit.MILLISECONDS);
     }
 
--- a/src/test/java/org/gooseberryhill/http/ClosingIdleConnectionsTest.java
+++ b/src/test/java/org/gooseberryhill/http/ClosingIdleConnectionsTest.java
@@ -20,39 +20,39 @@
 import org.gooseberryhill.link.Address;
 import org.junit.jupiter.api.Test;
 
-/** Idle connections are closed by a server whose event loop is busy. */
+/** Tests closing idle connections on a server whose event loop is busy. */
 class ClosingIdleConnectionsTest {
     private static final int BODY_BYTES = 100;
     private static final int SMALL_ANSWER_BYTES = 1024;
 
-    /** For a test that would never end; less than the idle timeout that other servers have. */
-    private static final int OUTCOME_MILLIS = 10_000;
+    /** Ends a test that would otherwise hang; shorter than the default idle timeout. */
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** Guards against a request that a busy host has not read yet when its connection is closed as idle. */
+    /** Guards against a lost request that a busy host has not read yet when it closes the connection as idle. */
     @Test
     void closingIdleConnectionsReadsWhatHasArrivedBefore() throws IOException {
-        AwaitedReading reading = new AwaitedReading();
-        EventLoopGroup loop = reading.eventLoop();
+        BlockingSelectStrategy selectStrategy = new BlockingSelectStrategy();
+        EventLoopGroup loop = selectStrategy.eventLoop();
         Address busyAddress = Loopback.freeAddress();
         HttpServer busy = HttpServer.start(loop, busyAddress, HttpLimits.DEFAULT, ClosingIdleConnectionsTest::handle);
         try (busy;
                 Socket caller = new Socket(busyAddress.ip(), busyAddress.port());
-                reading) {
-            caller.setSoTimeout(OUTCOME_MILLIS);
+                selectStrategy) {
+            caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /one HTTP/1.1\r\n\r\n"));
             assertThat(caller.getInputStream().read(new byte[SMALL_ANSWER_BYTES]))
                     .isPositive();
-            CountDownLatch decided = holdUp(loop);
-            reading.beginToAwait();
+            CountDownLatch loopBlock = blockEventLoop(loop);
+            selectStrategy.awaitReadable();
 
             busy.closeIdle();
-            CountDownLatch read = new CountDownLatch(1);
-            loop.execute(() -> awaitRelease(read));
+            CountDownLatch readBlock = new CountDownLatch(1);
+            loop.execute(() -> awaitRelease(readBlock));
             caller.getOutputStream().write(RawEndpoint.ascii("GET /two HTTP/1.1\r\nconnection: close\r\n\r\n"));
-            passCloseDelay();
-            decided.countDown();
-            passCloseDelay();
-            read.countDown();
+            waitForNextIterationDelay();
+            loopBlock.countDown();
+            waitForNextIterationDelay();
+            readBlock.countDown();
 
             assertThat(new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1))
                     .contains("/two");
@@ -65,21 +65,21 @@
         return new WholeBody(BODY_BYTES, body -> call.reply(200, Map.of(), RawEndpoint.ascii(call.path())), () -> {});
     }
 
-    /** Returns when the event loop runs a task that ends when the latch is released. */
-    private static CountDownLatch holdUp(EventLoopGroup loop) {
-        CountDownLatch begun = new CountDownLatch(1);
+    /** Blocks the event loop until the returned latch is released; returns when it is blocked. */
+    private static CountDownLatch blockEventLoop(EventLoopGroup loop) {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
-            begun.countDown();
+            blocked.countDown();
             awaitRelease(release);
         });
-        awaitRelease(begun);
+        awaitRelease(blocked);
         return release;
     }
 
-    /** Returns when what was scheduled before is due. */
-    private static void passCloseDelay() {
-        long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RecentRead.NEXT_ROUND_MILLIS);
+    /** Waits until the timers that were set before are due. */
+    private static void waitForNextIterationDelay() {
+        long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AfterRead.NEXT_ITERATION_DELAY_MILLIS);
         while (System.nanoTime() - dueNanos <= 0) {
             Thread.onSpinWait();
         }
@@ -93,15 +93,15 @@
         }
     }
 
-    /** Has the next round of an event loop that reads wait until there is something to read. */
-    private static final class AwaitedReading implements SelectStrategy, Closeable {
+    /** Makes the next reading iteration of an event loop wait until there is something to read. */
+    private static final class BlockingSelectStrategy implements SelectStrategy, Closeable {
         private volatile boolean awaiting;
 
         EventLoopGroup eventLoop() {
             return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), () -> this));
         }
 
-        void beginToAwait() {
+        void awaitReadable() {
             awaiting = true;
         }
 
