--- a/src/main/java/org/gooseberryhill/dialect/AttemptTraits.java
+++ b/src/main/java/org/gooseberryhill/dialect/AttemptTraits.java
@@ -4,12 +4,12 @@
 import java.util.OptionalLong;
 
 /**
- * What an endpoint must be told with one attempt. Immutable.
+ * Metadata that an endpoint must receive with one attempt. Immutable.
  *
- * @param endpointId the endpoint that is meant; another one at the same address must refuse
- * @param leftMillis how long the caller still waits; empty for an item, which has no deadline of its own
- * @param lastEventId the event after which the stream goes on
- * @param requestId names the request, where its own headers don't
+ * @param endpointId id of the intended endpoint; another endpoint at the same address must refuse the request
+ * @param leftMillis how long the caller still waits; empty for a batch item, which has no deadline of its own
+ * @param lastEventId id of the event after which the stream continues
+ * @param requestId id of the request, if its own headers do not contain one
  */
 public record AttemptTraits(
         String endpointId, OptionalLong leftMillis, Optional<Long> lastEventId, Optional<String> requestId) {}
--- a/src/main/java/org/gooseberryhill/dialect/BatchDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/BatchDialect.java
@@ -7,14 +7,14 @@
 import org.gooseberryhill.decision.requestbatch.BatchPage;
 import org.gooseberryhill.http.HttpCall;
 
-/** How request batches are submitted, read and ended. Thread-safe; translates and decides nothing. */
+/** Translates the HTTP interface for submitting, reading and ending request batches. Thread-safe; decides nothing. */
 public interface BatchDialect {
-    /** The call of the system's own interface that a request makes; empty for one that a route may take. */
+    /** Returns the call of the system's own interface that a request makes; empty if a route may handle the request. */
     Optional<SystemCall> read(HttpCall call);
 
-    /** The items of a submitted body, or all that is wrong with it. */
+    /** Returns the items of a submitted body, or all errors found in it. */
     Either<List<String>, List<BatchItem>> items(byte[] body);
 
-    /** The answer to a reading of results. */
+    /** Returns the body of the answer to a call that reads results. */
     byte[] page(BatchPage page);
 }
--- a/src/main/java/org/gooseberryhill/dialect/Dialects.java
+++ b/src/main/java/org/gooseberryhill/dialect/Dialects.java
@@ -1,12 +1,12 @@
 package org.gooseberryhill.dialect;
 
 /**
- * All that an adapter translates. Immutable.
+ * The translations that an adapter provides. Immutable.
  *
- * @param traffic requests and answers
- * @param batches request batches
- * @param directory endpoints
- * @param operators configuration and evacuations
+ * @param traffic for requests and answers
+ * @param batches for request batches
+ * @param directory for endpoint registrations
+ * @param operators for configurations and evacuations
  */
 public record Dialects(
         TrafficDialect traffic, BatchDialect batches, DirectoryDialect directory, OperatorDialect operators) {}
--- a/src/main/java/org/gooseberryhill/dialect/DirectoryDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/DirectoryDialect.java
@@ -4,11 +4,11 @@
 import org.gooseberryhill.directory.EndpointEntry;
 import org.gooseberryhill.external.KeyChange;
 
-/** How endpoints register in the key-value store. Thread-safe; translates and decides nothing. */
+/** Translates the registrations of endpoints in the key-value store. Thread-safe; decides nothing. */
 public interface DirectoryDialect {
-    /** The prefix of all registrations. */
+    /** Returns the key prefix of all registrations. */
     String prefix();
 
-    /** The endpoint that a key with a value registers, or why it names none to use. */
+    /** Returns the endpoint that an entry registers, or the reason why the entry names no usable endpoint. */
     Either<String, EndpointEntry> endpoint(KeyChange entry);
 }
--- a/src/main/java/org/gooseberryhill/dialect/OperatorDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/OperatorDialect.java
@@ -5,20 +5,20 @@
 import org.gooseberryhill.external.KeyChange;
 import org.gooseberryhill.route.RouteConfiguration;
 
-/** How operators write what they want into the key-value store. Thread-safe; translates and decides nothing. */
+/** Translates the entries that operators write into the key-value store. Thread-safe; decides nothing. */
 public interface OperatorDialect {
-    /** The prefix of all that operators write. */
+    /** Returns the key prefix of all entries that operators write. */
     String prefix();
 
-    /** The configuration that a key holds, or what is wrong with it; empty for another key. */
+    /** Returns the configuration in an entry, or what is wrong with it; empty for an entry with another key. */
     Optional<Either<String, RouteConfiguration>> configuration(KeyChange entry);
 
-    /** The host that a key asks to be emptied; empty for another key. */
+    /** Returns the host that an entry requests to be evacuated; empty for an entry with another key. */
     Optional<String> evacuatedHost(KeyChange entry);
 
-    /** The key under which the state of an evacuation is told. */
+    /** Returns the key under which the status of an evacuation is stored. */
     String evacuationStatusKey(String host);
 
-    /** The value that tells that an evacuation is on its way, or that it is done. */
+    /** Returns the value which states that an evacuation is in progress, or that it is done. */
     byte[] evacuationStatus(boolean done);
 }
--- a/src/main/java/org/gooseberryhill/dialect/SystemCall.java
+++ b/src/main/java/org/gooseberryhill/dialect/SystemCall.java
@@ -1,28 +1,28 @@
 package org.gooseberryhill.dialect;
 
-/** A call of the system's own interface beside the routes. Immutable. */
+/** A call of the system's own interface, which is served besides the routes. Immutable. */
 public sealed interface SystemCall {
     /**
      * Reads the results of a request batch.
      *
-     * @param batch its id
-     * @param after the first position asked for, from 0
-     * @param waitMillis how long the call may be kept waiting for a result
+     * @param batch id of the batch
+     * @param after first position requested, from 0
+     * @param waitMillis maximum time that the call waits for a result
      */
     record ReadResults(String batch, int after, long waitMillis) implements SystemCall {}
 
     /**
      * Reads the body of an item that has no result yet.
      *
-     * @param batch the batch's id
-     * @param item the item's id
+     * @param batch id of the batch
+     * @param item id of the item
      */
     record ReadItem(String batch, String item) implements SystemCall {}
 
     /**
      * Ends a request batch.
      *
-     * @param batch its id
+     * @param batch id of the batch
      */
     record EndBatch(String batch) implements SystemCall {}
 }
--- a/src/main/java/org/gooseberryhill/dialect/package-info.java
+++ b/src/main/java/org/gooseberryhill/dialect/package-info.java
@@ -1,2 +1,2 @@
-/** How callers, endpoints, operators and the store spell what the system understands: contracts for adapters. */
+/** Contracts for adapters that translate the external formats of callers, endpoints, operators and the store. */
 package org.gooseberryhill.dialect;
--- a/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
+++ b/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
@@ -16,18 +16,18 @@
 import org.gooseberryhill.route.RouteKind;
 
 /**
- * Passes the answers of a request's attempts on to its caller as one answer. Runs on one traffic thread, but where it
- * says so.
+ * Relays the answers of a request's attempts to its caller as one answer. Runs on one traffic thread unless stated
+ * otherwise.
  *
- * <p>Invariants: a whole answer is passed on only when all of it has come; of a stream only whole events are passed on,
- * each once; a stream ends normally only where its endpoint ended it so.
+ * <p>Invariants: an answer that is not streamed and fits the buffer is relayed only when all of it has arrived; of a
+ * stream only complete events are relayed, each once; a stream ends normally only if its endpoint ended it normally.
  */
 final class AnswerRelay {
     private static final int OK = 200;
     private static final int FIRST_SERVER_ERROR = 500;
     private static final int MISDIRECTED = 421;
 
-    /** Answers beyond this size are passed on as they come: memory is small, and they can't be sent again. */
+    /** Larger answers are relayed as they arrive, since memory is limited; they cannot be sent again. */
     private static final int MAX_BUFFERED_BYTES = 1024 * 1024;
 
     private final HttpCall call;
@@ -41,22 +41,22 @@
         this.lastEventId = lastEventId;
     }
 
-    /** Whether the caller has a part of the answer. From any thread. */
+    /** Returns whether the caller has received a part of the answer. May be called from any thread. */
     boolean isBegun() {
         return begun;
     }
 
-    /** The last event that the caller has. From any thread. */
+    /** Returns the id of the last event that the caller has received. May be called from any thread. */
     Optional<Long> lastEventId() {
         return lastEventId;
     }
 
-    /** Follows an attempt. */
+    /** Creates a listener for the answer of an attempt. */
     Attempt attempt(RoutedCall owner, long number) {
         return new Attempt(owner, number);
     }
 
-    /** One attempt's answer. */
+    /** Relays the answer of one attempt. */
     final class Attempt implements ExchangeListener {
         private final RoutedCall owner;
         private final long number;
@@ -133,7 +133,7 @@
             } else if (!genuine) {
                 owner.attemptFailed(number, AttemptEnd.MALFORMED, "not signed, status " + status, Optional.empty());
             } else if (begun) {
-                // The caller has a part of a stream that this endpoint did not go on with.
+                // The caller has received a part of a stream that this endpoint did not continue.
                 owner.attemptFailed(number, AttemptEnd.MALFORMED, "status " + status, Optional.empty());
             } else if (status >= FIRST_SERVER_ERROR) {
                 owner.attemptFailed(number, AttemptEnd.ERROR_ANSWER, "status " + status, Optional.of(answer));
@@ -143,7 +143,7 @@
             }
         }
 
-        /** Events that came together go on together: each write costs a call of the kernel. */
+        /** Writes events that arrived together in one call, since each write costs a system call. */
         private void passOn(List<StreamEvent> arrived) {
             List<StreamEvent> unseen = arrived.stream().filter(this::isNew).toList();
             if (unseen.isEmpty()) {
@@ -162,12 +162,12 @@
             return !seen;
         }
 
-        private static byte[] joined(List<StreamEvent> some) {
-            if (some.size() == 1) {
-                return some.get(0).raw();
+        private static byte[] joined(List<StreamEvent> streamEvents) {
+            if (streamEvents.size() == 1) {
+                return streamEvents.get(0).raw();
             }
             ByteArrayOutputStream joined = new ByteArrayOutputStream();
-            some.forEach(event -> joined.writeBytes(event.raw()));
+            streamEvents.forEach(event -> joined.writeBytes(event.raw()));
             return joined.toByteArray();
         }
 
--- a/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
+++ b/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
@@ -10,10 +10,11 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Takes note of requests whose endpoints broke off, with what other gateways saw. For the control thread.
+ * Tracks requests whose endpoints crashed, as observed by this and the other gateways. For the control thread.
  *
  * <p>Failure: one request crashes each endpoint that runs it, and its caller sends it again through other hosts. Each host
- * tells the others of what was cut at it, so that the second crash is enough, whichever hosts saw the two.
+ * notifies the others of requests that were cut off, so that the second crash is enough to quarantine the request,
+ * whichever hosts observed the two.
  */
 final class CrashTracking {
     private final GatewayContext context;
@@ -26,7 +27,10 @@
         this.suspects = suspects;
     }
 
-    /** An attempt ended before any part of its answer had come; a silent endpoint may be a full one and has not crashed. */
+    /**
+     * Records an attempt that ended before any part of its answer arrived. A silent endpoint may merely be full, so it does
+     * not count as crashed.
+     */
     void ended(Fingerprint request, String endpoint, AttemptEnd end) {
         if (end != AttemptEnd.CUT) {
             return;
@@ -41,7 +45,7 @@
         links.tellAll(new PeerMessage.CrashNotice(endpoint, List.of(request.value())));
     }
 
-    /** A request got its whole answer: it crashes nothing, and the others may know. */
+    /** Clears a request that got its complete answer, since it crashes no endpoint, and notifies the other gateways. */
     void completed(RoutedIntake intake) {
         if (suspects.size() == 0) {
             return;
@@ -53,14 +57,14 @@
         }
     }
 
-    /** Another gateway saw requests cut. */
+    /** Records requests that another gateway reports as cut off. */
     void heard(PeerMessage.CrashNotice notice) {
         List<Fingerprint> requests =
                 notice.fingerprints().stream().map(Fingerprint::new).toList();
         suspects.crashed(notice.endpoint(), requests, context.nowNanos());
     }
 
-    /** Another gateway saw a request answered. */
+    /** Clears a request that another gateway reports as answered. */
     void heard(PeerMessage.SuspectRelease release) {
         if (release.completed()) {
             suspects.completed(new Fingerprint(release.fingerprint()));
--- a/src/main/java/org/gooseberryhill/gateway/DelayWatch.java
+++ b/src/main/java/org/gooseberryhill/gateway/DelayWatch.java
@@ -5,13 +5,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notices that a process stood still: its requests waited although nothing that they met was slow. Not thread-safe.
+ * Detects that the process was not running for a while: its requests waited although nothing that they used was slow.
+ * Not thread-safe.
  *
- * <p>Both clocks are looked at, since a suspended host's steady clock stands still with it. A step of the time of day is
- * told as well, and can't be told from a suspension.
+ * <p>Two clocks are compared, since the monotonic clock of a suspended host stops with it. A step of the wall clock is
+ * reported as well, because it cannot be distinguished from a suspension.
  */
 final class DelayWatch {
-    /** Shorter delays are ordinary on a host with a share of one core. */
+    /** Shorter delays are normal on a host with a share of one core. */
     static final long NOTICED_MILLIS = 200;
 
     private final long periodMillis;
@@ -19,15 +20,15 @@
     private long lastEpochMillis;
 
     /**
-     * A watch.
+     * Creates a detector.
      *
-     * @param periodMillis how often it is looked at
+     * @param periodMillis expected time between two ticks
      */
     DelayWatch(long periodMillis) {
         this.periodMillis = periodMillis;
     }
 
-    /** Takes in the time; returns by how much it is later than it should be, if that is worth a line. */
+    /** Takes the current time of both clocks; returns the delay of this tick if it is long enough to be reported. */
     Optional<Delay> tick(long nowNanos, long nowEpochMillis) {
         OptionalLong before = lastNanos;
         long epochMillis = nowEpochMillis - lastEpochMillis;
@@ -43,10 +44,10 @@
     }
 
     /**
-     * How long a process stood still. Immutable.
+     * Time for which the process was not running. Immutable.
      *
-     * @param millis by how much a look was late
-     * @param suspendedMillis how much of it the steady clock did not count
+     * @param millis delay of a tick
+     * @param suspendedMillis part of it that the monotonic clock did not count
      */
     record Delay(long millis, long suspendedMillis) {}
 }
--- a/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
+++ b/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
@@ -4,9 +4,9 @@
 import org.gooseberryhill.decision.dispatch.HealthChange;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Tries connections to endpoints that could not be reached, and tells which are left out. For the control thread. */
+/** Probes endpoints that could not be reached, and logs changes of endpoint health. For the control thread. */
 final class EndpointProbes {
-    /** As long as a request waits for its connection. */
+    /** Same as the connect timeout of a request. */
     private static final int CONNECT_MILLIS = 300;
 
     private final GatewayContext context;
@@ -15,7 +15,7 @@
         this.context = context;
     }
 
-    /** Tries what is due; called often. */
+    /** Probes the endpoints that are due and logs changes of health; called periodically. */
     void tick() {
         context.fleet().takeProbes(context.nowNanos()).forEach(this::probe);
         context.fleet().takeHealthChanges().forEach(this::tell);
--- a/src/main/java/org/gooseberryhill/gateway/FrontRouter.java
+++ b/src/main/java/org/gooseberryhill/gateway/FrontRouter.java
@@ -21,11 +21,11 @@
 import org.gooseberryhill.route.RouteTarget;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Sends each call of callers to its route or to the system's own interface. Thread-safe. */
+/** Dispatches the calls of callers to their routes or to the system's own interface. Thread-safe. */
 final class FrontRouter {
     private static final long NO_CONFIGURATION_RETRY_AFTER_MILLIS = 500;
 
-    /** How long a caller without a deadline of its own waits at the most, where its route sets no timeout. */
+    /** Deadline of a request whose caller sets none, on a route without a timeout. */
     private static final long DEFAULT_DEADLINE_MILLIS = 60_000;
 
     private final GatewayContext context;
@@ -51,19 +51,19 @@
         this.random = random;
     }
 
-    /** Takes a configuration into force. */
+    /** Puts a configuration into force. */
     void configure(RouteTable newTable) {
         table = newTable;
     }
 
-    /** Looks at a call's head and returns what takes in its body. */
+    /** Inspects the head of a call and returns the consumer of its body. */
     HttpBody route(HttpCall call) {
         long arrivedNanos = context.nowNanos();
-        RouteTable now = table;
-        int maxBytes = now.configuration().limits().maxBodyBytes();
-        Optional<SystemCall> own = context.dialects().batches().read(call);
-        if (own.isPresent()) {
-            return whole(call, maxBytes, body -> batches.answer(call, own.get()));
+        RouteTable current = table;
+        int maxBytes = current.configuration().limits().maxBodyBytes();
+        Optional<SystemCall> systemCall = context.dialects().batches().read(call);
+        if (systemCall.isPresent()) {
+            return whole(call, maxBytes, body -> batches.answer(call, systemCall.get()));
         }
         RequestTraits traits = context.dialects().traffic().read(call.headers());
         return whole(call, maxBytes, body -> routed(call, traits, body, arrivedNanos));
@@ -72,8 +72,8 @@
     private void routed(HttpCall call, RequestTraits traits, byte[] body, long arrivedNanos) {
         if (!gate.isOpen()) {
             context.loop().execute(() -> {
-                boolean held = gate.pass(() -> routedNow(call, traits, body, arrivedNanos), context.nowNanos());
-                if (!held) {
+                boolean accepted = gate.pass(() -> routedNow(call, traits, body, arrivedNanos), context.nowNanos());
+                if (!accepted) {
                     routedNow(call, traits, body, arrivedNanos);
                 }
             });
@@ -83,9 +83,9 @@
     }
 
     private void routedNow(HttpCall call, RequestTraits traits, byte[] body, long arrivedNanos) {
-        RouteTable now = table;
+        RouteTable current = table;
         String id = traits.id().orElse("");
-        if (now.configuration().isEmpty()) {
+        if (current.configuration().isEmpty()) {
             refuse(
                     call,
                     id,
@@ -95,7 +95,7 @@
                             NO_CONFIGURATION_RETRY_AFTER_MILLIS));
             return;
         }
-        Optional<Route> route = now.find(call.headers().get(HttpHeaderNames.HOST, ""), call.target());
+        Optional<Route> route = current.find(call.headers().get(HttpHeaderNames.HOST, ""), call.target());
         if (route.isEmpty()) {
             refuse(call, id, Refusal.notRun(ErrorCode.NOT_FOUND, "no route takes this host and path"));
             return;
@@ -132,10 +132,10 @@
         return route.targets().get(0).service();
     }
 
-    private HttpBody whole(HttpCall call, int maxBytes, Consumer<byte[]> onWhole) {
+    private HttpBody whole(HttpCall call, int maxBytes, Consumer<byte[]> onBody) {
         return new WholeBody(
                 maxBytes,
-                onWhole,
+                onBody,
                 () -> refuse(
                         call,
                         "",
@@ -155,7 +155,7 @@
         traffic.refuse(call, id, refusal);
     }
 
-    /** As much of a path as may name a route; what follows may be the caller's own. */
+    /** Returns the part of a path that may name a route; the rest may be data of the caller. */
     private static String firstSegment(String path) {
         int end = path.indexOf('/', 1);
         return end < 0 ? path : path.substring(0, end + 1);
--- a/src/main/java/org/gooseberryhill/gateway/GatewayContext.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayContext.java
@@ -13,20 +13,20 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * What the parts of the gateway share. Immutable; its parts say how they may be used.
+ * Objects that the classes of the gateway share. Immutable; each component documents how it may be used.
  *
- * @param settingsInForce the settings as last read
- * @param processStart tells this process from earlier ones of the same host
- * @param loop the control thread
- * @param http the HTTP client
- * @param peers the peer client
- * @param store the key-value store
- * @param dialects how the outside spells what the system understands
- * @param fleet the endpoints; for the control thread
- * @param core the decisions about routed requests; for the control thread
- * @param stop the planned stop
- * @param timeline the time line
- * @param metrics the metrics
+ * @param settingsInForce supplies the settings as last read
+ * @param processStart id that distinguishes this process from earlier ones of the same host
+ * @param loop control thread
+ * @param http HTTP client
+ * @param peers client for calls to other hosts
+ * @param store key-value store
+ * @param dialects translations of external formats
+ * @param fleet endpoints; for the control thread
+ * @param core decisions about routed requests; for the control thread
+ * @param stop planned stop
+ * @param timeline log of events
+ * @param metrics metrics
  */
 record GatewayContext(
         Supplier<GatewaySettings> settingsInForce,
@@ -41,7 +41,7 @@
         PlannedStop stop,
         Timeline timeline,
         GatewayMetrics metrics) {
-    /** The settings in force; a reload may change some of them. */
+    /** Returns the settings in force; a reload may change some of them. */
     GatewaySettings settings() {
         return settingsInForce.get();
     }
@@ -50,12 +50,12 @@
         return loop.nowNanos();
     }
 
-    /** Runs a callback of a future on the control thread. */
+    /** Runs a callback on the control thread when a future completes. */
     <T> void onLoop(CompletableFuture<T> future, Completion<T> completion) {
         future.whenComplete((result, failure) -> loop.execute(() -> completion.completed(result, failure)));
     }
 
-    /** What happens when a future ends: one of the two is null. */
+    /** Callback for the completion of a future: one of its two arguments is null. */
     @FunctionalInterface
     interface Completion<T> {
         void completed(T result, Throwable failure);
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMessages.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMessages.java
@@ -6,7 +6,7 @@
 import org.gooseberryhill.peer.GatewayMessage;
 import org.gooseberryhill.peer.PeerMessage;
 
-/** Answers what other gateways say. Entered from traffic threads, decides on the control thread. */
+/** Handles messages of other gateways. Called on traffic threads, decides on the control thread. */
 final class GatewayMessages {
     private final GatewayContext context;
     private final LoadExchange load;
@@ -18,7 +18,7 @@
     private final BatchTakeover takeover;
     private final RelayedStore store;
 
-    /** Handlers of messages. */
+    /** Creates a handler that dispatches messages to the given objects. */
     GatewayMessages(
             GatewayContext context,
             LoadExchange load,
@@ -40,7 +40,7 @@
         this.store = store;
     }
 
-    /** The reply to a message; from any thread. */
+    /** Handles a message and returns its reply; may be called from any thread. */
     CompletionStage<PeerMessage> handle(HostId from, PeerMessage message) {
         CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
         context.loop().execute(() -> dispatch(from, message, reply));
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
@@ -9,9 +9,12 @@
 import org.gooseberryhill.metrics.LabeledHistogram;
 import org.gooseberryhill.metrics.MetricSet;
 
-/** The metrics of one gateway; names and labels are in docs/OPERATIONS.md. Thread-safe. */
+/** Metrics of one gateway; their names and labels are documented in docs/OPERATIONS.md. Thread-safe. */
 final class GatewayMetrics {
-    /** Values of a label that are told apart; a configuration may grow by hundreds of routes, and endpoints come and go. */
+    /**
+     * Maximum number of distinct values of a label, since a configuration may grow by hundreds of routes, and endpoints
+     * come and go.
+     */
     private static final int MAX_LABEL_VALUES = 64;
 
     private static final String OTHER = "other";
@@ -32,12 +35,12 @@
     private final LabeledCounter items =
             metrics.counter("gooseberry_item_runs", "Runs of items of request batches by their end", "end");
 
-    /** All metrics, as they are read. */
+    /** Returns all metrics for export. */
     MetricSet all() {
         return metrics;
     }
 
-    /** Adds a value that is read when the metrics are. */
+    /** Adds a gauge whose value is read when the metrics are read. */
     void gauge(String name, String help, DoubleSupplier value) {
         metrics.gauge(name, help, value);
     }
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -45,36 +45,36 @@
 /**
  * The program {@code gooseberry-gateway}. Thread-safe.
  *
- * <p>Invariant: control state lives on the control thread; one traffic thread carries all connections, since the hosts
- * have one core.
+ * <p>Invariant: control state is confined to the control thread; one traffic thread serves all connections, since the
+ * hosts have one core.
  */
 public final class GatewayProcess implements Closeable {
     private static final int TRAFFIC_THREADS = 1;
     private static final long TICK_MILLIS = 25;
 
-    /** For what is counted in tenths of a second: hosts that are lost, endpoints that are tried again. */
+    /** Period of work that is due within tenths of a second: detecting lost hosts, probing endpoints. */
     private static final long SLOW_TICK_MILLIS = 100;
 
     private static final long BEAT_MILLIS = 1000;
 
     /**
-     * Between looks through the records of batches, each a call of every host. A host that is lost brings a look of its
-     * own; this one finds what no event tells: a write that was done after its answer was lost.
+     * Period of the scans of batch records, each of which is a store call of every host. The loss of a host triggers a scan
+     * of its own; the periodic scan finds what no event reports: a write that was applied although its answer was lost.
      */
     private static final long LOOK_MILLIS = 4000;
 
     /**
-     * How long all requests are taken in and connections that wait are kept after a stop was asked for: the balancer asks
-     * each second and takes a host out after two answers. Half of the stop's bound if that is shorter.
+     * Time after a stop request during which all requests are accepted and idle connections are kept: the balancer polls
+     * each second and removes a host after two answers. Half of the stop's time limit if that is shorter.
      */
     private static final long STOP_GRACE_MILLIS = 2600;
 
     private static final long GROUP_SHUTDOWN_MILLIS = 100;
 
-    /** How long a line of the ordinary course may wait for others: a host that is lost loses no more of them. */
+    /** Maximum time that a routine log line is buffered: a lost host loses the lines of this period at most. */
     private static final long LOG_FLUSH_MILLIS = 250;
 
-    /** How long a request that crashed endpoints stays apart. */
+    /** Time for which a request that crashed endpoints is remembered and isolated. */
     private static final long SUSPECT_MEMORY_MILLIS = 60_000;
 
     private static final int MAX_SUSPECTS = 10_000;
@@ -116,7 +116,7 @@
     private Optional<MetricsServer> metricsServer = Optional.empty();
     private volatile RouteTable table = RouteTable.EMPTY;
 
-    /** A process that is not started yet; the store is made with the process's own HTTP client. */
+    /** Creates a process that is not started yet; the factory creates the store with the HTTP client of the process. */
     public GatewayProcess(GatewaySettings settings, Dialects dialects, KeyValueStoreFactory storeFactory, long seed) {
         this.settings = settings;
         Random random = new Random(seed);
@@ -172,14 +172,14 @@
         this.router = new FrontRouter(context, traffic, intake, desk, gate, random);
     }
 
-    /** Starts serving at the addresses of its settings. */
+    /** Starts serving at the addresses in the settings. */
     public void start() {
         start(ListeningSocket.open(settings.callersAddress()));
     }
 
-    /** Starts serving, callers at a socket that listens already. */
+    /** Starts serving, with callers at a socket that is already listening. */
     public void start(ListeningSocket callers) {
-        // The store is asked first: its answers come while the rest of the start takes its time.
+        // The store is queried first, so that its answers arrive during the rest of the start.
         context.loop().execute(this::begin);
         peerServer = Optional.of(new PeerServer(
                 group,
@@ -201,8 +201,8 @@
     }
 
     /**
-     * Takes in settings that were read again; from any thread. Identity and addresses stay those of the start, since peers
-     * and callers know them: a change of these is told and waits for the next start.
+     * Applies reloaded settings; may be called from any thread. Identity and addresses stay as they were at the start, since
+     * peers and callers know them: a change of these is logged and takes effect at the next start.
      */
     public void reload(GatewaySettings newSettings) {
         context.loop().execute(() -> {
@@ -217,7 +217,7 @@
         });
     }
 
-    /** Settings that were read again can't be used; those in force stay. From any thread. */
+    /** Logs that reloaded settings are invalid; the settings in force stay. May be called from any thread. */
     public void rejectSettings(String finding) {
         context.timeline()
                 .event(EventKind.SETTINGS_REJECTED)
@@ -225,20 +225,20 @@
                 .write();
     }
 
-    /** Asks for the planned stop, whose time begins now; from any thread, any number of times. */
+    /** Requests the planned stop, whose time limit starts now; may be called from any thread and repeatedly. */
     public void askStop() {
         long askedNanos = context.nowNanos();
         context.loop().execute(() -> stop.ask(askedNanos));
     }
 
-    /** Completes when the planned stop is over. */
+    /** Returns a future that completes when the planned stop is over. */
     public CompletableFuture<Void> ended() {
         return stop.ended();
     }
 
-    /** Writes what the log still holds, in a time in milliseconds at the most. */
-    public void finishLog(long millis) {
-        log.finish(millis);
+    /** Writes the buffered log lines, within a timeout in milliseconds. */
+    public void finishLog(long timeoutMillis) {
+        log.finish(timeoutMillis);
     }
 
     @Override
@@ -282,7 +282,7 @@
         context.loop().every(BEAT_MILLIS, trafficDelay::measure);
         context.loop().every(LOG_FLUSH_MILLIS, log::flush);
         context.loop().every(LOOK_MILLIS, () -> takeover.look(true));
-        // What an earlier process of this host left behind waits for nobody else.
+        // Batches that an earlier process of this host owned can be taken over without waiting for other hosts.
         takeover.look(false);
     }
 
@@ -316,8 +316,8 @@
     }
 
     private void updateReadiness() {
-        boolean knowsEnough = views.areKnown() && !table.configuration().isEmpty();
-        readiness.update(knowsEnough, context.stop().phase() != PlannedStop.Phase.SERVING);
+        boolean canRoute = views.areKnown() && !table.configuration().isEmpty();
+        readiness.update(canRoute, context.stop().phase() != PlannedStop.Phase.SERVING);
     }
 
     private void loadChanged() {
@@ -346,7 +346,7 @@
         runner.balance();
     }
 
-    /** From any thread. */
+    /** Logs that the store was lost or regained; may be called from any thread. */
     private void storeReachChanged(boolean reached, String reason) {
         context.timeline()
                 .event(reached ? EventKind.STORE_REGAINED : EventKind.STORE_LOST)
@@ -354,7 +354,7 @@
                 .write();
     }
 
-    /** Has another host call the store; from any thread. */
+    /** Asks another host to call the store; may be called from any thread. */
     private CompletableFuture<PeerMessage> askHelpers(GatewayMessage.StoreCall call, long timeoutMillis) {
         return helpers.ask(call, timeoutMillis);
     }
--- a/src/main/java/org/gooseberryhill/gateway/GatewaySettings.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewaySettings.java
@@ -8,15 +8,15 @@
 /**
  * Settings of the gateway program. Immutable.
  *
- * @param self its identity, role, availability zone and peer address
- * @param callersAddress where callers are served
- * @param readinessAddress where the balancer asks whether this host takes new connections
- * @param metricsAddress where metrics are served, if anywhere
- * @param seeds peer addresses of some hosts, this one or lost ones perhaps among them
- * @param stopBoundMillis after which a planned stop ends even with requests in progress
- * @param storeTimeoutMillis how long a call to the key-value store may take
- * @param resultRetentionMillis how long a finished batch is kept
- * @param submissionCopies on how many hosts' disks a submission outlasts all losses that are to be borne
+ * @param self identity, role, availability zone and peer address of this host
+ * @param callersAddress address at which callers are served
+ * @param readinessAddress address at which the balancer checks whether this host accepts new connections
+ * @param metricsAddress address at which metrics are served, if any
+ * @param seeds peer addresses of some hosts, which may include this host and lost ones
+ * @param stopBoundMillis time after which a planned stop ends even with requests in progress
+ * @param storeTimeoutMillis timeout of a call to the key-value store
+ * @param resultRetentionMillis time for which a finished batch is kept
+ * @param submissionCopies number of hosts that must store a submission on disk for it to survive all tolerated losses
  */
 public record GatewaySettings(
         Host self,
@@ -28,7 +28,7 @@
         int storeTimeoutMillis,
         long resultRetentionMillis,
         int submissionCopies) {
-    /** These settings with what may change while the process runs taken from newer ones. */
+    /** Returns these settings, with the values that may change while the process runs taken from newer ones. */
     GatewaySettings reloaded(GatewaySettings newer) {
         return new GatewaySettings(
                 self,
--- a/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
@@ -10,12 +10,12 @@
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.link.Json;
 
-/** What all requests of this host share: how many are in progress, and how a refusal looks. For the control thread. */
+/** State that all requests of this host share, and the format of refusals. For the control thread unless stated otherwise. */
 final class GatewayTraffic {
-    /** Another host takes it at once. */
+    /** Short, since another host accepts the request at once. */
     private static final long STOPPING_RETRY_AFTER_MILLIS = 10;
 
-    /** The refusal of what comes so late in a stop that it might be cut. */
+    /** Refusal of a request that arrives so late in a stop that it might be cut off. */
     static final Refusal STOPPING =
             Refusal.notRun(ErrorCode.STOPPING, "this host is about to end", STOPPING_RETRY_AFTER_MILLIS);
 
@@ -29,10 +29,10 @@
     private long configurationVersion;
 
     /**
-     * Nothing in progress yet.
+     * Creates the state of a host with no request in progress.
      *
-     * @param onLoadChange what this host has in flight has changed
-     * @param directoryAgeMillis how old the list of endpoints may be
+     * @param onLoadChange runs when this host's requests in flight at endpoints have changed
+     * @param directoryAgeMillis supplies the maximum age of the list of endpoints
      */
     GatewayTraffic(
             GatewayContext context, CrashTracking crashes, Runnable onLoadChange, LongSupplier directoryAgeMillis) {
@@ -42,7 +42,7 @@
         this.directoryAgeMillis = directoryAgeMillis;
     }
 
-    /** A configuration came into force. */
+    /** Records the version of a configuration that came into force. */
     void configured(long version) {
         configurationVersion = version;
     }
@@ -75,12 +75,12 @@
         inProgress--;
     }
 
-    /** What this host has in flight at endpoints has changed. */
+    /** Reports that this host's requests in flight at endpoints have changed. */
     void loadChanged() {
         onLoadChange.run();
     }
 
-    /** Gives a caller its refusal; from any thread. */
+    /** Sends a refusal to a caller; may be called from any thread. */
     void refuse(HttpCall call, String requestId, Refusal refusal) {
         Map<String, String> headers = new HashMap<>();
         headers.put("content-type", "application/json");
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -24,16 +24,18 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * What a gateway follows in the key-value store: endpoints, what operators write, live hosts. Used by the control thread
- * only.
+ * Follows endpoints, operator entries and live hosts in the key-value store. Used by the control thread only.
  */
 final class GatewayViews {
-    /** The store answers in milliseconds; later than this a starting host asks the seeds as well. */
+    /** The store answers in milliseconds; a starting host without an answer after this time queries the seeds as well. */
     private static final long SEED_MILLIS = 400;
 
     private static final long ASK_MILLIS = 700;
 
-    /** A host's place among the live ones changes when one comes or goes: a question more or less in this time. */
+    /**
+     * Period of the updates of this host's rank, which changes when a host joins or leaves. An outdated rank costs a query
+     * too many or too few in this period.
+     */
     private static final long RANK_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final GatewayContext context;
@@ -72,13 +74,13 @@
         this.hosts = new ViewKeeper(context, links, StoredKeys.HOSTS, ViewPace.HOSTS, this::hostsChanged);
     }
 
-    /** Begins to follow. */
+    /** Starts to follow the store. */
     void start() {
         tick();
         context.loop().after(SEED_MILLIS, this::askSeeds);
     }
 
-    /** Asks the store for what has changed, where it is this host's turn; called often. */
+    /** Queries the store for changes where it is this host's turn; called periodically. */
     void tick() {
         long nowNanos = context.nowNanos();
         if (nowNanos - rankedNanos >= RANK_NANOS) {
@@ -90,17 +92,17 @@
         hosts.tick(rank);
     }
 
-    /** Whether endpoints and what operators wrote are known. */
+    /** Returns whether the endpoints and the operator entries are known. */
     boolean areKnown() {
         return operators.isKnown() && registrations.isKnown();
     }
 
-    /** How old the list of endpoints may be. */
+    /** Returns the maximum age of the list of endpoints. */
     long directoryAgeMillis() {
         return registrations.ageMillis();
     }
 
-    /** Another host passed changes on. */
+    /** Applies changes that another host forwarded; requests a listing from that host if earlier changes are missing. */
     void passedOn(HostId from, GatewayMessage.ViewChanges changes) {
         keeper(changes.prefix()).ifPresent(keeper -> {
             if (!keeper.passedOn(changes)) {
@@ -109,20 +111,20 @@
         });
     }
 
-    /** All that this host knows under a prefix. */
+    /** Returns all entries that this host knows under a prefix. */
     Optional<GatewayMessage.ViewListing> listing(String prefix) {
         return keeper(prefix).map(ViewKeeper::listing);
     }
 
-    /** This host's place among the live ones, by which they take turns. */
+    /** Returns this host's position among the live ones, which determines whose turn it is to query the store. */
     private int rankNow() {
         TreeSet<HostId> live = new TreeSet<>();
         links.gateways().forEach(host -> live.add(host.id()));
         return live.headSet(context.settings().self().id()).size();
     }
 
-    private void endpointsChanged(List<KeyChange> news) {
-        if (registered.take(news)) {
+    private void endpointsChanged(List<KeyChange> changes) {
+        if (registered.take(changes)) {
             Collection<EndpointEntry> entries = registered.entries();
             tellDirectoryChanges(entries);
             context.fleet().directory(entries);
@@ -161,8 +163,8 @@
         return leaving ? "leaving" : "ready";
     }
 
-    private void operatorsWrote(List<KeyChange> news) {
-        for (KeyChange entry : news) {
+    private void operatorsWrote(List<KeyChange> changes) {
+        for (KeyChange entry : changes) {
             context.dialects()
                     .operators()
                     .evacuatedHost(entry)
@@ -179,7 +181,7 @@
         }
     }
 
-    private void hostsChanged(List<KeyChange> news) {
+    private void hostsChanged(List<KeyChange> changes) {
         List<ListedHost> live = new ArrayList<>();
         for (KeyChange entry : hosts.view().entries()) {
             StoredForms.readHost(entry.value().orElseThrow()).onSuccess(live::add);
@@ -187,7 +189,7 @@
         links.listed(live);
     }
 
-    /** A host that starts while the store is out learns from the seeds what they know. */
+    /** Queries the seeds for unknown views, so that a host can start while the store is unavailable. */
     private void askSeeds() {
         for (ViewKeeper keeper : List.of(hosts, operators, registrations)) {
             if (!keeper.isKnown()) {
@@ -200,8 +202,8 @@
     }
 
     private void askListing(Address address, ViewKeeper keeper) {
-        GatewayMessage question = new GatewayMessage.ViewAsk(keeper.prefix());
-        context.onLoop(context.peers().ask(address, PeerLane.CONTROL, question, ASK_MILLIS), (reply, failure) -> {
+        GatewayMessage request = new GatewayMessage.ViewAsk(keeper.prefix());
+        context.onLoop(context.peers().ask(address, PeerLane.CONTROL, request, ASK_MILLIS), (reply, failure) -> {
             if (reply instanceof GatewayMessage.ViewListing listing) {
                 keeper.listed(listing);
             }
--- a/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
+++ b/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
@@ -7,13 +7,13 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Tells the other gateways what this host has in flight at endpoints, and takes in what they have. For the control thread.
+ * Exchanges reports of the requests in flight at endpoints with the other gateways. For the control thread.
  *
- * <p>A change is told within some tens of milliseconds, several of them together; all is told again each second, which also shows that
- * the host lives.
+ * <p>Changes are reported within some tens of milliseconds, several of them together; the report is repeated each second,
+ * which also shows that the host is alive.
  */
 final class LoadExchange {
-    /** Changes within this time go out together; meanwhile a service of some hundred requests a second gets a few. */
+    /** Changes within this time are sent together; a service with some hundred requests per second gets a few meanwhile. */
     private static final long GATHER_MILLIS = 25;
 
     private final GatewayContext context;
@@ -27,7 +27,7 @@
         this.reach = reach;
     }
 
-    /** What this host has in flight has changed. */
+    /** Schedules a report after a change of this host's requests in flight. */
     void changed() {
         if (scheduled) {
             return;
@@ -39,7 +39,7 @@
         });
     }
 
-    /** Tells all, asks for a sign of life, and forgets hosts that gave none. */
+    /** Sends a report to all gateways, whose replies show that they are alive, and removes hosts that are silent. */
     void beat() {
         PeerMessage report = report();
         links.gateways()
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Another host's report came. */
+    /** Records the report of another host. */
     void heard(HostId from, GatewayMessage.InFlightReport report) {
         links.heard(from, report);
         context.fleet().reported(from, report.inFlight(), context.nowNanos());
--- a/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
+++ b/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
@@ -17,9 +17,9 @@
 import org.gooseberryhill.peer.PeerLane;
 import org.gooseberryhill.peer.PeerMessage;
 
-/** The other hosts, by the roster of those that live, and messages to them. Used by the control thread only. */
+/** Keeps the roster of live hosts and sends messages to them. Used by the control thread only. */
 final class PeerLinks {
-    /** How long a reply may take: many trips between zones, less than any bound that hangs on it. */
+    /** Timeout of a reply: many round trips between availability zones, but less than any time limit that depends on it. */
     private static final long ASK_TIMEOUT_MILLIS = 700;
 
     private final GatewayContext context;
@@ -30,48 +30,48 @@
         this.roster = new HostRoster(context.settings().self().id(), context.processStart());
     }
 
-    /** Takes in the list of live hosts. */
+    /** Updates the list of live hosts. */
     void listed(Collection<ListedHost> live) {
         roster.listed(live, context.nowNanos());
     }
 
-    /** A host's report came. */
+    /** Records the report of a host. */
     void heard(HostId from, GatewayMessage.InFlightReport report) {
         HostSign sign = new HostSign(report.processStart(), report.leaving(), report.storeReached());
         roster.heard(from, sign, context.nowNanos());
     }
 
-    /** A host answered. */
+    /** Records that a host answered. */
     void answered(HostId from) {
         roster.answered(from, context.nowNanos());
     }
 
-    /** The hosts that have been silent for too long, each named once. */
+    /** Returns the hosts that have been silent for too long, each only once. */
     List<HostId> takeSilent() {
         return roster.takeSilent(context.nowNanos());
     }
 
-    /** The process of each host, this one too, that is known to live now, by host. */
+    /** Returns the process start ids of all hosts that are known to be alive, including this one, by host. */
     Map<String, String> liveStarts() {
         return roster.liveStarts(context.nowNanos());
     }
 
-    /** The other hosts that serve callers. */
+    /** Returns the other hosts that serve callers. */
     List<Host> gateways() {
         return roster.gateways(context.nowNanos());
     }
 
-    /** The hosts with a disk. */
+    /** Returns the hosts with a disk. */
     List<Host> stores() {
         return roster.stores();
     }
 
-    /** The other gateways that were heard lately and are not stopping. */
+    /** Returns the other gateways that reported recently and are not stopping. */
     List<Host> staying() {
         return roster.staying(context.nowNanos());
     }
 
-    /** The other gateways that reach the key-value store. */
+    /** Returns the other gateways that reach the key-value store. */
     List<Host> reachingStore() {
         return roster.reachingStore(context.nowNanos());
     }
@@ -80,11 +80,11 @@
         return roster.find(id, context.nowNanos());
     }
 
-    /** Whether this host is the one of those that stay which a matter falls to, by rendezvous hashing. */
-    boolean isChosen(String matter) {
+    /** Returns whether rendezvous hashing assigns a key to this host, among the gateways that are not stopping. */
+    boolean isChosen(String key) {
         List<Host> hosts = new ArrayList<>(staying());
         hosts.add(context.settings().self());
-        return Ownership.rank(matter, hosts)
+        return Ownership.rank(key, hosts)
                 .get(0)
                 .id()
                 .equals(context.settings().self().id());
@@ -98,7 +98,7 @@
         return context.peers().ask(host.address(), PeerLane.CONTROL, message, timeoutMillis);
     }
 
-    /** Tells all gateways; whoever does not get it learns it in another way. */
+    /** Posts a message to all other gateways; one that does not receive it learns of its content in another way. */
     void tellAll(PeerMessage message) {
         List<Address> addresses = new ArrayList<>();
         gateways().forEach(host -> addresses.add(host.address()));
--- a/src/main/java/org/gooseberryhill/gateway/Readiness.java
+++ b/src/main/java/org/gooseberryhill/gateway/Readiness.java
@@ -7,9 +7,9 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Whether the balancer may send new connections to this host. For the control thread, where it does not say otherwise.
+ * Tracks whether the balancer may send new connections to this host. For the control thread unless stated otherwise.
  *
- * <p>Invariant: a host that stops is never ready again.
+ * <p>Invariant: a host that is stopping never becomes ready again.
  */
 final class Readiness {
     private static final int MAX_BODY_BYTES = 1024;
@@ -20,21 +20,21 @@
     private final StartGate gate;
     private volatile boolean ready;
 
-    /** A host that is not ready yet. */
+    /** Creates the readiness of a host that is not ready yet. */
     Readiness(GatewayContext context, StartGate gate) {
         this.context = context;
         this.gate = gate;
     }
 
     /**
-     * Takes in what the host knows; called often.
+     * Updates the readiness; called periodically.
      *
-     * @param knowsEnough whether it can route requests
-     * @param stopping whether a stop was asked for
+     * @param canRoute whether the host knows enough to route requests
+     * @param stopping whether a stop was requested
      */
-    void update(boolean knowsEnough, boolean stopping) {
+    void update(boolean canRoute, boolean stopping) {
         gate.tick(context.nowNanos());
-        boolean nowReady = knowsEnough && !stopping;
+        boolean nowReady = canRoute && !stopping;
         if (nowReady) {
             gate.open();
         }
@@ -49,7 +49,7 @@
                 .write();
     }
 
-    /** Answers the balancer; from any thread. */
+    /** Answers a readiness check of the balancer; may be called from any thread. */
     HttpBody answer(HttpCall call) {
         return new WholeBody(
                 MAX_BODY_BYTES,
--- a/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
+++ b/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
@@ -12,10 +12,10 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * The endpoints that registrations name. For the control thread.
+ * Endpoints that are registered in the key-value store. For the control thread.
  *
- * <p>Endpoints write their registration about once a second only to show that they live: each is read once, and most of
- * them change nothing. One that can't be read names no endpoint, and is told once.
+ * <p>Endpoints write their registration about once a second just to show that they are alive: each write is parsed once,
+ * and most of them change nothing. An invalid registration names no endpoint, and is logged once.
  */
 final class RegisteredEndpoints {
     private final DirectoryDialect dialect;
@@ -27,16 +27,16 @@
         this.timeline = timeline;
     }
 
-    /** Takes in registrations that were written or deleted; returns whether that changes what is known of an endpoint. */
-    boolean take(List<KeyChange> news) {
+    /** Applies written and deleted registrations; returns whether they change anything known about an endpoint. */
+    boolean take(List<KeyChange> changes) {
         boolean changed = false;
-        for (KeyChange registration : news) {
+        for (KeyChange registration : changes) {
             changed |= take(registration);
         }
         return changed;
     }
 
-    /** All endpoints, in the order of their registrations' keys. */
+    /** Returns all endpoints, ordered by the keys of their registrations. */
     Collection<EndpointEntry> entries() {
         return List.copyOf(byKey.values());
     }
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -27,25 +27,25 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * One routed request on its way through this host. Decisions run on the control thread, answers on traffic threads.
+ * Handles one routed request. Decisions run on the control thread, answers on traffic threads.
  *
- * <p>Invariant: the caller gets one final answer; a caller that goes away, or a time that is over, cancels the attempt at
- * once, so that no endpoint works for nobody.
+ * <p>Invariant: the caller gets one final answer; a disconnect of the caller or the end of the request's time cancels the
+ * attempt at once, so that no endpoint works for a caller that no longer waits.
  */
 final class RoutedCall {
-    /** How a request is called in logs and metrics that got an endpoint's answer. */
+    /** End of a request in logs and metrics if the caller got an endpoint's answer. */
     private static final String ANSWERED = "answered";
 
-    /** A connection that has been idle for longer may be closing: what may not be repeated takes a new one. */
+    /** A connection that has been idle for longer may be closing: a request that is not repeatable takes a new one. */
     private static final int MAX_IDLE_MILLIS_UNREPEATABLE = 1500;
 
-    /** Making a connection within a region takes milliseconds; what takes longer is lost. */
+    /** Connecting within a region takes milliseconds; an attempt that takes longer counts as lost. */
     private static final int CONNECT_MILLIS = 300;
 
-    /** A stream that may be resumed goes on elsewhere after this silence of its endpoint, if there is somewhere to go. */
+    /** A resumable stream fails over after its endpoint has been silent for this time, if another one can take it. */
     private static final long SILENCE_MILLIS = 700;
 
-    /** Before a silent stream looks for somewhere to go once more. */
+    /** Delay before another endpoint for a silent stream is looked up again. */
     private static final long SILENCE_AGAIN_MILLIS = 100;
 
     private final GatewayContext context;
@@ -77,17 +77,17 @@
         this.relay = new AnswerRelay(call, intake.route(), traits.lastEventId());
     }
 
-    /** Takes the request in; from any thread. */
+    /** Starts the request; may be called from any thread. */
     void begin() {
         context.loop().execute(this::start);
     }
 
-    /** Whether an answer says that its endpoint did not run the request. From any thread. */
+    /** Returns whether an answer states that its endpoint did not run the request. May be called from any thread. */
     boolean isNotRun(int status, HttpHeaders headers) {
         return context.dialects().traffic().isNotRun(status, headers);
     }
 
-    /** Whether an answer is the endpoint's own. From any thread. */
+    /** Returns whether the endpoint itself produced an answer. May be called from any thread. */
     boolean isGenuine(int status, HttpHeaders headers) {
         return context.dialects().traffic().isGenuine(status, headers);
     }
@@ -165,8 +165,8 @@
     }
 
     /**
-     * Silence alone ends no answer: the endpoint keeps the request unless another one may go on with it. What has arrived and
-     * is not read yet is no silence, which the exchange looks after before it ends.
+     * Fails a silent attempt if another endpoint may continue the request; silence alone does not end an answer. Bytes that
+     * have arrived but are not read yet do not count as silence, which the exchange checks before it fails.
      */
     private void lookForSilence(Exchange watched) {
         if (finished || exchange.filter(watched::equals).isEmpty()) {
@@ -210,7 +210,7 @@
                         .orElse(true));
     }
 
-    /** An attempt brought the whole answer and the caller has it. From any thread. */
+    /** Handles an attempt whose complete answer was sent to the caller. May be called from any thread. */
     void answered(long attempt, int status) {
         context.loop().execute(() -> {
             if (finished || attempt != attemptNumber) {
@@ -229,7 +229,7 @@
         });
     }
 
-    /** The caller has a part of the answer. From any thread. */
+    /** Records that the first part of the answer is sent to the caller. May be called from any thread. */
     void answerBegun() {
         context.metrics()
                 .firstByte(
@@ -238,8 +238,8 @@
     }
 
     /**
-     * An attempt ended otherwise; where no other follows, the caller gets the endpoint's own answer if there is one. From
-     * any thread.
+     * Handles an attempt that ended without a final answer; if no other attempt follows, the caller gets the endpoint's
+     * error answer if there is one. May be called from any thread.
      */
     void attemptFailed(long attempt, AttemptEnd end, String detail, Optional<WholeAnswer> answer) {
         context.loop().execute(() -> {
@@ -331,7 +331,7 @@
                 + "answer";
     }
 
-    /** How long the request may take, from its arrival here. */
+    /** Returns the time that the request may take from its arrival at this host. */
     private long allowedMillis() {
         return TimeUnit.NANOSECONDS.toMillis(
                 request.intake().deadlineNanos() - request.intake().arrivedNanos());
@@ -380,11 +380,11 @@
     }
 
     /**
-     * An endpoint's whole answer. Immutable but for its array, which is not changed.
+     * Complete answer of an endpoint. Immutable except for its array, which is not changed.
      *
-     * @param status the status
-     * @param headers the headers for the caller
-     * @param body the body
+     * @param status status code
+     * @param headers headers for the caller
+     * @param body body
      */
     record WholeAnswer(int status, Iterable<Map.Entry<String, String>> headers, byte[] body) {}
 }
--- a/src/main/java/org/gooseberryhill/gateway/StartGate.java
+++ b/src/main/java/org/gooseberryhill/gateway/StartGate.java
@@ -5,15 +5,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Holds requests that come while a starting host does not know its configuration yet. For the control thread, where it
- * does not say otherwise.
+ * Holds requests that arrive while a starting host does not know its configuration yet. For the control thread unless
+ * stated otherwise.
  *
- * <p>Failure: all hosts come back from a loss of power at once, and the first requests meet hosts that read their
- * configuration some hundred milliseconds later; refused, they came back too soon and were lost. A host that does not know
- * it after the first moments has a store that is out: then requests are refused at once, as nobody can tell how long.
+ * <p>Failure: all hosts restart at once after a power failure, and the first requests reach hosts that read their
+ * configuration some hundred milliseconds later; refused requests were retried too early and were lost. If the
+ * configuration is still unknown after the hold time, the store is unavailable: requests are then refused at once, since
+ * the duration of the outage is unknown.
  */
 final class StartGate {
-    /** Several times what a starting host takes to read the store. */
+    /** Several times the time that a starting host takes to read the store. */
     private static final long HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private final long startNanos;
@@ -24,12 +25,12 @@
         this.startNanos = startNanos;
     }
 
-    /** Whether the host knows enough to serve; from any thread. */
+    /** Returns whether the host knows enough to serve; may be called from any thread. */
     boolean isOpen() {
         return open;
     }
 
-    /** Runs an action now or when the host knows enough; false if the wait is over. */
+    /** Runs an action now or holds it until the host knows enough; returns false if the hold time is over. */
     boolean pass(Runnable action, long nowNanos) {
         if (open) {
             action.run();
@@ -42,7 +43,7 @@
         return true;
     }
 
-    /** The host knows enough to serve. */
+    /** Opens the gate and runs the held actions, when the host knows enough to serve. */
     void open() {
         if (!open) {
             open = true;
@@ -50,7 +51,7 @@
         }
     }
 
-    /** Lets those go that have waited long enough; they are refused, as the gate is closed still. */
+    /** Runs the held actions when the hold time is over; these requests are refused, since the gate is still closed. */
     void tick(long nowNanos) {
         if (!open && nowNanos - startNanos > HOLD_NANOS) {
             release();
--- a/src/main/java/org/gooseberryhill/gateway/StopSequence.java
+++ b/src/main/java/org/gooseberryhill/gateway/StopSequence.java
@@ -13,7 +13,7 @@
 final class StopSequence {
     private static final long CHECK_MILLIS = 25;
 
-    /** The end waits no longer for the host's key to be taken back: without that its lease runs out. */
+    /** Maximum time that the stop waits for the removal of the host's key; without it, the lease of the key expires. */
     private static final long RELEASE_MILLIS = 500;
 
     private final GatewayContext context;
@@ -26,10 +26,10 @@
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
 
     /**
-     * The stop of a gateway.
+     * Creates the stop sequence of a gateway.
      *
-     * @param callers what listens for callers, once the process has started
-     * @param onAsked tells the balancer and the other hosts
+     * @param callers supplies the server for callers, once the process has started
+     * @param onAsked notifies the balancer and the other hosts
      */
     StopSequence(
             GatewayContext context,
@@ -48,7 +48,7 @@
         this.onAsked = onAsked;
     }
 
-    /** Begins the stop that was asked for at a moment; a second time changes nothing. */
+    /** Starts the stop that was requested at the given time; a second call changes nothing. */
     void ask(long askedNanos) {
         if (context.stop().phase() != PlannedStop.Phase.SERVING) {
             return;
@@ -68,7 +68,7 @@
         context.loop().every(CHECK_MILLIS, this::advance);
     }
 
-    /** Completes when the stop is over. */
+    /** Returns a future that completes when the stop is over. */
     CompletableFuture<Void> ended() {
         return ended;
     }
--- a/src/main/java/org/gooseberryhill/gateway/TrafficDelay.java
+++ b/src/main/java/org/gooseberryhill/gateway/TrafficDelay.java
@@ -6,9 +6,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Notices that the traffic thread is late: requests wait in connections that nobody reads. Thread-safe.
+ * Detects that the traffic thread is late, so that requests wait in connections that are not read. Thread-safe.
  *
- * <p>Invariant: one measurement at a time, so that a traffic thread which stands still gets no more work by it.
+ * <p>Invariant: one measurement is pending at a time, so that measurements add no further work to a blocked thread.
  */
 final class TrafficDelay {
     private final Executor traffic;
@@ -17,9 +17,9 @@
     private volatile boolean measuring;
 
     /**
-     * A watch of the thread that carries all connections.
+     * Creates a detector for the thread that serves all connections.
      *
-     * @param onDelay gets by how many milliseconds a task was late; on the traffic thread
+     * @param onDelay receives the delay of a task in milliseconds; called on the traffic thread
      */
     TrafficDelay(Executor traffic, LongSupplier nowNanos, LongConsumer onDelay) {
         this.traffic = traffic;
@@ -27,15 +27,15 @@
         this.onDelay = onDelay;
     }
 
-    /** Measures once. */
+    /** Starts a measurement unless one is pending. */
     void measure() {
         if (measuring) {
             return;
         }
         measuring = true;
-        long askedNanos = nowNanos.getAsLong();
+        long submittedNanos = nowNanos.getAsLong();
         traffic.execute(() -> {
-            long lateMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos.getAsLong() - askedNanos);
+            long lateMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos.getAsLong() - submittedNanos);
             measuring = false;
             if (lateMillis >= DelayWatch.NOTICED_MILLIS) {
                 onDelay.accept(lateMillis);
--- a/src/main/java/org/gooseberryhill/gateway/ViewKeeper.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewKeeper.java
@@ -13,15 +13,15 @@
 import org.gooseberryhill.view.KeyView;
 
 /**
- * Keeps a view of one prefix up to date, from the store and from what other hosts read there. Used by the control thread
- * only.
+ * Keeps the view of one key prefix up to date, from the store and from what other hosts read there. Used by the control
+ * thread only.
  *
- * <p>Each call of the store has its price, and all hosts want the same changes: the host whose turn it is asks and tells
- * the others; the rest ask only when the view has become older than their own, longer patience. No host is chosen for it,
- * so none is missed when it is lost.
+ * <p>Each store call has a cost, and all hosts need the same changes: the host whose turn it is queries the store and
+ * forwards the changes; the others query only when their view exceeds their own, larger maximum age. No host is elected
+ * for this, so that updates continue when any host is lost.
  */
 final class ViewKeeper {
-    /** A failed question is not repeated sooner: refused calls have their price too. */
+    /** A failed query is not repeated sooner, since refused calls have a cost too. */
     private static final long RETRY_MILLIS = 300;
 
     private final GatewayContext context;
@@ -35,12 +35,16 @@
     private long notBeforeNanos;
 
     ViewKeeper(
-            GatewayContext context, PeerLinks links, String prefix, ViewPace pace, Consumer<List<KeyChange>> onNews) {
+            GatewayContext context,
+            PeerLinks links,
+            String prefix,
+            ViewPace refreshPolicy,
+            Consumer<List<KeyChange>> onChanges) {
         this.context = context;
         this.links = links;
         this.prefix = prefix;
-        this.pace = pace;
-        this.onNews = onNews;
+        this.pace = refreshPolicy;
+        this.onNews = onChanges;
         this.freshNanos = context.nowNanos() - TimeUnit.HOURS.toNanos(1);
         this.notBeforeNanos = context.nowNanos();
     }
@@ -53,7 +57,7 @@
         return view;
     }
 
-    /** How old the view may be at the most, in milliseconds. */
+    /** Returns the maximum age of the view in milliseconds. */
     long ageMillis() {
         return TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - freshNanos);
     }
@@ -62,7 +66,7 @@
         return view.revision() > 0;
     }
 
-    /** Asks the store if it is this host's turn; the rank is this host's place among the live ones. */
+    /** Queries the store if it is this host's turn; the rank is this host's position among the live ones. */
     void tick(int rank) {
         if (asking || context.nowNanos() - notBeforeNanos < 0) {
             return;
@@ -75,17 +79,18 @@
     }
 
     /**
-     * Another host passed changes on. Returns false if this one lacks what came before them: then only all that the other
-     * knows helps.
+     * Applies changes that another host forwarded. Returns false if this host lacks the changes before them; it then needs
+     * a listing of all entries that the other host knows.
      */
     boolean passedOn(GatewayMessage.ViewChanges changes) {
-        Optional<List<KeyChange>> news = view.advance(changes.fromRevision(), changes.toRevision(), changes.changes());
-        news.ifPresent(
+        Optional<List<KeyChange>> newChanges =
+                view.advance(changes.fromRevision(), changes.toRevision(), changes.changes());
+        newChanges.ifPresent(
                 found -> refreshed(context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(changes.ageMillis()), found));
-        return news.isPresent();
+        return newChanges.isPresent();
     }
 
-    /** Another host told all that it knows. */
+    /** Applies a listing of all entries that another host knows. */
     void listed(GatewayMessage.ViewListing listing) {
         if (listing.revision() > 0) {
             long readNanos = context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(listing.ageMillis());
@@ -93,34 +98,34 @@
         }
     }
 
-    /** All that this host knows, for another one. */
+    /** Returns a listing of all entries that this host knows, for another host. */
     GatewayMessage.ViewListing listing() {
         return new GatewayMessage.ViewListing(prefix, view.revision(), view.entries(), ageMillis());
     }
 
     private void list() {
         asking = true;
-        long askedNanos = context.nowNanos();
+        long sentNanos = context.nowNanos();
         context.onLoop(context.store().list(prefix, false), (listing, failure) -> {
             asking = false;
             if (failure != null) {
                 failed(failure);
                 return;
             }
-            take(listing, askedNanos);
+            take(listing, sentNanos);
         });
     }
 
-    private void take(KeyValueStore.Listing listing, long askedNanos) {
+    private void take(KeyValueStore.Listing listing, long sentNanos) {
         long before = view.revision();
-        List<KeyChange> news = view.replace(listing.revision(), listing.entries());
+        List<KeyChange> newChanges = view.replace(listing.revision(), listing.entries());
         context.timeline()
                 .event(EventKind.VIEW_LISTED)
                 .with("prefix", prefix)
                 .with("revision", listing.revision())
                 .with("before", before)
                 .write();
-        refreshed(askedNanos, news);
+        refreshed(sentNanos, newChanges);
     }
 
     private void askChanges() {
@@ -137,15 +142,15 @@
     }
 
     private void take(long from, PollingKeyValueStore.Changes changes) {
-        // The store answers when something has changed or the wait is over: the answer is as new as its arrival.
+        // The store answers on a change or when the wait is over, so the answer is current as of its arrival.
         view.advance(from, changes.revision(), changes.changes())
-                .ifPresent(news -> refreshed(context.nowNanos(), news));
+                .ifPresent(newChanges -> refreshed(context.nowNanos(), newChanges));
         links.tellAll(new GatewayMessage.ViewChanges(prefix, from, changes.revision(), changes.changes(), 0));
     }
 
     private void changesFailed(Throwable failure) {
         if (ExternalServiceException.kindOf(failure) == ExternalServiceException.Kind.HISTORY_GONE) {
-            // What happened in between is lost: only a listing shows which keys have gone.
+            // The changes in between are no longer available: only a listing shows which keys were deleted.
             list();
             return;
         }
@@ -162,12 +167,12 @@
                 .write();
     }
 
-    private void refreshed(long readNanos, List<KeyChange> news) {
+    private void refreshed(long readNanos, List<KeyChange> newChanges) {
         if (readNanos - freshNanos > 0) {
             freshNanos = readNanos;
         }
-        if (!news.isEmpty()) {
-            onNews.accept(news);
+        if (!newChanges.isEmpty()) {
+            onNews.accept(newChanges);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/package-info.java
+++ b/src/main/java/org/gooseberryhill/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The program gooseberry-gateway: routes requests to registered endpoints and runs request batches beside them. */
+/** The program gooseberry-gateway: routes requests to registered endpoints and runs request batches alongside them. */
 package org.gooseberryhill.gateway;
--- a/src/main/java/org/gooseberryhill/registration/HostRegistration.java
+++ b/src/main/java/org/gooseberryhill/registration/HostRegistration.java
@@ -17,12 +17,13 @@
 /**
  * Keeps this host's key among those of the live hosts, under a lease. Used by the control thread only.
  *
- * <p>A host that is lost disappears by its lease; one whose lease lapsed in an outage is back with its next renewal.
+ * <p>The key of a lost host disappears when its lease expires; a host whose lease expired during an outage of the store is
+ * listed again with its next renewal.
  */
 public final class HostRegistration {
     /**
-     * Long enough to outlast a lost renewal and its repetition; batches of a lost host wait as long. A host whose lease
-     * lapses all the same is known to live by its reports, and takes a new one.
+     * Long enough to outlast a lost renewal and its retry; the batches of a lost host wait for as long. A host whose lease
+     * expires nevertheless is known to be alive by its reports, and requests a new lease.
      */
     private static final long LEASE_MILLIS = 4000;
 
@@ -37,9 +38,9 @@
     private boolean released;
 
     /**
-     * The key of a host.
+     * Creates the registration of a host.
      *
-     * @param self what the key says
+     * @param self supplies the value of the key
      */
     public HostRegistration(ControlLoop loop, KeyValueStore store, Timeline timeline, Supplier<ListedHost> self) {
         this.loop = loop;
@@ -48,12 +49,12 @@
         this.self = self;
     }
 
-    /** Begins to keep the key. */
+    /** Starts to keep the key. */
     public void start() {
         grant();
     }
 
-    /** Takes the key back at a planned stop, then runs the action. */
+    /** Removes the key at a planned stop by revoking its lease, then runs the action. */
     public void release(Runnable then) {
         released = true;
         if (lease.isEmpty()) {
--- a/src/main/java/org/gooseberryhill/registration/ProcessStarts.java
+++ b/src/main/java/org/gooseberryhill/registration/ProcessStarts.java
@@ -2,13 +2,13 @@
 
 import java.util.SplittableRandom;
 
-/** Names for the processes of a host, so that one can be told from those before it. Stateless. */
+/** Generates ids that distinguish the process of a host from earlier ones. Stateless. */
 public final class ProcessStarts {
     private ProcessStarts() {}
 
     /**
-     * A name that no earlier process of this host has, by time and chance. A UUID would do as well, but its secure random
-     * numbers take some of the time that callers wait for a host that starts again.
+     * Returns an id that no earlier process of this host has, built from the time and a random number. A UUID would also
+     * do, but generating its secure random numbers prolongs the time that callers wait for a restarting host.
      */
     public static String next() {
         return Long.toHexString(System.currentTimeMillis()) + "-" + Long.toHexString(new SplittableRandom().nextLong());
--- a/src/main/java/org/gooseberryhill/registration/package-info.java
+++ b/src/main/java/org/gooseberryhill/registration/package-info.java
@@ -1,2 +1,2 @@
-/** How a host tells the others that it lives. */
+/** Registers a host in the list of live hosts. */
 package org.gooseberryhill.registration;
--- a/src/main/java/org/gooseberryhill/route/ClientLimits.java
+++ b/src/main/java/org/gooseberryhill/route/ClientLimits.java
@@ -1,14 +1,14 @@
 package org.gooseberryhill.route;
 
 /**
- * Bounds of what a client may send and of how long it may take. Immutable.
+ * Limits on the size of client requests and on the time to send them. Immutable.
  *
- * @param maxHeaderBytes all headers of one request together
- * @param maxBodyBytes the body of one request
- * @param headerTimeoutMillis from the first byte of a request to the end of its headers
- * @param idleTimeoutMillis how long a connection may be kept without a request
+ * @param maxHeaderBytes maximum total size of the headers of one request
+ * @param maxBodyBytes maximum size of the body of one request
+ * @param headerTimeoutMillis maximum time from the first byte of a request to the end of its headers
+ * @param idleTimeoutMillis maximum time that a connection is kept open without a request
  */
 public record ClientLimits(int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMillis, int idleTimeoutMillis) {
-    /** In force until a configuration names others: small enough for the smallest host, large enough for a batch. */
+    /** Limits in force until a configuration sets others: small enough for the smallest host, large enough for a batch. */
     public static final ClientLimits DEFAULT = new ClientLimits(16_384, 4 * 1024 * 1024, 3_000, 15_000);
 }
--- a/src/main/java/org/gooseberryhill/route/EngineTraits.java
+++ b/src/main/java/org/gooseberryhill/route/EngineTraits.java
@@ -1,9 +1,9 @@
 package org.gooseberryhill.route;
 
 /**
- * What the endpoints of a model service have in common. Immutable.
+ * Properties that the endpoints of a model service have in common. Immutable.
  *
- * @param slots how many requests one endpoint runs at once
- * @param kvCapacityTokens the tokens that its memory holds, running and cached together
+ * @param slots number of requests that one endpoint runs concurrently
+ * @param kvCapacityTokens number of tokens that the memory of one endpoint holds, running and cached ones together
  */
 public record EngineTraits(int slots, long kvCapacityTokens) {}
--- a/src/main/java/org/gooseberryhill/route/Route.java
+++ b/src/main/java/org/gooseberryhill/route/Route.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * A route: the requests of one host whose path begins with a prefix, and what is promised for them. Immutable.
+ * Route for the requests to one host whose path begins with a prefix, with the targets promised to callers. Immutable.
  *
- * @param name names it in logs and metrics
- * @param host the value of the requests' host header
- * @param prefix begins and ends with a slash
- * @param kind what may be repeated
- * @param targets the services that share its requests; at least one
- * @param timeoutMillis the longest time that a request may be kept waiting
- * @param targetLatencyMillis within which an answer, or the first event of one, is on time
- * @param maxAttempts the most endpoints that may run one request
- * @param priority the rank among a service's routes; 0 is the most urgent
- * @param resumable whether another endpoint may continue a stream from an event
+ * @param name name of the route in logs and metrics
+ * @param host value of the Host header of the requests
+ * @param prefix path prefix; begins and ends with a slash
+ * @param kind whether requests may be repeated, and how they are answered
+ * @param targets services that share the requests; at least one
+ * @param timeoutMillis maximum time that a caller is kept waiting for an answer
+ * @param targetLatencyMillis time within which an answer, or its first event, counts as on time
+ * @param maxAttempts maximum number of endpoints that may run one request
+ * @param priority priority among the routes of a service; 0 is the most urgent
+ * @param resumable whether another endpoint may continue a stream after any event
  * @param promptAware whether requests name the parts of their prompt
- * @param eventGapTargetMillis the longest pause between two events of a stream that is on time; 0 if none is set
- * @param completionTargetMillis how long after its first submission a request batch is due; 0 for other kinds
- * @param retentionMillis how long after that submission an item may be given up; 0 for other kinds
+ * @param eventGapTargetMillis maximum pause between two events of a stream that counts as on time; 0 if none is set
+ * @param completionTargetMillis time after its first submission at which a request batch is due; 0 for other kinds
+ * @param retentionMillis time after that submission at which an item may be given up; 0 for other kinds
  */
 public record Route(
         String name,
@@ -35,12 +35,12 @@
         long eventGapTargetMillis,
         long completionTargetMillis,
         long retentionMillis) {
-    /** Whether a request may run more than once, as a whole or from an event on. */
+    /** Returns whether a request may run more than once, from its beginning or from an event on. */
     public boolean isRepeatable() {
         return kind == RouteKind.SAFE || kind == RouteKind.BATCH || (kind == RouteKind.STREAM && resumable);
     }
 
-    /** Whether a service is among the targets. */
+    /** Returns whether a service is among the targets. */
     public boolean mayReach(String service) {
         return targets.stream().anyMatch(target -> target.service().equals(service));
     }
--- a/src/main/java/org/gooseberryhill/route/RouteConfiguration.java
+++ b/src/main/java/org/gooseberryhill/route/RouteConfiguration.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 
 /**
- * All routes and services of one version. Immutable.
+ * All routes and services of one configuration version. Immutable.
  *
- * @param version grows with each configuration, in uneven steps; 0 for none
- * @param routes the routes
- * @param services the services by name
- * @param limits bounds for clients
+ * @param version version; increases with each configuration, by varying steps; 0 for the empty configuration
+ * @param routes routes
+ * @param services services by name
+ * @param limits limits for client requests
  */
 public record RouteConfiguration(
         long version, List<Route> routes, Map<String, ServiceTraits> services, ClientLimits limits) {
-    /** In force before the first configuration is known. */
+    /** Configuration in force before the first one is known. */
     public static final RouteConfiguration EMPTY = new RouteConfiguration(0, List.of(), Map.of(), ClientLimits.DEFAULT);
 
-    /** Whether there is none yet. */
+    /** Returns whether no configuration is known yet. */
     public boolean isEmpty() {
         return version == 0;
     }
--- a/src/main/java/org/gooseberryhill/route/RouteKind.java
+++ b/src/main/java/org/gooseberryhill/route/RouteKind.java
@@ -1,13 +1,13 @@
 package org.gooseberryhill.route;
 
-/** What may be repeated of a route's requests, and how they are answered. Immutable. */
+/** Whether the requests of a route may be repeated, and how they are answered. Immutable. */
 public enum RouteKind {
-    /** Whole answers; a request may run more than once. */
+    /** Complete answers; a request may run more than once. */
     SAFE,
-    /** Whole answers; a request may run at most once. */
+    /** Complete answers; a request may run at most once. */
     UNSAFE,
-    /** Answers that come event by event. */
+    /** Answers that are sent event by event. */
     STREAM,
-    /** Request batches that are taken in at once and run later. */
+    /** Request batches, which are accepted at once and run later. */
     BATCH
 }
--- a/src/main/java/org/gooseberryhill/route/RouteTable.java
+++ b/src/main/java/org/gooseberryhill/route/RouteTable.java
@@ -6,19 +6,19 @@
 import java.util.Optional;
 
 /**
- * Finds the route of a request: of those of its host, the one with the longest prefix. Immutable and thread-safe.
+ * Finds the route of a request: among the routes of its host, the one with the longest prefix. Immutable and thread-safe.
  *
- * <p>A look-up costs one hash for each slash in the path, whatever the number of routes: a configuration may grow by
- * hundreds of them and must not slow each request down.
+ * <p>A lookup takes one hash access per slash in the path, independent of the number of routes: a configuration may grow
+ * by hundreds of routes, which must not slow down each request.
  */
 public final class RouteTable {
-    /** The table of no configuration. */
+    /** Table of the empty configuration. */
     public static final RouteTable EMPTY = new RouteTable(RouteConfiguration.EMPTY);
 
     private final RouteConfiguration configuration;
     private final Map<String, Map<String, Route>> byHostAndPrefix = new HashMap<>();
 
-    /** The table of a configuration. */
+    /** Creates the table of a configuration. */
     public RouteTable(RouteConfiguration configuration) {
         this.configuration = configuration;
         for (Route route : configuration.routes()) {
@@ -28,12 +28,12 @@
         }
     }
 
-    /** The configuration that the table was made from. */
+    /** Returns the configuration from which this table was created. */
     public RouteConfiguration configuration() {
         return configuration;
     }
 
-    /** The route of a request; the target may carry a query, the host a port. */
+    /** Returns the route of a request; the target may contain a query, the host header a port. */
     public Optional<Route> find(String hostHeader, String target) {
         Map<String, Route> byPrefix = byHostAndPrefix.get(hostName(hostHeader));
         if (byPrefix == null) {
--- a/src/main/java/org/gooseberryhill/route/ServiceTraits.java
+++ b/src/main/java/org/gooseberryhill/route/ServiceTraits.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * A service that routes lead to. Immutable.
+ * Properties of a service that routes refer to. Immutable.
  *
- * @param name its name
- * @param healthPath the path at which an endpoint tells its health
- * @param maxConnections the most connections that one endpoint takes from all callers together
- * @param engine present for a model service
+ * @param name name of the service
+ * @param healthPath path at which an endpoint reports its health
+ * @param maxConnections maximum number of connections that one endpoint accepts from all callers together
+ * @param engine properties of the endpoints of a model service; empty for other services
  */
 public record ServiceTraits(String name, String healthPath, int maxConnections, Optional<EngineTraits> engine) {}
--- a/src/main/java/org/gooseberryhill/route/package-info.java
+++ b/src/main/java/org/gooseberryhill/route/package-info.java
@@ -1,2 +1,2 @@
-/** Routes: which requests a service takes, by host and path prefix, and what callers are promised on each. */
+/** Routes: which service handles a request, by host and path prefix, and the targets promised to callers. */
 package org.gooseberryhill.route;
--- a/src/test/java/org/gooseberryhill/gateway/DelayWatchTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/DelayWatchTest.java
@@ -26,7 +26,7 @@
         assertThat(tick(525, 525)).contains(new DelayWatch.Delay(500, 0));
     }
 
-    /** A host is suspended for three seconds: its steady clock does not count them, its time of day does. */
+    /** A host is suspended for three seconds: its monotonic clock does not count them, its wall clock does. */
     @Test
     void aSuspensionIsToldApart() {
         tick(0, 0);
@@ -34,7 +34,6 @@
         assertThat(tick(25, 3025)).contains(new DelayWatch.Delay(3000, 3000));
     }
 
-    /** The time of day is set back: that is no delay. */
     @Test
     void aClockThatIsSetBackIsNoDelay() {
         tick(0, 0);
--- a/src/test/java/org/gooseberryhill/gateway/StartGateTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/StartGateTest.java
@@ -12,7 +12,7 @@
     private final StartGate gate = new StartGate(startNanos);
     private final List<String> passed = new ArrayList<>();
 
-    /** Requests come 0.1 s and 0.3 s after the start, the configuration after 0.4 s: both go on then, in their order. */
+    /** Requests arrive 0.1 s and 0.3 s after the start, the configuration after 0.4 s: both then continue in their order. */
     @Test
     void requestsOfTheFirstMomentsGoOnWhenTheHostKnowsEnough() {
         assertThat(gate.pass(() -> passed.add("one"), after(100))).isTrue();
@@ -26,7 +26,7 @@
         assertThat(passed).hasSize(3);
     }
 
-    /** The store is out: who came first is let go to be refused after 1.5 s, and whoever comes later does not wait. */
+    /** The store is unavailable: a held request is released after 1.5 s, to be refused, and later ones are not held. */
     @Test
     void nobodyWaitsForAStoreThatIsOut() {
         gate.pass(() -> passed.add("one"), after(100));
--- a/src/test/java/org/gooseberryhill/gateway/TrafficDelayTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/TrafficDelayTest.java
@@ -31,7 +31,7 @@
         assertThat(delays).isEmpty();
     }
 
-    /** Guards against measurements that pile up in the queue of a thread which stands still. */
+    /** Guards against measurements that accumulate in the queue of a blocked thread. */
     @Test
     void onlyOneMeasurementWaitsAtATime() {
         delay.measure();
