--- a/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
+++ b/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
@@ -33,7 +33,7 @@
     private final HttpCall call;
     private final Route route;
     private volatile Optional<Long> lastEventId;
-    private volatile boolean begun;
+    private volatile boolean started;
 
     AnswerRelay(HttpCall call, Route route, Optional<Long> lastEventId) {
         this.call = call;
@@ -42,8 +42,8 @@
     }
 
     /** Returns whether the caller has received a part of the answer. May be called from any thread. */
-    boolean isBegun() {
-        return begun;
+    boolean isStarted() {
+        return started;
     }
 
     /** Returns the id of the last event that the caller has received. May be called from any thread. */
@@ -52,13 +52,13 @@
     }
 
     /** Creates a listener for the answer of an attempt. */
-    Attempt attempt(RoutedCall owner, long number) {
-        return new Attempt(owner, number);
+    AttemptListener newAttemptListener(RoutedCall routedCall, long number) {
+        return new AttemptListener(routedCall, number);
     }
 
     /** Relays the answer of one attempt. */
-    final class Attempt implements ExchangeListener {
-        private final RoutedCall owner;
+    final class AttemptListener implements ExchangeListener {
+        private final RoutedCall routedCall;
         private final long number;
         private final EventSplitter events = new EventSplitter();
         private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
@@ -68,8 +68,8 @@
         private boolean passedThrough;
         private boolean genuine;
 
-        Attempt(RoutedCall owner, long number) {
-            this.owner = owner;
+        AttemptListener(RoutedCall routedCall, long number) {
+            this.routedCall = routedCall;
             this.number = number;
         }
 
@@ -77,21 +77,21 @@
         public void onHead(int newStatus, HttpHeaders newHeaders) {
             status = newStatus;
             headers = newHeaders;
-            genuine = owner.isGenuine(status, headers);
+            genuine = routedCall.isGenuine(status, headers);
             streamed = genuine && route.kind() == RouteKind.STREAM && status == OK;
         }
 
         @Override
         public void onBytes(byte[] bytes) {
             if (streamed) {
-                passOn(events.read(bytes));
+                relayEvents(events.read(bytes));
             } else if (passedThrough) {
                 call.write(bytes);
             } else {
                 buffer.writeBytes(bytes);
                 if (buffer.size() > MAX_BUFFERED_BYTES && isFinal()) {
                     passedThrough = true;
-                    beginAnswer();
+                    startAnswer();
                     call.write(buffer.toByteArray());
                 }
             }
@@ -103,57 +103,59 @@
                 endStream();
             } else if (passedThrough) {
                 call.endStream();
-                owner.answered(number, status);
+                routedCall.attemptSucceeded(number, status);
             } else {
-                endWhole();
+                endBuffered();
             }
         }
 
         @Override
         public void onFailure(ExchangeFailure failure) {
-            owner.attemptFailed(number, end(failure), failure.detail(), Optional.empty());
+            routedCall.attemptFailed(number, attemptEnd(failure), failure.detail(), Optional.empty());
         }
 
         private void endStream() {
             byte[] rest = events.rest();
-            beginAnswer();
+            startAnswer();
             if (rest.length > 0) {
                 call.write(rest);
             }
             call.endStream();
-            owner.answered(number, status);
+            routedCall.attemptSucceeded(number, status);
         }
 
-        private void endWhole() {
-            RoutedCall.WholeAnswer answer =
-                    new RoutedCall.WholeAnswer(status, ForwardedHeaders.ofAnswer(headers), buffer.toByteArray());
-            if (owner.isNotRun(status, headers)) {
+        private void endBuffered() {
+            RoutedCall.CompleteAnswer answer =
+                    new RoutedCall.CompleteAnswer(status, ForwardedHeaders.ofAnswer(headers), buffer.toByteArray());
+            if (routedCall.isNotRun(status, headers)) {
                 AttemptEnd end = status == MISDIRECTED ? AttemptEnd.OTHER_ENDPOINT : AttemptEnd.BUSY;
-                owner.attemptFailed(number, end, "status " + status, Optional.empty());
+                routedCall.attemptFailed(number, end, "status " + status, Optional.empty());
             } else if (!genuine) {
-                owner.attemptFailed(number, AttemptEnd.MALFORMED, "not signed, status " + status, Optional.empty());
-            } else if (begun) {
+                routedCall.attemptFailed(
+                        number, AttemptEnd.MALFORMED, "not signed, status " + status, Optional.empty());
+            } else if (started) {
                 // The caller has received a part of a stream that this endpoint did not continue.
-                owner.attemptFailed(number, AttemptEnd.MALFORMED, "status " + status, Optional.empty());
+                routedCall.attemptFailed(number, AttemptEnd.MALFORMED, "status " + status, Optional.empty());
             } else if (status >= FIRST_SERVER_ERROR) {
-                owner.attemptFailed(number, AttemptEnd.ERROR_ANSWER, "status " + status, Optional.of(answer));
+                routedCall.attemptFailed(number, AttemptEnd.ERROR_ANSWER, "status " + status, Optional.of(answer));
             } else {
                 call.reply(answer.status(), answer.headers(), answer.body());
-                owner.answered(number, status);
+                routedCall.attemptSucceeded(number, status);
             }
         }
 
         /** Writes events that arrived together in one call, since each write costs a system call. */
-        private void passOn(List<StreamEvent> arrived) {
-            List<StreamEvent> unseen = arrived.stream().filter(this::isNew).toList();
+        private void relayEvents(List<StreamEvent> arrived) {
+            List<StreamEvent> unseen =
+                    arrived.stream().filter(this::recordIfNew).toList();
             if (unseen.isEmpty()) {
                 return;
             }
-            beginAnswer();
-            call.write(joined(unseen));
+            startAnswer();
+            call.write(concatenate(unseen));
         }
 
-        private boolean isNew(StreamEvent event) {
+        private boolean recordIfNew(StreamEvent event) {
             Optional<Long> id = event.id();
             boolean seen = id.isPresent() && lastEventId.isPresent() && id.get() <= lastEventId.get();
             if (!seen && id.isPresent()) {
@@ -162,7 +164,7 @@
             return !seen;
         }
 
-        private static byte[] joined(List<StreamEvent> streamEvents) {
+        private static byte[] concatenate(List<StreamEvent> streamEvents) {
             if (streamEvents.size() == 1) {
                 return streamEvents.get(0).raw();
             }
@@ -171,20 +173,20 @@
             return joined.toByteArray();
         }
 
-        private void beginAnswer() {
-            if (begun) {
+        private void startAnswer() {
+            if (started) {
                 return;
             }
-            begun = true;
+            started = true;
             call.beginStream(status, ForwardedHeaders.ofAnswer(headers));
-            owner.answerBegun();
+            routedCall.answerStarted();
         }
 
         private boolean isFinal() {
-            return genuine && status < FIRST_SERVER_ERROR && !owner.isNotRun(status, headers);
+            return genuine && status < FIRST_SERVER_ERROR && !routedCall.isNotRun(status, headers);
         }
 
-        private AttemptEnd end(ExchangeFailure failure) {
+        private AttemptEnd attemptEnd(ExchangeFailure failure) {
             if (failure.outcome() == Outcome.NOT_RUN) {
                 return AttemptEnd.UNREACHABLE;
             }
--- a/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
+++ b/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
@@ -31,7 +31,7 @@
      * Records an attempt that ended before any part of its answer arrived. A silent endpoint may merely be full, so it does
      * not count as crashed.
      */
-    void ended(Fingerprint request, String endpoint, AttemptEnd end) {
+    void attemptEnded(Fingerprint request, String endpoint, AttemptEnd end) {
         if (end != AttemptEnd.CUT) {
             return;
         }
@@ -46,7 +46,7 @@
     }
 
     /** Clears a request that got its complete answer, since it crashes no endpoint, and notifies the other gateways. */
-    void completed(RoutedIntake intake) {
+    void requestCompleted(RoutedIntake intake) {
         if (suspects.size() == 0) {
             return;
         }
@@ -58,14 +58,14 @@
     }
 
     /** Records requests that another gateway reports as cut off. */
-    void heard(PeerMessage.CrashNotice notice) {
+    void onCrashNotice(PeerMessage.CrashNotice notice) {
         List<Fingerprint> requests =
                 notice.fingerprints().stream().map(Fingerprint::new).toList();
         suspects.crashed(notice.endpoint(), requests, context.nowNanos());
     }
 
     /** Clears a request that another gateway reports as answered. */
-    void heard(PeerMessage.SuspectRelease release) {
+    void onSuspectRelease(PeerMessage.SuspectRelease release) {
         if (release.completed()) {
             suspects.completed(new Fingerprint(release.fingerprint()));
         }
--- a/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
+++ b/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
@@ -7,7 +7,7 @@
 /** Probes endpoints that could not be reached, and logs changes of endpoint health. For the control thread. */
 final class EndpointProbes {
     /** Same as the connect timeout of a request. */
-    private static final int CONNECT_MILLIS = 300;
+    private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private final GatewayContext context;
 
@@ -18,16 +18,16 @@
     /** Probes the endpoints that are due and logs changes of health; called periodically. */
     void tick() {
         context.fleet().takeProbes(context.nowNanos()).forEach(this::probe);
-        context.fleet().takeHealthChanges().forEach(this::tell);
+        context.fleet().takeHealthChanges().forEach(this::logHealthChange);
     }
 
     private void probe(FleetEndpoint endpoint) {
         context.onLoop(
-                context.http().probe(endpoint.entry().address(), CONNECT_MILLIS),
+                context.http().probe(endpoint.entry().address(), CONNECT_TIMEOUT_MILLIS),
                 (done, failure) -> context.fleet().probed(endpoint.key(), failure == null, context.nowNanos()));
     }
 
-    private void tell(HealthChange change) {
+    private void logHealthChange(HealthChange change) {
         context.timeline()
                 .event(EventKind.ENDPOINT_HEALTH)
                 .endpoint(change.endpoint().id())
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMessages.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
@@ -7,7 +7,7 @@
 import org.gooseberryhill.peer.PeerMessage;
 
 /** Handles messages of other gateways. Called on traffic threads, decides on the control thread. */
-final class GatewayMessages {
+final class GatewayMessageHandler {
     private final GatewayContext context;
     private final LoadExchange load;
     private final GatewayViews views;
@@ -19,7 +19,7 @@
     private final RelayedStore store;
 
     /** Creates a handler that dispatches messages to the given objects. */
-    GatewayMessages(
+    GatewayMessageHandler(
             GatewayContext context,
             LoadExchange load,
             GatewayViews views,
@@ -49,28 +49,28 @@
 
     private void dispatch(HostId from, PeerMessage message, CompletableFuture<PeerMessage> reply) {
         if (message instanceof GatewayMessage.InFlightReport report) {
-            load.heard(from, report);
+            load.onReport(from, report);
         } else if (message instanceof GatewayMessage.ViewChanges changes) {
-            views.passedOn(from, changes);
+            views.onForwardedChanges(from, changes);
         } else if (message instanceof PeerMessage.CrashNotice notice) {
-            crashes.heard(notice);
+            crashes.onCrashNotice(notice);
         } else if (message instanceof PeerMessage.SuspectRelease release) {
-            crashes.heard(release);
+            crashes.onSuspectRelease(release);
         } else if (message instanceof GatewayMessage.BatchNotice notice) {
             board.ownedBy(notice.batch(), from);
-        } else if (message instanceof GatewayMessage.ResultsAsk question) {
+        } else if (message instanceof GatewayMessage.ResultsAsk request) {
             desk.ownResults(
-                    question.batch(),
-                    question.after(),
-                    question.waitMillis(),
+                    request.batch(),
+                    request.after(),
+                    request.waitMillis(),
                     page -> reply.complete(new GatewayMessage.Results(page)));
             return;
-        } else if (message instanceof GatewayMessage.ItemBodyAsk question) {
-            boolean owned = board.find(question.batch()).isPresent();
-            reply.complete(new GatewayMessage.ItemBody(owned, desk.ownItem(question.batch(), question.item())));
+        } else if (message instanceof GatewayMessage.ItemBodyAsk request) {
+            boolean owned = board.find(request.batch()).isPresent();
+            reply.complete(new GatewayMessage.ItemBody(owned, desk.ownItem(request.batch(), request.item())));
             return;
-        } else if (message instanceof GatewayMessage.BatchEndAsk question) {
-            ending.endOwn(question.batch(), ended -> reply.complete(new GatewayMessage.BatchEnded(ended)));
+        } else if (message instanceof GatewayMessage.BatchEndAsk request) {
+            ending.endOwn(request.batch(), ended -> reply.complete(new GatewayMessage.BatchEnded(ended)));
             return;
         } else if (message instanceof GatewayMessage.BatchHandOver handedOver) {
             takeover.takeOver(handedOver, taken -> reply.complete(new GatewayMessage.BatchEnded(taken)));
@@ -78,8 +78,8 @@
         } else if (message instanceof GatewayMessage.StoreCall call) {
             store.serve(call).thenAccept(reply::complete);
             return;
-        } else if (message instanceof GatewayMessage.ViewAsk question) {
-            reply.complete(views.listing(question.prefix())
+        } else if (message instanceof GatewayMessage.ViewAsk request) {
+            reply.complete(views.listing(request.prefix())
                     .map(listing -> (PeerMessage) listing)
                     .orElseGet(PeerMessage.Ack::new));
             return;
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
@@ -17,7 +17,7 @@
      */
     private static final int MAX_LABEL_VALUES = 64;
 
-    private static final String OTHER = "other";
+    private static final String OTHER_LABEL = "other";
 
     private final MetricSet metrics = new MetricSet();
     private final Set<String> routes = ConcurrentHashMap.newKeySet();
@@ -46,15 +46,15 @@
     }
 
     void requestEnded(String route, String end) {
-        requests.add(bounded(routes, route), end);
+        requests.add(boundedLabel(routes, route), end);
     }
 
     void firstByte(String route, double seconds) {
-        latency.observe(seconds, bounded(routes, route));
+        latency.observe(seconds, boundedLabel(routes, route));
     }
 
     void attemptEnded(String endpoint, AttemptEnd end, double seconds) {
-        String label = bounded(endpoints, endpoint);
+        String label = boundedLabel(endpoints, endpoint);
         attempts.add(label, end.name());
         attemptLatency.observe(seconds, label);
     }
@@ -63,12 +63,12 @@
         items.add(end.name());
     }
 
-    private static String bounded(Set<String> known, String value) {
+    private static String boundedLabel(Set<String> known, String value) {
         if (known.contains(value)) {
             return value;
         }
         if (known.size() >= MAX_LABEL_VALUES) {
-            return OTHER;
+            return OTHER_LABEL;
         }
         known.add(value);
         return value;
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -50,18 +50,18 @@
  */
 public final class GatewayProcess implements Closeable {
     private static final int TRAFFIC_THREADS = 1;
-    private static final long TICK_MILLIS = 25;
+    private static final long TICK_PERIOD_MILLIS = 25;
 
     /** Period of work that is due within tenths of a second: detecting lost hosts, probing endpoints. */
-    private static final long SLOW_TICK_MILLIS = 100;
+    private static final long SLOW_TICK_PERIOD_MILLIS = 100;
 
-    private static final long BEAT_MILLIS = 1000;
+    private static final long HEARTBEAT_PERIOD_MILLIS = 1000;
 
     /**
      * Period of the scans of batch records, each of which is a store call of every host. The loss of a host triggers a scan
      * of its own; the periodic scan finds what no event reports: a write that was applied although its answer was lost.
      */
-    private static final long LOOK_MILLIS = 4000;
+    private static final long RECORD_SCAN_PERIOD_MILLIS = 4000;
 
     /**
      * Time after a stop request during which all requests are accepted and idle connections are kept: the balancer polls
@@ -69,13 +69,13 @@
      */
     private static final long STOP_GRACE_MILLIS = 2600;
 
-    private static final long GROUP_SHUTDOWN_MILLIS = 100;
+    private static final long GROUP_SHUTDOWN_TIMEOUT_MILLIS = 100;
 
     /** Maximum time that a routine log line is buffered: a lost host loses the lines of this period at most. */
-    private static final long LOG_FLUSH_MILLIS = 250;
+    private static final long LOG_FLUSH_PERIOD_MILLIS = 250;
 
     /** Time for which a request that crashed endpoints is remembered and isolated. */
-    private static final long SUSPECT_MEMORY_MILLIS = 60_000;
+    private static final long SUSPECT_RETENTION_MILLIS = 60_000;
 
     private static final int MAX_SUSPECTS = 10_000;
     private static final int MAX_REQUEST_LINE_BYTES = 8192;
@@ -84,7 +84,7 @@
     private volatile GatewaySettings settings;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(TRAFFIC_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
-    private final StoreReach reach = new StoreReach();
+    private final StoreReach storeReachability = new StoreReach();
     private final RelayedStore store;
     private final GatewayContext context;
     private final PeerLinks links;
@@ -92,7 +92,7 @@
     private final LoadExchange load;
     private final CrashTracking crashes;
     private final GatewayTraffic traffic;
-    private final FrontRouter router;
+    private final RequestRouter requestRouter;
     private final HostRegistration registration;
     private final EndpointProbes probes;
     private final GatewayViews views;
@@ -103,10 +103,11 @@
     private final BatchDesk desk;
     private final BatchTakeover takeover;
     private final BatchHandOver handOver;
-    private final GatewayMessages messages;
+    private final GatewayMessageHandler messages;
     private final LogSink log = new LogSink();
-    private final DelayWatch delayWatch = new DelayWatch(TICK_MILLIS);
-    private final TrafficDelay trafficDelay = new TrafficDelay(group, System::nanoTime, this::trafficDelayed);
+    private final ProcessDelayDetector processDelayDetector = new ProcessDelayDetector(TICK_PERIOD_MILLIS);
+    private final TrafficDelayDetector trafficDelayDetector =
+            new TrafficDelayDetector(group, System::nanoTime, this::trafficDelayed);
     private final Readiness readiness;
     private final StopSequence stop;
     private final AtomicBoolean closed = new AtomicBoolean();
@@ -123,8 +124,9 @@
         HostId self = settings.self().id();
         HttpClient http = new HttpClient(group);
         Fleet fleet = new Fleet(http::hasKept);
-        this.store = new RelayedStore(storeFactory.create(http), reach, this::askHelpers, this::storeReachChanged);
-        CrashSuspects suspects = new CrashSuspects(SUSPECT_MEMORY_MILLIS, MAX_SUSPECTS);
+        this.store = new RelayedStore(
+                storeFactory.create(http), storeReachability, this::relayStoreCall, this::storeReachabilityChanged);
+        CrashSuspects suspects = new CrashSuspects(SUSPECT_RETENTION_MILLIS, MAX_SUSPECTS);
         DispatchPolicies policies = DispatchPolicies.product(random);
         this.context = new GatewayContext(
                 () -> this.settings,
@@ -141,7 +143,7 @@
                 new GatewayMetrics());
         this.links = new PeerLinks(context);
         this.helpers = new StoreHelpers(context, links, random);
-        this.load = new LoadExchange(context, links, reach);
+        this.load = new LoadExchange(context, links, storeReachability);
         this.crashes = new CrashTracking(context, links, suspects);
         this.traffic = new GatewayTraffic(context, crashes, this::loadChanged, this::directoryAgeMillis);
         this.registration = new HostRegistration(
@@ -167,9 +169,9 @@
         StartGate gate = new StartGate(context.nowNanos());
         this.readiness = new Readiness(context, gate);
         this.stop = new StopSequence(
-                context, traffic, runner, handOver, registration, this::callersServer, this::stopAsked);
-        this.messages = new GatewayMessages(context, load, views, crashes, board, desk, ending, takeover, store);
-        this.router = new FrontRouter(context, traffic, intake, desk, gate, random);
+                context, traffic, runner, handOver, registration, this::callersServer, this::stopRequested);
+        this.messages = new GatewayMessageHandler(context, load, views, crashes, board, desk, ending, takeover, store);
+        this.requestRouter = new RequestRouter(context, traffic, intake, desk, gate, random);
     }
 
     /** Starts serving at the addresses in the settings. */
@@ -180,7 +182,7 @@
     /** Starts serving, with callers at a socket that is already listening. */
     public void start(ListeningSocket callers) {
         // The store is queried first, so that its answers arrive during the rest of the start.
-        context.loop().execute(this::begin);
+        context.loop().execute(this::startOnControlThread);
         peerServer = Optional.of(new PeerServer(
                 group,
                 settings.self().id(),
@@ -188,7 +190,7 @@
                 clock,
                 context.peers().traffic(),
                 messages::handle));
-        callersServer = Optional.of(HttpServer.start(group, callers, this::limits, router::route));
+        callersServer = Optional.of(HttpServer.start(group, callers, this::limits, requestRouter::route));
         readinessServer = Optional.of(
                 HttpServer.start(group, settings.readinessAddress(), HttpLimits.DEFAULT, readiness::answer));
         settings.metricsAddress().ifPresent(this::startMetrics);
@@ -253,8 +255,8 @@
         metricsServer.ifPresent(MetricsServer::close);
         context.peers().close();
         context.http().close();
-        group.shutdownGracefully(0, GROUP_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
-                .awaitUninterruptibly(2 * GROUP_SHUTDOWN_MILLIS);
+        group.shutdownGracefully(0, GROUP_SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly(2 * GROUP_SHUTDOWN_TIMEOUT_MILLIS);
     }
 
     private void startMetrics(Address address) {
@@ -273,21 +275,21 @@
         metricsServer = Optional.of(new MetricsServer(group, context, address));
     }
 
-    private void begin() {
+    private void startOnControlThread() {
         registration.start();
         views.start();
-        context.loop().every(TICK_MILLIS, this::tick);
-        context.loop().every(SLOW_TICK_MILLIS, this::slowTick);
-        context.loop().every(BEAT_MILLIS, load::beat);
-        context.loop().every(BEAT_MILLIS, trafficDelay::measure);
-        context.loop().every(LOG_FLUSH_MILLIS, log::flush);
-        context.loop().every(LOOK_MILLIS, () -> takeover.look(true));
+        context.loop().every(TICK_PERIOD_MILLIS, this::tick);
+        context.loop().every(SLOW_TICK_PERIOD_MILLIS, this::slowTick);
+        context.loop().every(HEARTBEAT_PERIOD_MILLIS, load::sendHeartbeat);
+        context.loop().every(HEARTBEAT_PERIOD_MILLIS, trafficDelayDetector::measure);
+        context.loop().every(LOG_FLUSH_PERIOD_MILLIS, log::flush);
+        context.loop().every(RECORD_SCAN_PERIOD_MILLIS, () -> takeover.look(true));
         // Batches that an earlier process of this host owned can be taken over without waiting for other hosts.
         takeover.look(false);
     }
 
     private void tick() {
-        delayWatch
+        processDelayDetector
                 .tick(context.nowNanos(), System.currentTimeMillis())
                 .ifPresent(delay -> context.timeline()
                         .event(EventKind.PROCESS_DELAYED)
@@ -321,7 +323,7 @@
     }
 
     private void loadChanged() {
-        load.changed();
+        load.scheduleReport();
     }
 
     private void endpointsChanged() {
@@ -334,9 +336,9 @@
             return;
         }
         table = new RouteTable(configuration);
-        router.configure(table);
+        requestRouter.configure(table);
         batchRoutes.configure(table);
-        traffic.configured(configuration.version());
+        traffic.setConfigurationVersion(configuration.version());
         context.timeline()
                 .event(EventKind.CONFIGURATION_IN_FORCE)
                 .with("version", configuration.version())
@@ -347,7 +349,7 @@
     }
 
     /** Logs that the store was lost or regained; may be called from any thread. */
-    private void storeReachChanged(boolean reached, String reason) {
+    private void storeReachabilityChanged(boolean reached, String reason) {
         context.timeline()
                 .event(reached ? EventKind.STORE_REGAINED : EventKind.STORE_LOST)
                 .with("reason", reason)
@@ -355,7 +357,7 @@
     }
 
     /** Asks another host to call the store; may be called from any thread. */
-    private CompletableFuture<PeerMessage> askHelpers(GatewayMessage.StoreCall call, long timeoutMillis) {
+    private CompletableFuture<PeerMessage> relayStoreCall(GatewayMessage.StoreCall call, long timeoutMillis) {
         return helpers.ask(call, timeoutMillis);
     }
 
@@ -367,9 +369,9 @@
         return callersServer.orElseThrow();
     }
 
-    private void stopAsked() {
+    private void stopRequested() {
         updateReadiness();
-        load.beat();
+        load.sendHeartbeat();
     }
 
     private HttpLimits limits() {
--- a/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
@@ -22,7 +22,7 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final GatewayContext context;
-    private final CrashTracking crashes;
+    private final CrashTracking crashTracking;
     private final Runnable onLoadChange;
     private final LongSupplier directoryAgeMillis;
     private int inProgress;
@@ -35,15 +35,18 @@
      * @param directoryAgeMillis supplies the maximum age of the list of endpoints
      */
     GatewayTraffic(
-            GatewayContext context, CrashTracking crashes, Runnable onLoadChange, LongSupplier directoryAgeMillis) {
+            GatewayContext context,
+            CrashTracking crashTracking,
+            Runnable onLoadChange,
+            LongSupplier directoryAgeMillis) {
         this.context = context;
-        this.crashes = crashes;
+        this.crashTracking = crashTracking;
         this.onLoadChange = onLoadChange;
         this.directoryAgeMillis = directoryAgeMillis;
     }
 
     /** Records the version of a configuration that came into force. */
-    void configured(long version) {
+    void setConfigurationVersion(long version) {
         configurationVersion = version;
     }
 
@@ -55,23 +58,23 @@
         return directoryAgeMillis.getAsLong();
     }
 
-    ServiceState service(String service) {
+    ServiceState serviceState(String service) {
         return context.fleet().state(service, context.nowNanos());
     }
 
-    CrashTracking crashes() {
-        return crashes;
+    CrashTracking crashTracking() {
+        return crashTracking;
     }
 
     int inProgress() {
         return inProgress;
     }
 
-    void began() {
+    void requestStarted() {
         inProgress++;
     }
 
-    void ended() {
+    void requestEnded() {
         inProgress--;
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -23,33 +23,31 @@
 import org.gooseberryhill.stored.StoredKeys;
 import org.gooseberryhill.timeline.EventKind;
 
-/**
- * Follows endpoints, operator entries and live hosts in the key-value store. Used by the control thread only.
- */
+/** Follows endpoints, operator entries and live hosts in the key-value store. Used by the control thread only. */
 final class GatewayViews {
     /** The store answers in milliseconds; a starting host without an answer after this time queries the seeds as well. */
-    private static final long SEED_MILLIS = 400;
+    private static final long SEED_QUERY_DELAY_MILLIS = 400;
 
-    private static final long ASK_MILLIS = 700;
+    private static final long LISTING_TIMEOUT_MILLIS = 700;
 
     /**
      * Period of the updates of this host's rank, which changes when a host joins or leaves. An outdated rank costs a query
      * too many or too few in this period.
      */
-    private static final long RANK_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long RANK_UPDATE_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final GatewayContext context;
     private final PeerLinks links;
     private final Consumer<RouteConfiguration> onConfiguration;
     private final Runnable onEndpoints;
     private final Evacuations evacuations;
-    private final ViewKeeper registrations;
-    private final ViewKeeper operators;
-    private final ViewKeeper hosts;
-    private final RegisteredEndpoints registered;
+    private final ViewUpdater registrations;
+    private final ViewUpdater operators;
+    private final ViewUpdater hosts;
+    private final RegisteredEndpoints registeredEndpoints;
     private Map<EndpointKey, Boolean> knownEndpoints = Map.of();
     private int rank;
-    private long rankedNanos;
+    private long rankUpdatedNanos;
 
     GatewayViews(
             GatewayContext context,
@@ -60,32 +58,36 @@
         this.links = links;
         this.onConfiguration = onConfiguration;
         this.onEndpoints = onEndpoints;
-        this.rankedNanos = context.nowNanos() - RANK_NANOS;
+        this.rankUpdatedNanos = context.nowNanos() - RANK_UPDATE_PERIOD_NANOS;
         this.evacuations = new Evacuations(context, links);
-        this.registered = new RegisteredEndpoints(context.dialects().directory(), context.timeline());
-        this.registrations = new ViewKeeper(
+        this.registeredEndpoints = new RegisteredEndpoints(context.dialects().directory(), context.timeline());
+        this.registrations = new ViewUpdater(
                 context,
                 links,
                 context.dialects().directory().prefix(),
-                ViewPace.REGISTRATIONS,
+                ViewRefreshPolicy.REGISTRATIONS,
                 this::endpointsChanged);
-        this.operators = new ViewKeeper(
-                context, links, context.dialects().operators().prefix(), ViewPace.OPERATORS, this::operatorsWrote);
-        this.hosts = new ViewKeeper(context, links, StoredKeys.HOSTS, ViewPace.HOSTS, this::hostsChanged);
+        this.operators = new ViewUpdater(
+                context,
+                links,
+                context.dialects().operators().prefix(),
+                ViewRefreshPolicy.OPERATORS,
+                this::operatorEntriesChanged);
+        this.hosts = new ViewUpdater(context, links, StoredKeys.HOSTS, ViewRefreshPolicy.HOSTS, this::hostsChanged);
     }
 
     /** Starts to follow the store. */
     void start() {
         tick();
-        context.loop().after(SEED_MILLIS, this::askSeeds);
+        context.loop().after(SEED_QUERY_DELAY_MILLIS, this::querySeeds);
     }
 
     /** Queries the store for changes where it is this host's turn; called periodically. */
     void tick() {
         long nowNanos = context.nowNanos();
-        if (nowNanos - rankedNanos >= RANK_NANOS) {
-            rankedNanos = nowNanos;
-            rank = rankNow();
+        if (nowNanos - rankUpdatedNanos >= RANK_UPDATE_PERIOD_NANOS) {
+            rankUpdatedNanos = nowNanos;
+            rank = computeRank();
         }
         registrations.tick(rank);
         operators.tick(rank);
@@ -103,36 +105,36 @@
     }
 
     /** Applies changes that another host forwarded; requests a listing from that host if earlier changes are missing. */
-    void passedOn(HostId from, GatewayMessage.ViewChanges changes) {
-        keeper(changes.prefix()).ifPresent(keeper -> {
-            if (!keeper.passedOn(changes)) {
-                links.find(from).ifPresent(host -> askListing(host.address(), keeper));
+    void onForwardedChanges(HostId from, GatewayMessage.ViewChanges changes) {
+        findUpdater(changes.prefix()).ifPresent(updater -> {
+            if (!updater.applyForwardedChanges(changes)) {
+                links.find(from).ifPresent(host -> requestListing(host.address(), updater));
             }
         });
     }
 
     /** Returns all entries that this host knows under a prefix. */
     Optional<GatewayMessage.ViewListing> listing(String prefix) {
-        return keeper(prefix).map(ViewKeeper::listing);
+        return findUpdater(prefix).map(ViewUpdater::listing);
     }
 
     /** Returns this host's position among the live ones, which determines whose turn it is to query the store. */
-    private int rankNow() {
+    private int computeRank() {
         TreeSet<HostId> live = new TreeSet<>();
         links.gateways().forEach(host -> live.add(host.id()));
         return live.headSet(context.settings().self().id()).size();
     }
 
     private void endpointsChanged(List<KeyChange> changes) {
-        if (registered.take(changes)) {
-            Collection<EndpointEntry> entries = registered.entries();
-            tellDirectoryChanges(entries);
+        if (registeredEndpoints.apply(changes)) {
+            Collection<EndpointEntry> entries = registeredEndpoints.entries();
+            logDirectoryChanges(entries);
             context.fleet().directory(entries);
         }
         onEndpoints.run();
     }
 
-    private void tellDirectoryChanges(Collection<EndpointEntry> entries) {
+    private void logDirectoryChanges(Collection<EndpointEntry> entries) {
         Map<EndpointKey, Boolean> leavingByKey = new HashMap<>();
         entries.forEach(entry -> leavingByKey.put(entry.key(), entry.leaving()));
         if (leavingByKey.equals(knownEndpoints)) {
@@ -163,12 +165,12 @@
         return leaving ? "leaving" : "ready";
     }
 
-    private void operatorsWrote(List<KeyChange> changes) {
+    private void operatorEntriesChanged(List<KeyChange> changes) {
         for (KeyChange entry : changes) {
             context.dialects()
                     .operators()
                     .evacuatedHost(entry)
-                    .ifPresent(host -> evacuations.asked(host, entry.revision(), rankNow()));
+                    .ifPresent(host -> evacuations.asked(host, entry.revision(), computeRank()));
             context.dialects()
                     .operators()
                     .configuration(entry)
@@ -186,33 +188,34 @@
         for (KeyChange entry : hosts.view().entries()) {
             StoredForms.readHost(entry.value().orElseThrow()).onSuccess(live::add);
         }
-        links.listed(live);
+        links.updateListedHosts(live);
     }
 
     /** Queries the seeds for unknown views, so that a host can start while the store is unavailable. */
-    private void askSeeds() {
-        for (ViewKeeper keeper : List.of(hosts, operators, registrations)) {
-            if (!keeper.isKnown()) {
-                context.settings().seeds().forEach(seed -> askListing(seed, keeper));
+    private void querySeeds() {
+        for (ViewUpdater updater : List.of(hosts, operators, registrations)) {
+            if (!updater.isKnown()) {
+                context.settings().seeds().forEach(seed -> requestListing(seed, updater));
             }
         }
         if (!areKnown() || !hosts.isKnown()) {
-            context.loop().after(SEED_MILLIS, this::askSeeds);
+            context.loop().after(SEED_QUERY_DELAY_MILLIS, this::querySeeds);
         }
     }
 
-    private void askListing(Address address, ViewKeeper keeper) {
-        GatewayMessage request = new GatewayMessage.ViewAsk(keeper.prefix());
-        context.onLoop(context.peers().ask(address, PeerLane.CONTROL, request, ASK_MILLIS), (reply, failure) -> {
-            if (reply instanceof GatewayMessage.ViewListing listing) {
-                keeper.listed(listing);
-            }
-        });
+    private void requestListing(Address address, ViewUpdater updater) {
+        GatewayMessage request = new GatewayMessage.ViewAsk(updater.prefix());
+        context.onLoop(
+                context.peers().ask(address, PeerLane.CONTROL, request, LISTING_TIMEOUT_MILLIS), (reply, failure) -> {
+                    if (reply instanceof GatewayMessage.ViewListing listing) {
+                        updater.applyListing(listing);
+                    }
+                });
     }
 
-    private Optional<ViewKeeper> keeper(String prefix) {
+    private Optional<ViewUpdater> findUpdater(String prefix) {
         return List.of(hosts, operators, registrations).stream()
-                .filter(keeper -> keeper.prefix().equals(prefix))
+                .filter(updater -> updater.prefix().equals(prefix))
                 .findFirst();
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
+++ b/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
@@ -14,41 +14,41 @@
  */
 final class LoadExchange {
     /** Changes within this time are sent together; a service with some hundred requests per second gets a few meanwhile. */
-    private static final long GATHER_MILLIS = 25;
+    private static final long COALESCING_MILLIS = 25;
 
     private final GatewayContext context;
     private final PeerLinks links;
-    private final StoreReach reach;
-    private boolean scheduled;
+    private final StoreReach storeReachability;
+    private boolean reportScheduled;
 
-    LoadExchange(GatewayContext context, PeerLinks links, StoreReach reach) {
+    LoadExchange(GatewayContext context, PeerLinks links, StoreReach storeReachability) {
         this.context = context;
         this.links = links;
-        this.reach = reach;
+        this.storeReachability = storeReachability;
     }
 
     /** Schedules a report after a change of this host's requests in flight. */
-    void changed() {
-        if (scheduled) {
+    void scheduleReport() {
+        if (reportScheduled) {
             return;
         }
-        scheduled = true;
-        context.loop().after(GATHER_MILLIS, () -> {
-            scheduled = false;
+        reportScheduled = true;
+        context.loop().after(COALESCING_MILLIS, () -> {
+            reportScheduled = false;
             links.tellAll(report());
         });
     }
 
     /** Sends a report to all gateways, whose replies show that they are alive, and removes hosts that are silent. */
-    void beat() {
+    void sendHeartbeat() {
         PeerMessage report = report();
         links.gateways()
                 .forEach(host -> context.onLoop(links.ask(host, report), (reply, failure) -> {
                     if (failure == null) {
-                        links.answered(host.id());
+                        links.recordAnswer(host.id());
                     }
                 }));
-        for (HostId host : links.takeSilent()) {
+        for (HostId host : links.takeSilentHosts()) {
             context.fleet().lost(host);
             context.timeline()
                     .event(EventKind.PEER_SILENT)
@@ -58,8 +58,8 @@
     }
 
     /** Records the report of another host. */
-    void heard(HostId from, GatewayMessage.InFlightReport report) {
-        links.heard(from, report);
+    void onReport(HostId from, GatewayMessage.InFlightReport report) {
+        links.recordReport(from, report);
         context.fleet().reported(from, report.inFlight(), context.nowNanos());
     }
 
@@ -68,7 +68,7 @@
         return new GatewayMessage.InFlightReport(
                 context.processStart(),
                 leaving,
-                reach.isDirect(),
+                storeReachability.isDirect(),
                 context.fleet().own());
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
+++ b/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
@@ -31,23 +31,23 @@
     }
 
     /** Updates the list of live hosts. */
-    void listed(Collection<ListedHost> live) {
+    void updateListedHosts(Collection<ListedHost> live) {
         roster.listed(live, context.nowNanos());
     }
 
     /** Records the report of a host. */
-    void heard(HostId from, GatewayMessage.InFlightReport report) {
+    void recordReport(HostId from, GatewayMessage.InFlightReport report) {
         HostSign sign = new HostSign(report.processStart(), report.leaving(), report.storeReached());
         roster.heard(from, sign, context.nowNanos());
     }
 
     /** Records that a host answered. */
-    void answered(HostId from) {
+    void recordAnswer(HostId from) {
         roster.answered(from, context.nowNanos());
     }
 
     /** Returns the hosts that have been silent for too long, each only once. */
-    List<HostId> takeSilent() {
+    List<HostId> takeSilentHosts() {
         return roster.takeSilent(context.nowNanos());
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/DelayWatch.java
+++ b/src/main/java/org/gooseberryhill/gateway/ProcessDelayDetector.java
@@ -11,9 +11,9 @@
  * <p>Two clocks are compared, since the monotonic clock of a suspended host stops with it. A step of the wall clock is
  * reported as well, because it cannot be distinguished from a suspension.
  */
-final class DelayWatch {
+final class ProcessDelayDetector {
     /** Shorter delays are normal on a host with a share of one core. */
-    static final long NOTICED_MILLIS = 200;
+    static final long MIN_REPORTED_MILLIS = 200;
 
     private final long periodMillis;
     private OptionalLong lastNanos = OptionalLong.empty();
@@ -24,7 +24,7 @@
      *
      * @param periodMillis expected time between two ticks
      */
-    DelayWatch(long periodMillis) {
+    ProcessDelayDetector(long periodMillis) {
         this.periodMillis = periodMillis;
     }
 
@@ -40,7 +40,9 @@
         long steadyMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - before.getAsLong());
         long suspendedMillis = Math.max(0, epochMillis - steadyMillis);
         long lateMillis = Math.max(steadyMillis, epochMillis) - periodMillis;
-        return lateMillis < NOTICED_MILLIS ? Optional.empty() : Optional.of(new Delay(lateMillis, suspendedMillis));
+        return lateMillis < MIN_REPORTED_MILLIS
+                ? Optional.empty()
+                : Optional.of(new Delay(lateMillis, suspendedMillis));
     }
 
     /**
--- a/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
+++ b/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
@@ -28,10 +28,10 @@
     }
 
     /** Applies written and deleted registrations; returns whether they change anything known about an endpoint. */
-    boolean take(List<KeyChange> changes) {
+    boolean apply(List<KeyChange> changes) {
         boolean changed = false;
         for (KeyChange registration : changes) {
-            changed |= take(registration);
+            changed |= apply(registration);
         }
         return changed;
     }
@@ -41,8 +41,8 @@
         return List.copyOf(byKey.values());
     }
 
-    private boolean take(KeyChange registration) {
-        Optional<EndpointEntry> entry = registration.value().isEmpty() ? Optional.empty() : read(registration);
+    private boolean apply(KeyChange registration) {
+        Optional<EndpointEntry> entry = registration.value().isEmpty() ? Optional.empty() : parse(registration);
         if (entry.isEmpty()) {
             return byKey.remove(registration.key()) != null;
         }
@@ -50,7 +50,7 @@
         return !entry.get().equals(before);
     }
 
-    private Optional<EndpointEntry> read(KeyChange registration) {
+    private Optional<EndpointEntry> parse(KeyChange registration) {
         return dialect.endpoint(registration)
                 .peekLeft(finding -> timeline.event(EventKind.REGISTRATION_INVALID)
                         .with("key", registration.key())
--- a/src/main/java/org/gooseberryhill/gateway/FrontRouter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
@@ -22,7 +22,7 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /** Dispatches the calls of callers to their routes or to the system's own interface. Thread-safe. */
-final class FrontRouter {
+final class RequestRouter {
     private static final long NO_CONFIGURATION_RETRY_AFTER_MILLIS = 500;
 
     /** Deadline of a request whose caller sets none, on a route without a timeout. */
@@ -36,7 +36,7 @@
     private final Random random;
     private volatile RouteTable table = RouteTable.EMPTY;
 
-    FrontRouter(
+    RequestRouter(
             GatewayContext context,
             GatewayTraffic traffic,
             BatchIntake intake,
@@ -63,26 +63,26 @@
         int maxBytes = current.configuration().limits().maxBodyBytes();
         Optional<SystemCall> systemCall = context.dialects().batches().read(call);
         if (systemCall.isPresent()) {
-            return whole(call, maxBytes, body -> batches.answer(call, systemCall.get()));
+            return readBody(call, maxBytes, body -> batches.answer(call, systemCall.get()));
         }
         RequestTraits traits = context.dialects().traffic().read(call.headers());
-        return whole(call, maxBytes, body -> routed(call, traits, body, arrivedNanos));
+        return readBody(call, maxBytes, body -> routeOrHold(call, traits, body, arrivedNanos));
     }
 
-    private void routed(HttpCall call, RequestTraits traits, byte[] body, long arrivedNanos) {
+    private void routeOrHold(HttpCall call, RequestTraits traits, byte[] body, long arrivedNanos) {
         if (!gate.isOpen()) {
             context.loop().execute(() -> {
-                boolean accepted = gate.pass(() -> routedNow(call, traits, body, arrivedNanos), context.nowNanos());
+                boolean accepted = gate.runOrHold(() -> routeNow(call, traits, body, arrivedNanos), context.nowNanos());
                 if (!accepted) {
-                    routedNow(call, traits, body, arrivedNanos);
+                    routeNow(call, traits, body, arrivedNanos);
                 }
             });
             return;
         }
-        routedNow(call, traits, body, arrivedNanos);
+        routeNow(call, traits, body, arrivedNanos);
     }
 
-    private void routedNow(HttpCall call, RequestTraits traits, byte[] body, long arrivedNanos) {
+    private void routeNow(HttpCall call, RequestTraits traits, byte[] body, long arrivedNanos) {
         RouteTable current = table;
         String id = traits.id().orElse("");
         if (current.configuration().isEmpty()) {
@@ -111,16 +111,16 @@
         RoutedIntake intake = new RoutedIntake(
                 id,
                 route.get(),
-                drawService(route.get()),
+                chooseService(route.get()),
                 traits.prompt(),
                 Lazy.of(() -> Fingerprint.of(
                         call.method() + " " + call.headers().get(HttpHeaderNames.HOST, "") + call.target(), body)),
                 arrivedNanos,
                 arrivedNanos + TimeUnit.MILLISECONDS.toNanos(deadlineMillis(traits, route.get())));
-        new RoutedCall(context, traffic, call, traits, intake, body).begin();
+        new RoutedCall(context, traffic, call, traits, intake, body).start();
     }
 
-    private String drawService(Route route) {
+    private String chooseService(Route route) {
         int total = route.targets().stream().mapToInt(RouteTarget::weight).sum();
         int drawn = total > 0 ? random.nextInt(total) : 0;
         for (RouteTarget target : route.targets()) {
@@ -132,7 +132,7 @@
         return route.targets().get(0).service();
     }
 
-    private HttpBody whole(HttpCall call, int maxBytes, Consumer<byte[]> onBody) {
+    private HttpBody readBody(HttpCall call, int maxBytes, Consumer<byte[]> onBody) {
         return new WholeBody(
                 maxBytes,
                 onBody,
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -40,13 +40,13 @@
     private static final int MAX_IDLE_MILLIS_UNREPEATABLE = 1500;
 
     /** Connecting within a region takes milliseconds; an attempt that takes longer counts as lost. */
-    private static final int CONNECT_MILLIS = 300;
+    private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     /** A resumable stream fails over after its endpoint has been silent for this time, if another one can take it. */
-    private static final long SILENCE_MILLIS = 700;
+    private static final long SILENCE_TIMEOUT_MILLIS = 700;
 
     /** Delay before another endpoint for a silent stream is looked up again. */
-    private static final long SILENCE_AGAIN_MILLIS = 100;
+    private static final long SILENCE_RECHECK_MILLIS = 100;
 
     private final GatewayContext context;
     private final GatewayTraffic traffic;
@@ -78,8 +78,8 @@
     }
 
     /** Starts the request; may be called from any thread. */
-    void begin() {
-        context.loop().execute(this::start);
+    void start() {
+        context.loop().execute(this::startOnControlThread);
     }
 
     /** Returns whether an answer states that its endpoint did not run the request. May be called from any thread. */
@@ -92,32 +92,32 @@
         return context.dialects().traffic().isGenuine(status, headers);
     }
 
-    private void start() {
-        traffic.began();
-        call.onDisconnect(() -> context.loop().execute(this::callerGone));
+    private void startOnControlThread() {
+        traffic.requestStarted();
+        call.onDisconnect(() -> context.loop().execute(this::callerDisconnected));
         long leftNanos = request.intake().deadlineNanos() - context.nowNanos();
         long leftMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos));
-        context.loop().after(leftMillis, this::timeOver);
+        context.loop().after(leftMillis, this::deadlineExceeded);
         if (!context.stop().takes(leftMillis, context.nowNanos())) {
             refuse(GatewayTraffic.STOPPING, Optional.empty());
             return;
         }
-        follow(context.core().first(request, context.nowNanos()));
+        applyDecision(context.core().first(request, context.nowNanos()));
     }
 
-    private void follow(DispatchDecision decision) {
+    private void applyDecision(DispatchDecision decision) {
         if (decision instanceof DispatchDecision.Send send) {
             send(send.endpoint(), send.facts());
         } else if (decision instanceof DispatchDecision.Wait wait) {
-            context.loop().after(wait.millis(), this::again);
+            context.loop().after(wait.millis(), this::dispatchAfterWait);
         } else if (decision instanceof DispatchDecision.Refuse refuse) {
             refuse(refuse.refusal(), refuse.overload());
         }
     }
 
-    private void again() {
+    private void dispatchAfterWait() {
         if (!finished) {
-            follow(context.core().again(request, context.nowNanos()));
+            applyDecision(context.core().again(request, context.nowNanos()));
         }
     }
 
@@ -153,44 +153,44 @@
                                 Optional.empty()));
         ExchangeRequest exchangeRequest = new ExchangeRequest(
                 endpoint.address(), call.method(), call.target(), headers, body, options(leftMillis));
-        Exchange started = context.http().start(exchangeRequest, relay.attempt(this, attemptNumber));
+        Exchange started = context.http().start(exchangeRequest, relay.newAttemptListener(this, attemptNumber));
         exchange = Optional.of(started);
         if (request.intake().route().kind() == RouteKind.STREAM) {
-            watch(started, SILENCE_MILLIS);
+            scheduleSilenceCheck(started, SILENCE_TIMEOUT_MILLIS);
         }
     }
 
-    private void watch(Exchange watched, long millis) {
-        context.loop().after(millis, () -> lookForSilence(watched));
+    private void scheduleSilenceCheck(Exchange watched, long millis) {
+        context.loop().after(millis, () -> checkSilence(watched));
     }
 
     /**
      * Fails a silent attempt if another endpoint may continue the request; silence alone does not end an answer. Bytes that
      * have arrived but are not read yet do not count as silence, which the exchange checks before it fails.
      */
-    private void lookForSilence(Exchange watched) {
+    private void checkSilence(Exchange watched) {
         if (finished || exchange.filter(watched::equals).isEmpty()) {
             return;
         }
         long heardNanos = watched.heardNanos();
         long silentMillis = TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - heardNanos);
-        if (silentMillis < SILENCE_MILLIS) {
-            watch(watched, SILENCE_MILLIS - silentMillis);
+        if (silentMillis < SILENCE_TIMEOUT_MILLIS) {
+            scheduleSilenceCheck(watched, SILENCE_TIMEOUT_MILLIS - silentMillis);
             return;
         }
-        if (mayGoElsewhere()) {
+        if (canFailOver()) {
             watched.failIfSilentSince(heardNanos);
         }
-        watch(watched, SILENCE_AGAIN_MILLIS);
+        scheduleSilenceCheck(watched, SILENCE_RECHECK_MILLIS);
     }
 
-    private boolean mayGoElsewhere() {
-        noteAnswerBegun();
+    private boolean canFailOver() {
+        recordAnswerStart();
         return context.core().mayGoElsewhere(request, context.nowNanos());
     }
 
-    private void noteAnswerBegun() {
-        if (relay.isBegun()) {
+    private void recordAnswerStart() {
+        if (relay.isStarted()) {
             request.answerBegun();
         }
     }
@@ -200,7 +200,7 @@
         String id = request.intake().id();
         return new ExchangeOptions(
                 (int) Math.max(1, leftMillis),
-                (int) Math.max(1, Math.min(CONNECT_MILLIS, leftMillis)),
+                (int) Math.max(1, Math.min(CONNECT_TIMEOUT_MILLIS, leftMillis)),
                 repeatable ? Integer.MAX_VALUE : MAX_IDLE_MILLIS_UNREPEATABLE,
                 true,
                 answer -> context.dialects()
@@ -211,14 +211,14 @@
     }
 
     /** Handles an attempt whose complete answer was sent to the caller. May be called from any thread. */
-    void answered(long attempt, int status) {
+    void attemptSucceeded(long attempt, int status) {
         context.loop().execute(() -> {
             if (finished || attempt != attemptNumber) {
                 return;
             }
             exchange = Optional.empty();
-            attemptMetric(AttemptEnd.ANSWERED);
-            traffic.crashes().completed(request.intake());
+            recordAttemptEnd(AttemptEnd.ANSWERED);
+            traffic.crashTracking().requestCompleted(request.intake());
             context.core().attemptSucceeded(request, context.nowNanos());
             finish(
                     ANSWERED,
@@ -230,7 +230,7 @@
     }
 
     /** Records that the first part of the answer is sent to the caller. May be called from any thread. */
-    void answerBegun() {
+    void answerStarted() {
         context.metrics()
                 .firstByte(
                         request.intake().route().name(),
@@ -241,7 +241,7 @@
      * Handles an attempt that ended without a final answer; if no other attempt follows, the caller gets the endpoint's
      * error answer if there is one. May be called from any thread.
      */
-    void attemptFailed(long attempt, AttemptEnd end, String detail, Optional<WholeAnswer> answer) {
+    void attemptFailed(long attempt, AttemptEnd end, String detail, Optional<CompleteAnswer> answer) {
         context.loop().execute(() -> {
             if (finished || attempt != attemptNumber) {
                 return;
@@ -256,10 +256,10 @@
                     .with("end", end)
                     .with("detail", detail)
                     .write();
-            attemptMetric(end);
-            noteAnswerBegun();
-            if (!relay.isBegun()) {
-                traffic.crashes().ended(request.intake().fingerprint(), endpoint, end);
+            recordAttemptEnd(end);
+            recordAnswerStart();
+            if (!relay.isStarted()) {
+                traffic.crashTracking().attemptEnded(request.intake().fingerprint(), endpoint, end);
             }
             DispatchDecision decision = context.core().attemptFailed(request, end, context.nowNanos());
             if (decision instanceof DispatchDecision.Refuse && answer.isPresent() && end == AttemptEnd.ERROR_ANSWER) {
@@ -275,11 +275,11 @@
                                 .with("status", answer.get().status()));
                 return;
             }
-            follow(decision);
+            applyDecision(decision);
         });
     }
 
-    private void attemptMetric(AttemptEnd end) {
+    private void recordAttemptEnd(AttemptEnd end) {
         request.endpoint()
                 .ifPresent(key ->
                         context.metrics().attemptEnded(key.id(), end, seconds(request.runNanos(context.nowNanos()))));
@@ -290,7 +290,7 @@
     }
 
     private void refuse(Refusal refusal, Optional<OverloadFacts> overload) {
-        if (relay.isBegun()) {
+        if (relay.isStarted()) {
             call.abortStream();
         } else {
             traffic.refuse(call, request.intake().id(), refusal);
@@ -306,28 +306,29 @@
         finish(refusal.code().wireName(), event);
     }
 
-    private void callerGone() {
+    private void callerDisconnected() {
         if (!finished) {
-            abandon();
+            abandonAttempt();
             finish(
                     "caller-gone",
                     context.timeline().event(EventKind.REQUEST_ENDED).with("end", "caller-gone"));
         }
     }
 
-    private void timeOver() {
+    private void deadlineExceeded() {
         if (!finished) {
-            abandon();
+            abandonAttempt();
             refuse(
-                    new Refusal(ErrorCode.DEADLINE_EXCEEDED, request.outcome(), timeOverReason(), Optional.empty()),
+                    new Refusal(
+                            ErrorCode.DEADLINE_EXCEEDED, request.outcome(), deadlineExceededReason(), Optional.empty()),
                     Optional.empty());
         }
     }
 
-    private String timeOverReason() {
+    private String deadlineExceededReason() {
         long timeoutMillis = request.intake().route().timeoutMillis();
         String bound = allowedMillis() >= timeoutMillis ? "the route's timeout" : "the caller's deadline";
-        return bound + " of " + allowedMillis() + " ms was over before the " + (relay.isBegun() ? "end of the " : "")
+        return bound + " of " + allowedMillis() + " ms was over before the " + (relay.isStarted() ? "end of the " : "")
                 + "answer";
     }
 
@@ -337,7 +338,7 @@
                 request.intake().deadlineNanos() - request.intake().arrivedNanos());
     }
 
-    private void abandon() {
+    private void abandonAttempt() {
         exchange.ifPresent(Exchange::cancel);
         exchange = Optional.empty();
         context.core().abandoned(request, context.nowNanos());
@@ -345,13 +346,14 @@
 
     private void finish(String end, EventBuilder event) {
         finished = true;
-        traffic.ended();
+        traffic.requestEnded();
         traffic.loadChanged();
         context.metrics().requestEnded(request.intake().route().name(), end);
         if (!end.equals(ANSWERED)) {
-            // Lines of a flood may be left out: the one that tells of a failure says by itself what led to it.
+            // Log lines may be dropped under load, so the line of a failed request itself states what led to the
+            // failure.
             event.with("attempts", request.pastAttempts())
-                    .with("answerBegun", relay.isBegun())
+                    .with("answerBegun", relay.isStarted())
                     .with("allowedMillis", allowedMillis())
                     .with("configuration", traffic.configurationVersion());
             addService(event, request.intake().service());
@@ -368,7 +370,7 @@
     }
 
     private void addService(EventBuilder event, String service) {
-        ServiceState state = traffic.service(service);
+        ServiceState state = traffic.serviceState(service);
         event.with("service", service)
                 .with("endpoints", state.endpoints())
                 .with("usable", state.usable())
@@ -386,5 +388,5 @@
      * @param headers headers for the caller
      * @param body body
      */
-    record WholeAnswer(int status, Iterable<Map.Entry<String, String>> headers, byte[] body) {}
+    record CompleteAnswer(int status, Iterable<Map.Entry<String, String>> headers, byte[] body) {}
 }
--- a/src/main/java/org/gooseberryhill/gateway/StartGate.java
+++ b/src/main/java/org/gooseberryhill/gateway/StartGate.java
@@ -15,10 +15,10 @@
  */
 final class StartGate {
     /** Several times the time that a starting host takes to read the store. */
-    private static final long HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
+    private static final long MAX_HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private final long startNanos;
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final List<Runnable> heldActions = new ArrayList<>();
     private volatile boolean open;
 
     StartGate(long startNanos) {
@@ -31,15 +31,15 @@
     }
 
     /** Runs an action now or holds it until the host knows enough; returns false if the hold time is over. */
-    boolean pass(Runnable action, long nowNanos) {
+    boolean runOrHold(Runnable action, long nowNanos) {
         if (open) {
             action.run();
             return true;
         }
-        if (nowNanos - startNanos > HOLD_NANOS) {
+        if (nowNanos - startNanos > MAX_HOLD_NANOS) {
             return false;
         }
-        waiting.add(action);
+        heldActions.add(action);
         return true;
     }
 
@@ -47,20 +47,20 @@
     void open() {
         if (!open) {
             open = true;
-            release();
+            runHeldActions();
         }
     }
 
     /** Runs the held actions when the hold time is over; these requests are refused, since the gate is still closed. */
     void tick(long nowNanos) {
-        if (!open && nowNanos - startNanos > HOLD_NANOS) {
-            release();
+        if (!open && nowNanos - startNanos > MAX_HOLD_NANOS) {
+            runHeldActions();
         }
     }
 
-    private void release() {
-        List<Runnable> actions = List.copyOf(waiting);
-        waiting.clear();
+    private void runHeldActions() {
+        List<Runnable> actions = List.copyOf(heldActions);
+        heldActions.clear();
         actions.forEach(Runnable::run);
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/StopSequence.java
+++ b/src/main/java/org/gooseberryhill/gateway/StopSequence.java
@@ -11,10 +11,10 @@
 
 /** Carries out the planned stop of a gateway. For the control thread. */
 final class StopSequence {
-    private static final long CHECK_MILLIS = 25;
+    private static final long CHECK_PERIOD_MILLIS = 25;
 
     /** Maximum time that the stop waits for the removal of the host's key; without it, the lease of the key expires. */
-    private static final long RELEASE_MILLIS = 500;
+    private static final long RELEASE_TIMEOUT_MILLIS = 500;
 
     private final GatewayContext context;
     private final GatewayTraffic traffic;
@@ -22,14 +22,14 @@
     private final BatchHandOver handOver;
     private final HostRegistration registration;
     private final Supplier<HttpServer> callers;
-    private final Runnable onAsked;
+    private final Runnable onRequested;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
 
     /**
      * Creates the stop sequence of a gateway.
      *
      * @param callers supplies the server for callers, once the process has started
-     * @param onAsked notifies the balancer and the other hosts
+     * @param onRequested notifies the balancer and the other hosts
      */
     StopSequence(
             GatewayContext context,
@@ -38,14 +38,14 @@
             BatchHandOver handOver,
             HostRegistration registration,
             Supplier<HttpServer> callers,
-            Runnable onAsked) {
+            Runnable onRequested) {
         this.context = context;
         this.traffic = traffic;
         this.runner = runner;
         this.handOver = handOver;
         this.registration = registration;
         this.callers = callers;
-        this.onAsked = onAsked;
+        this.onRequested = onRequested;
     }
 
     /** Starts the stop that was requested at the given time; a second call changes nothing. */
@@ -61,11 +61,11 @@
                 .with("sinceAskedMillis", TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - askedNanos))
                 .write();
         context.stop().ask(askedNanos);
-        onAsked.run();
+        onRequested.run();
         runner.pause();
         runner.stopAll();
         advance();
-        context.loop().every(CHECK_MILLIS, this::advance);
+        context.loop().every(CHECK_PERIOD_MILLIS, this::advance);
     }
 
     /** Returns a future that completes when the stop is over. */
@@ -84,12 +84,12 @@
         StoppingServer.follow(server, phase);
         if (phase == PlannedStop.Phase.ENDED) {
             runner.stopAll();
-            registration.release(() -> end(inProgress));
-            context.loop().after(RELEASE_MILLIS, () -> end(inProgress));
+            registration.release(() -> complete(inProgress));
+            context.loop().after(RELEASE_TIMEOUT_MILLIS, () -> complete(inProgress));
         }
     }
 
-    private void end(int inProgress) {
+    private void complete(int inProgress) {
         if (ended.isDone()) {
             return;
         }
--- a/src/main/java/org/gooseberryhill/gateway/TrafficDelay.java
+++ b/src/main/java/org/gooseberryhill/gateway/TrafficDelayDetector.java
@@ -10,34 +10,34 @@
  *
  * <p>Invariant: one measurement is pending at a time, so that measurements add no further work to a blocked thread.
  */
-final class TrafficDelay {
-    private final Executor traffic;
+final class TrafficDelayDetector {
+    private final Executor trafficExecutor;
     private final LongSupplier nowNanos;
     private final LongConsumer onDelay;
-    private volatile boolean measuring;
+    private volatile boolean measurementPending;
 
     /**
      * Creates a detector for the thread that serves all connections.
      *
      * @param onDelay receives the delay of a task in milliseconds; called on the traffic thread
      */
-    TrafficDelay(Executor traffic, LongSupplier nowNanos, LongConsumer onDelay) {
-        this.traffic = traffic;
+    TrafficDelayDetector(Executor trafficExecutor, LongSupplier nowNanos, LongConsumer onDelay) {
+        this.trafficExecutor = trafficExecutor;
         this.nowNanos = nowNanos;
         this.onDelay = onDelay;
     }
 
     /** Starts a measurement unless one is pending. */
     void measure() {
-        if (measuring) {
+        if (measurementPending) {
             return;
         }
-        measuring = true;
+        measurementPending = true;
         long submittedNanos = nowNanos.getAsLong();
-        traffic.execute(() -> {
+        trafficExecutor.execute(() -> {
             long lateMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos.getAsLong() - submittedNanos);
-            measuring = false;
-            if (lateMillis >= DelayWatch.NOTICED_MILLIS) {
+            measurementPending = false;
+            if (lateMillis >= ProcessDelayDetector.MIN_REPORTED_MILLIS) {
                 onDelay.accept(lateMillis);
             }
         });
--- a/src/main/java/org/gooseberryhill/gateway/ViewKeeper.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
@@ -20,33 +20,33 @@
  * forwards the changes; the others query only when their view exceeds their own, larger maximum age. No host is elected
  * for this, so that updates continue when any host is lost.
  */
-final class ViewKeeper {
+final class ViewUpdater {
     /** A failed query is not repeated sooner, since refused calls have a cost too. */
-    private static final long RETRY_MILLIS = 300;
+    private static final long RETRY_DELAY_MILLIS = 300;
 
     private final GatewayContext context;
     private final PeerLinks links;
     private final String prefix;
-    private final ViewPace pace;
-    private final Consumer<List<KeyChange>> onNews;
+    private final ViewRefreshPolicy refreshPolicy;
+    private final Consumer<List<KeyChange>> onChanges;
     private final KeyView view = new KeyView();
-    private boolean asking;
-    private long freshNanos;
-    private long notBeforeNanos;
+    private boolean queryPending;
+    private long currentAsOfNanos;
+    private long nextQueryNanos;
 
-    ViewKeeper(
+    ViewUpdater(
             GatewayContext context,
             PeerLinks links,
             String prefix,
-            ViewPace refreshPolicy,
+            ViewRefreshPolicy refreshPolicy,
             Consumer<List<KeyChange>> onChanges) {
         this.context = context;
         this.links = links;
         this.prefix = prefix;
-        this.pace = refreshPolicy;
-        this.onNews = onChanges;
-        this.freshNanos = context.nowNanos() - TimeUnit.HOURS.toNanos(1);
-        this.notBeforeNanos = context.nowNanos();
+        this.refreshPolicy = refreshPolicy;
+        this.onChanges = onChanges;
+        this.currentAsOfNanos = context.nowNanos() - TimeUnit.HOURS.toNanos(1);
+        this.nextQueryNanos = context.nowNanos();
     }
 
     String prefix() {
@@ -59,7 +59,7 @@
 
     /** Returns the maximum age of the view in milliseconds. */
     long ageMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - freshNanos);
+        return TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - currentAsOfNanos);
     }
 
     boolean isKnown() {
@@ -68,13 +68,13 @@
 
     /** Queries the store if it is this host's turn; the rank is this host's position among the live ones. */
     void tick(int rank) {
-        if (asking || context.nowNanos() - notBeforeNanos < 0) {
+        if (queryPending || context.nowNanos() - nextQueryNanos < 0) {
             return;
         }
         if (!isKnown()) {
-            list();
-        } else if (ageMillis() >= pace.patienceMillis(rank)) {
-            askChanges();
+            queryListing();
+        } else if (ageMillis() >= refreshPolicy.maxAgeMillis(rank)) {
+            queryChanges();
         }
     }
 
@@ -82,19 +82,19 @@
      * Applies changes that another host forwarded. Returns false if this host lacks the changes before them; it then needs
      * a listing of all entries that the other host knows.
      */
-    boolean passedOn(GatewayMessage.ViewChanges changes) {
+    boolean applyForwardedChanges(GatewayMessage.ViewChanges changes) {
         Optional<List<KeyChange>> newChanges =
                 view.advance(changes.fromRevision(), changes.toRevision(), changes.changes());
         newChanges.ifPresent(
-                found -> refreshed(context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(changes.ageMillis()), found));
+                found -> viewRefreshed(context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(changes.ageMillis()), found));
         return newChanges.isPresent();
     }
 
     /** Applies a listing of all entries that another host knows. */
-    void listed(GatewayMessage.ViewListing listing) {
+    void applyListing(GatewayMessage.ViewListing listing) {
         if (listing.revision() > 0) {
             long readNanos = context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(listing.ageMillis());
-            refreshed(readNanos, view.replace(listing.revision(), listing.entries()));
+            viewRefreshed(readNanos, view.replace(listing.revision(), listing.entries()));
         }
     }
 
@@ -103,20 +103,20 @@
         return new GatewayMessage.ViewListing(prefix, view.revision(), view.entries(), ageMillis());
     }
 
-    private void list() {
-        asking = true;
+    private void queryListing() {
+        queryPending = true;
         long sentNanos = context.nowNanos();
         context.onLoop(context.store().list(prefix, false), (listing, failure) -> {
-            asking = false;
+            queryPending = false;
             if (failure != null) {
-                failed(failure);
+                queryFailed(failure);
                 return;
             }
-            take(listing, sentNanos);
+            applyStoreListing(listing, sentNanos);
         });
     }
 
-    private void take(KeyValueStore.Listing listing, long sentNanos) {
+    private void applyStoreListing(KeyValueStore.Listing listing, long sentNanos) {
         long before = view.revision();
         List<KeyChange> newChanges = view.replace(listing.revision(), listing.entries());
         context.timeline()
@@ -125,40 +125,40 @@
                 .with("revision", listing.revision())
                 .with("before", before)
                 .write();
-        refreshed(sentNanos, newChanges);
+        viewRefreshed(sentNanos, newChanges);
     }
 
-    private void askChanges() {
-        asking = true;
+    private void queryChanges() {
+        queryPending = true;
         long from = view.revision();
-        context.onLoop(context.store().changesAfter(prefix, from, pace.waitMillis()), (changes, failure) -> {
-            asking = false;
+        context.onLoop(context.store().changesAfter(prefix, from, refreshPolicy.waitMillis()), (changes, failure) -> {
+            queryPending = false;
             if (failure != null) {
-                changesFailed(failure);
+                changesQueryFailed(failure);
                 return;
             }
-            take(from, changes);
+            applyStoreChanges(from, changes);
         });
     }
 
-    private void take(long from, PollingKeyValueStore.Changes changes) {
+    private void applyStoreChanges(long from, PollingKeyValueStore.Changes changes) {
         // The store answers on a change or when the wait is over, so the answer is current as of its arrival.
         view.advance(from, changes.revision(), changes.changes())
-                .ifPresent(newChanges -> refreshed(context.nowNanos(), newChanges));
+                .ifPresent(newChanges -> viewRefreshed(context.nowNanos(), newChanges));
         links.tellAll(new GatewayMessage.ViewChanges(prefix, from, changes.revision(), changes.changes(), 0));
     }
 
-    private void changesFailed(Throwable failure) {
+    private void changesQueryFailed(Throwable failure) {
         if (ExternalServiceException.kindOf(failure) == ExternalServiceException.Kind.HISTORY_GONE) {
             // The changes in between are no longer available: only a listing shows which keys were deleted.
-            list();
+            queryListing();
             return;
         }
-        failed(failure);
+        queryFailed(failure);
     }
 
-    private void failed(Throwable failure) {
-        notBeforeNanos = context.nowNanos() + TimeUnit.MILLISECONDS.toNanos(RETRY_MILLIS);
+    private void queryFailed(Throwable failure) {
+        nextQueryNanos = context.nowNanos() + TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS);
         context.timeline()
                 .event(EventKind.VIEW_UNANSWERED)
                 .with("prefix", prefix)
@@ -167,12 +167,12 @@
                 .write();
     }
 
-    private void refreshed(long readNanos, List<KeyChange> newChanges) {
-        if (readNanos - freshNanos > 0) {
-            freshNanos = readNanos;
+    private void viewRefreshed(long readNanos, List<KeyChange> newChanges) {
+        if (readNanos - currentAsOfNanos > 0) {
+            currentAsOfNanos = readNanos;
         }
         if (!newChanges.isEmpty()) {
-            onNews.accept(newChanges);
+            onChanges.accept(newChanges);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/registration/HostRegistration.java
+++ b/src/main/java/org/gooseberryhill/registration/HostRegistration.java
@@ -27,8 +27,8 @@
      */
     private static final long LEASE_MILLIS = 4000;
 
-    private static final long RENEW_MILLIS = 1500;
-    private static final long RETRY_MILLIS = 500;
+    private static final long RENEWAL_PERIOD_MILLIS = 1500;
+    private static final long RETRY_DELAY_MILLIS = 500;
 
     private final ControlLoop loop;
     private final KeyValueStore store;
@@ -51,7 +51,7 @@
 
     /** Starts to keep the key. */
     public void start() {
-        grant();
+        grantLease();
     }
 
     /** Removes the key at a planned stop by revoking its lease, then runs the action. */
@@ -64,21 +64,21 @@
         onLoop(store.revokeLease(lease.get()), (done, failure) -> then.run());
     }
 
-    private void grant() {
+    private void grantLease() {
         if (released) {
             return;
         }
         onLoop(store.grantLease(LEASE_MILLIS), (id, failure) -> {
             if (failure != null) {
-                again(this::grant, failure);
+                retryLater(this::grantLease, failure);
                 return;
             }
             lease = Optional.of(id);
-            write();
+            writeKey();
         });
     }
 
-    private void write() {
+    private void writeKey() {
         if (released || lease.isEmpty()) {
             return;
         }
@@ -86,49 +86,49 @@
         Transaction put = Transaction.builder()
                 .putUnderLease(StoredKeys.host(value.host().id().value()), StoredForms.write(value), lease.get())
                 .build();
-        onLoop(store.write(put), this::writeAnswered);
+        onLoop(store.write(put), this::onWriteCompleted);
     }
 
-    private void writeAnswered(KeyValueStore.WriteResult result, Throwable failure) {
-        if (failure != null && leaseIsGone(failure)) {
-            grant();
+    private void onWriteCompleted(KeyValueStore.WriteResult result, Throwable failure) {
+        if (failure != null && isLeaseGone(failure)) {
+            grantLease();
             return;
         }
         if (failure != null) {
-            again(this::write, failure);
+            retryLater(this::writeKey, failure);
             return;
         }
-        loop.after(RENEW_MILLIS, this::renew);
+        loop.after(RENEWAL_PERIOD_MILLIS, this::renewLease);
     }
 
-    private void renew() {
+    private void renewLease() {
         if (released || lease.isEmpty()) {
             return;
         }
         onLoop(store.renewLease(lease.get()), (leftMillis, failure) -> {
-            if (failure != null && !leaseIsGone(failure)) {
-                again(this::renew, failure);
+            if (failure != null && !isLeaseGone(failure)) {
+                retryLater(this::renewLease, failure);
             } else if (failure != null || leftMillis <= 0) {
                 timeline.event(EventKind.LEASE_LOST).with("lease", lease.get()).write();
-                grant();
+                grantLease();
             } else {
-                loop.after(RENEW_MILLIS, this::renew);
+                loop.after(RENEWAL_PERIOD_MILLIS, this::renewLease);
             }
         });
     }
 
-    private void again(Runnable action, Throwable failure) {
+    private void retryLater(Runnable action, Throwable failure) {
         timeline.event(EventKind.LEASE_UNANSWERED)
                 .with("reason", String.valueOf(failure.getMessage()))
                 .write();
-        loop.after(RETRY_MILLIS, action);
+        loop.after(RETRY_DELAY_MILLIS, action);
     }
 
     private <T> void onLoop(CompletableFuture<T> future, BiConsumer<T, Throwable> completion) {
         future.whenComplete((result, failure) -> loop.execute(() -> completion.accept(result, failure)));
     }
 
-    private static boolean leaseIsGone(Throwable failure) {
+    private static boolean isLeaseGone(Throwable failure) {
         return ExternalServiceException.kindOf(failure) == ExternalServiceException.Kind.LEASE_GONE;
     }
 }
--- a/src/main/java/org/gooseberryhill/route/Route.java
+++ b/src/main/java/org/gooseberryhill/route/Route.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether a service is among the targets. */
-    public boolean mayReach(String service) {
+    public boolean hasTarget(String service) {
         return targets.stream().anyMatch(target -> target.service().equals(service));
     }
 }
--- a/src/test/java/org/gooseberryhill/gateway/DelayWatchTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/ProcessDelayDetectorTest.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class DelayWatchTest {
-    private final DelayWatch watch = new DelayWatch(25);
+class ProcessDelayDetectorTest {
+    private final ProcessDelayDetector detector = new ProcessDelayDetector(25);
     private long steadyMillis = 5_000;
     private long epochMillis = 1_000_000;
 
     @Test
-    void ordinaryTicksAreNotTold() {
+    void regularTicksAreNotReported() {
         assertThat(tick(0, 0)).isEmpty();
         for (int i = 0; i < 100; i++) {
             assertThat(tick(25 + i, 25 + i)).isEmpty();
@@ -20,30 +20,30 @@
     }
 
     @Test
-    void aProcessWithoutProcessorIsTold() {
+    void aProcessWithoutProcessorTimeIsReported() {
         tick(0, 0);
 
-        assertThat(tick(525, 525)).contains(new DelayWatch.Delay(500, 0));
+        assertThat(tick(525, 525)).contains(new ProcessDelayDetector.Delay(500, 0));
     }
 
     /** A host is suspended for three seconds: its monotonic clock does not count them, its wall clock does. */
     @Test
-    void aSuspensionIsToldApart() {
+    void aSuspensionIsReportedSeparately() {
         tick(0, 0);
 
-        assertThat(tick(25, 3025)).contains(new DelayWatch.Delay(3000, 3000));
+        assertThat(tick(25, 3025)).contains(new ProcessDelayDetector.Delay(3000, 3000));
     }
 
     @Test
-    void aClockThatIsSetBackIsNoDelay() {
+    void settingTheWallClockBackIsNotADelay() {
         tick(0, 0);
 
         assertThat(tick(25, -2000)).isEmpty();
     }
 
-    private Optional<DelayWatch.Delay> tick(long steady, long epoch) {
+    private Optional<ProcessDelayDetector.Delay> tick(long steady, long epoch) {
         steadyMillis += steady;
         epochMillis += epoch;
-        return watch.tick(TimeUnit.MILLISECONDS.toNanos(steadyMillis), epochMillis);
+        return detector.tick(TimeUnit.MILLISECONDS.toNanos(steadyMillis), epochMillis);
     }
 }
--- a/src/test/java/org/gooseberryhill/gateway/StartGateTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/StartGateTest.java
@@ -10,33 +10,33 @@
 class StartGateTest {
     private final long startNanos = TimeUnit.SECONDS.toNanos(1);
     private final StartGate gate = new StartGate(startNanos);
-    private final List<String> passed = new ArrayList<>();
+    private final List<String> executed = new ArrayList<>();
 
     /** Requests arrive 0.1 s and 0.3 s after the start, the configuration after 0.4 s: both then continue in their order. */
     @Test
-    void requestsOfTheFirstMomentsGoOnWhenTheHostKnowsEnough() {
-        assertThat(gate.pass(() -> passed.add("one"), after(100))).isTrue();
-        assertThat(gate.pass(() -> passed.add("two"), after(300))).isTrue();
-        assertThat(passed).isEmpty();
+    void requestsHeldDuringTheStartContinueWhenTheHostCanServe() {
+        assertThat(gate.runOrHold(() -> executed.add("one"), after(100))).isTrue();
+        assertThat(gate.runOrHold(() -> executed.add("two"), after(300))).isTrue();
+        assertThat(executed).isEmpty();
 
         gate.open();
 
-        assertThat(passed).containsExactly("one", "two");
-        gate.pass(() -> passed.add("three"), after(500));
-        assertThat(passed).hasSize(3);
+        assertThat(executed).containsExactly("one", "two");
+        gate.runOrHold(() -> executed.add("three"), after(500));
+        assertThat(executed).hasSize(3);
     }
 
     /** The store is unavailable: a held request is released after 1.5 s, to be refused, and later ones are not held. */
     @Test
-    void nobodyWaitsForAStoreThatIsOut() {
-        gate.pass(() -> passed.add("one"), after(100));
+    void requestsAreNotHeldForLongWhileTheStoreIsUnavailable() {
+        gate.runOrHold(() -> executed.add("one"), after(100));
         gate.tick(after(1400));
-        assertThat(passed).isEmpty();
+        assertThat(executed).isEmpty();
 
         gate.tick(after(1501));
 
-        assertThat(passed).containsExactly("one");
-        assertThat(gate.pass(() -> passed.add("two"), after(1600))).isFalse();
+        assertThat(executed).containsExactly("one");
+        assertThat(gate.runOrHold(() -> executed.add("two"), after(1600))).isFalse();
     }
 
     private long after(long millis) {
--- a/src/test/java/org/gooseberryhill/gateway/TrafficDelayTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/TrafficDelayDetectorTest.java
@@ -9,23 +9,23 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class TrafficDelayTest {
+class TrafficDelayDetectorTest {
     private final Queue<Runnable> tasks = new ArrayDeque<>();
     private final List<Long> delays = new ArrayList<>();
     private long nowNanos;
-    private final TrafficDelay delay = new TrafficDelay(tasks::add, () -> nowNanos, delays::add);
+    private final TrafficDelayDetector detector = new TrafficDelayDetector(tasks::add, () -> nowNanos, delays::add);
 
     @Test
-    void aTrafficThreadThatIsLateIsNoticed() {
-        delay.measure();
+    void aLateTrafficThreadIsReported() {
+        detector.measure();
         runAfter(500);
 
         assertThat(delays).containsExactly(500L);
     }
 
     @Test
-    void anOrdinaryDelayIsNotWorthALine() {
-        delay.measure();
+    void aShortDelayIsNotReported() {
+        detector.measure();
         runAfter(20);
 
         assertThat(delays).isEmpty();
@@ -33,13 +33,13 @@
 
     /** Guards against measurements that accumulate in the queue of a blocked thread. */
     @Test
-    void onlyOneMeasurementWaitsAtATime() {
-        delay.measure();
-        delay.measure();
+    void onlyOneMeasurementIsPendingAtATime() {
+        detector.measure();
+        detector.measure();
         assertThat(tasks).hasSize(1);
 
         runAfter(1);
-        delay.measure();
+        detector.measure();
         assertThat(tasks).hasSize(1);
     }
 
--- a/src/test/java/org/gooseberryhill/route/RouteTableTest.java
+++ b/src/test/java/org/gooseberryhill/route/RouteTableTest.java
@@ -14,33 +14,33 @@
 
     @Test
     void theLongestPrefixOfTheHostWins() {
-        assertThat(found("a.example", "/x/y/z")).contains("deep");
-        assertThat(found("a.example", "/x/yz")).contains("root");
-        assertThat(found("b.example", "/x/y/z")).contains("b");
+        assertThat(findRouteName("a.example", "/x/y/z")).contains("deep");
+        assertThat(findRouteName("a.example", "/x/yz")).contains("root");
+        assertThat(findRouteName("b.example", "/x/y/z")).contains("b");
     }
 
     @Test
     void aPrefixBeginsAndEndsAtASlash() {
-        assertThat(found("b.example", "/xy/z")).isEmpty();
-        assertThat(found("b.example", "/x")).isEmpty();
-        assertThat(found("b.example", "/x/")).contains("b");
+        assertThat(findRouteName("b.example", "/xy/z")).isEmpty();
+        assertThat(findRouteName("b.example", "/x")).isEmpty();
+        assertThat(findRouteName("b.example", "/x/")).contains("b");
     }
 
     @Test
-    void theQueryIsNoPartOfThePath() {
-        assertThat(found("b.example", "/y?to=/x/")).isEmpty();
-        assertThat(found("b.example", "/x/?q=/y/")).contains("b");
+    void theQueryIsNotPartOfThePath() {
+        assertThat(findRouteName("b.example", "/y?to=/x/")).isEmpty();
+        assertThat(findRouteName("b.example", "/x/?q=/y/")).contains("b");
     }
 
     @Test
-    void theHostIsComparedWithoutPortAndCase() {
-        assertThat(found("B.Example:8080", "/x/1")).contains("b");
-        assertThat(found("c.example", "/x/1")).isEmpty();
-        assertThat(found("", "/x/1")).isEmpty();
+    void theHostMatchesWithoutPortAndCase() {
+        assertThat(findRouteName("B.Example:8080", "/x/1")).contains("b");
+        assertThat(findRouteName("c.example", "/x/1")).isEmpty();
+        assertThat(findRouteName("", "/x/1")).isEmpty();
     }
 
     @Test
-    void hundredsOfRoutesChangeNothingForTheFirst() {
+    void aRouteIsFoundAmongAThousand() {
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             routes.add(route("r" + i, "a.example", "/p" + i + "/"));
@@ -51,14 +51,14 @@
     }
 
     @Test
-    void onlyWhatMayBeRepeatedIsRepeatable() {
-        assertThat(kind(RouteKind.SAFE, false).isRepeatable()).isTrue();
-        assertThat(kind(RouteKind.UNSAFE, true).isRepeatable()).isFalse();
-        assertThat(kind(RouteKind.STREAM, false).isRepeatable()).isFalse();
-        assertThat(kind(RouteKind.STREAM, true).isRepeatable()).isTrue();
+    void onlySafeRoutesAndResumableStreamsAreRepeatable() {
+        assertThat(routeOfKind(RouteKind.SAFE, false).isRepeatable()).isTrue();
+        assertThat(routeOfKind(RouteKind.UNSAFE, true).isRepeatable()).isFalse();
+        assertThat(routeOfKind(RouteKind.STREAM, false).isRepeatable()).isFalse();
+        assertThat(routeOfKind(RouteKind.STREAM, true).isRepeatable()).isTrue();
     }
 
-    private Optional<String> found(String host, String target) {
+    private Optional<String> findRouteName(String host, String target) {
         return table.find(host, target).map(Route::name);
     }
 
@@ -66,7 +66,7 @@
         return new RouteTable(new RouteConfiguration(1, List.of(routes), Map.of(), ClientLimits.DEFAULT));
     }
 
-    private static Route kind(RouteKind kind, boolean resumable) {
+    private static Route routeOfKind(RouteKind kind, boolean resumable) {
         return new Route(
                 "r", "h", "/", kind, List.of(new RouteTarget("s", 1)), 1000, 100, 2, 0, resumable, false, 0, 0, 0);
     }
