--- a/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
+++ b/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
@@ -4,10 +4,10 @@
 import org.gooseberryhill.decision.dispatch.HealthChange;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Tries connections to endpoints that could not be reached, and tells which are left out. For the control thread. */
+/** Probes endpoints that could not be reached, and logs changes of endpoint health. For the control thread. */
 final class EndpointProbes {
-    /** As long as a request waits for its connection. */
-    private static final int CONNECT_MILLIS = 300;
+    /** Same as the connect timeout of a request. */
+    private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private final GatewayContext context;
 
@@ -15,19 +15,19 @@
         this.context = context;
     }
 
-    /** Tries what is due; called often. */
+    /** Probes the endpoints that are due and logs changes of health; called periodically. */
     void tick() {
         context.fleet().takeProbes(context.nowNanos()).forEach(this::probe);
-        context.fleet().takeHealthChanges().forEach(this::tell);
+        context.fleet().takeHealthChanges().forEach(this::logHealthChange);
     }
 
     private void probe(FleetEndpoint endpoint) {
         context.onLoop(
-                context.http().probe(endpoint.entry().address(), CONNECT_MILLIS),
+                context.http().probe(endpoint.entry().address(), CONNECT_TIMEOUT_MILLIS),
                 (done, failure) -> context.fleet().probed(endpoint.key(), failure == null, context.nowNanos()));
     }
 
-    private void tell(HealthChange change) {
+    private void logHealthChange(HealthChange change) {
         context.timeline()
                 .event(EventKind.ENDPOINT_HEALTH)
                 .endpoint(change.endpoint().id())
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
@@ -9,12 +9,15 @@
 import org.gooseberryhill.metrics.LabeledHistogram;
 import org.gooseberryhill.metrics.MetricSet;
 
-/** The metrics of one gateway; names and labels are in docs/OPERATIONS.md. Thread-safe. */
+/** Metrics of one gateway; their names and labels are documented in docs/OPERATIONS.md. Thread-safe. */
 final class GatewayMetrics {
-    /** Values of a label that are told apart; a configuration may grow by hundreds of routes, and endpoints come and go. */
+    /**
+     * Maximum number of distinct values of a label, since a configuration may grow by hundreds of routes, and endpoints
+     * come and go.
+     */
     private static final int MAX_LABEL_VALUES = 64;
 
-    private static final String OTHER = "other";
+    private static final String OTHER_LABEL = "other";
 
     private final MetricSet metrics = new MetricSet();
     private final Set<String> routes = ConcurrentHashMap.newKeySet();
@@ -32,26 +35,26 @@
     private final LabeledCounter items =
             metrics.counter("gooseberry_item_runs", "Runs of items of request batches by their end", "end");
 
-    /** All metrics, as they are read. */
+    /** Returns all metrics for export. */
     MetricSet all() {
         return metrics;
     }
 
-    /** Adds a value that is read when the metrics are. */
+    /** Adds a gauge whose value is read when the metrics are read. */
     void gauge(String name, String help, DoubleSupplier value) {
         metrics.gauge(name, help, value);
     }
 
     void requestEnded(String route, String end) {
-        requests.add(bounded(routes, route), end);
+        requests.add(boundedLabel(routes, route), end);
     }
 
     void firstByte(String route, double seconds) {
-        latency.observe(seconds, bounded(routes, route));
+        latency.observe(seconds, boundedLabel(routes, route));
     }
 
     void attemptEnded(String endpoint, AttemptEnd end, double seconds) {
-        String label = bounded(endpoints, endpoint);
+        String label = boundedLabel(endpoints, endpoint);
         attempts.add(label, end.name());
         attemptLatency.observe(seconds, label);
     }
@@ -60,12 +63,12 @@
         items.add(end.name());
     }
 
-    private static String bounded(Set<String> known, String value) {
+    private static String boundedLabel(Set<String> known, String value) {
         if (known.contains(value)) {
             return value;
         }
         if (known.size() >= MAX_LABEL_VALUES) {
-            return OTHER;
+            return OTHER_LABEL;
         }
         known.add(value);
         return value;
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -45,37 +45,37 @@
 /**
  * The program {@code gooseberry-gateway}. Thread-safe.
  *
- * <p>Invariant: control state lives on the control thread; one traffic thread carries all connections, since the hosts
- * have one core.
+ * <p>Invariant: control state is confined to the control thread; one traffic thread serves all connections, since the
+ * hosts have one core.
  */
 public final class GatewayProcess implements Closeable {
     private static final int TRAFFIC_THREADS = 1;
-    private static final long TICK_MILLIS = 25;
+    private static final long TICK_PERIOD_MILLIS = 25;
 
-    /** For what is counted in tenths of a second: hosts that are lost, endpoints that are tried again. */
-    private static final long SLOW_TICK_MILLIS = 100;
+    /** Period of work that is due within tenths of a second: detecting lost hosts, probing endpoints. */
+    private static final long SLOW_TICK_PERIOD_MILLIS = 100;
 
-    private static final long BEAT_MILLIS = 1000;
+    private static final long HEARTBEAT_PERIOD_MILLIS = 1000;
 
     /**
-     * Between looks through the records of batches, each a call of every host. A host that is lost brings a look of its
-     * own; this one finds what no event tells: a write that was done after its answer was lost.
+     * Period of the scans of batch records, each of which is a store call of every host. The loss of a host triggers a scan
+     * of its own; the periodic scan finds what no event reports: a write that was applied although its answer was lost.
      */
-    private static final long LOOK_MILLIS = 4000;
+    private static final long RECORD_SCAN_PERIOD_MILLIS = 4000;
 
     /**
-     * How long all requests are taken in and connections that wait are kept after a stop was asked for: the balancer asks
-     * each second and takes a host out after two answers. Half of the stop's bound if that is shorter.
+     * Time after a stop request during which all requests are accepted and idle connections are kept: the balancer polls
+     * each second and removes a host after two answers. Half of the stop's time limit if that is shorter.
      */
     private static final long STOP_GRACE_MILLIS = 2600;
 
-    private static final long GROUP_SHUTDOWN_MILLIS = 100;
+    private static final long GROUP_SHUTDOWN_TIMEOUT_MILLIS = 100;
 
-    /** How long a line of the ordinary course may wait for others: a host that is lost loses no more of them. */
-    private static final long LOG_FLUSH_MILLIS = 250;
+    /** Maximum time that a routine log line is buffered: a lost host loses the lines of this period at most. */
+    private static final long LOG_FLUSH_PERIOD_MILLIS = 250;
 
-    /** How long a request that crashed endpoints stays apart. */
-    private static final long SUSPECT_MEMORY_MILLIS = 60_000;
+    /** Time for which a request that crashed endpoints is remembered and isolated. */
+    private static final long SUSPECT_RETENTION_MILLIS = 60_000;
 
     private static final int MAX_SUSPECTS = 10_000;
     private static final int MAX_REQUEST_LINE_BYTES = 8192;
@@ -84,7 +84,7 @@
     private volatile GatewaySettings settings;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(TRAFFIC_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
-    private final StoreReach reach = new StoreReach();
+    private final StoreReach storeReachability = new StoreReach();
     private final RelayedStore store;
     private final GatewayContext context;
     private final PeerLinks links;
@@ -92,7 +92,7 @@
     private final LoadExchange load;
     private final CrashTracking crashes;
     private final GatewayTraffic traffic;
-    private final FrontRouter router;
+    private final RequestRouter requestRouter;
     private final HostRegistration registration;
     private final EndpointProbes probes;
     private final GatewayViews views;
@@ -103,10 +103,11 @@
     private final BatchDesk desk;
     private final BatchTakeover takeover;
     private final BatchHandOver handOver;
-    private final GatewayMessages messages;
+    private final GatewayMessageHandler messages;
     private final LogSink log = new LogSink();
-    private final DelayWatch delayWatch = new DelayWatch(TICK_MILLIS);
-    private final TrafficDelay trafficDelay = new TrafficDelay(group, System::nanoTime, this::trafficDelayed);
+    private final ProcessDelayDetector processDelayDetector = new ProcessDelayDetector(TICK_PERIOD_MILLIS);
+    private final TrafficDelayDetector trafficDelayDetector =
+            new TrafficDelayDetector(group, System::nanoTime, this::trafficDelayed);
     private final Readiness readiness;
     private final StopSequence stop;
     private final AtomicBoolean closed = new AtomicBoolean();
@@ -116,15 +117,16 @@
     private Optional<MetricsServer> metricsServer = Optional.empty();
     private volatile RouteTable table = RouteTable.EMPTY;
 
-    /** A process that is not started yet; the store is made with the process's own HTTP client. */
+    /** Creates a process that is not started yet; the factory creates the store with the HTTP client of the process. */
     public GatewayProcess(GatewaySettings settings, Dialects dialects, KeyValueStoreFactory storeFactory, long seed) {
         this.settings = settings;
         Random random = new Random(seed);
         HostId self = settings.self().id();
         HttpClient http = new HttpClient(group);
         Fleet fleet = new Fleet(http::hasKept);
-        this.store = new RelayedStore(storeFactory.create(http), reach, this::askHelpers, this::storeReachChanged);
-        CrashSuspects suspects = new CrashSuspects(SUSPECT_MEMORY_MILLIS, MAX_SUSPECTS);
+        this.store = new RelayedStore(
+                storeFactory.create(http), storeReachability, this::relayStoreCall, this::storeReachabilityChanged);
+        CrashSuspects suspects = new CrashSuspects(SUSPECT_RETENTION_MILLIS, MAX_SUSPECTS);
         DispatchPolicies policies = DispatchPolicies.product(random);
         this.context = new GatewayContext(
                 () -> this.settings,
@@ -141,7 +143,7 @@
                 new GatewayMetrics());
         this.links = new PeerLinks(context);
         this.helpers = new StoreHelpers(context, links, random);
-        this.load = new LoadExchange(context, links, reach);
+        this.load = new LoadExchange(context, links, storeReachability);
         this.crashes = new CrashTracking(context, links, suspects);
         this.traffic = new GatewayTraffic(context, crashes, this::loadChanged, this::directoryAgeMillis);
         this.registration = new HostRegistration(
@@ -167,20 +169,20 @@
         StartGate gate = new StartGate(context.nowNanos());
         this.readiness = new Readiness(context, gate);
         this.stop = new StopSequence(
-                context, traffic, runner, handOver, registration, this::callersServer, this::stopAsked);
-        this.messages = new GatewayMessages(context, load, views, crashes, board, desk, ending, takeover, store);
-        this.router = new FrontRouter(context, traffic, intake, desk, gate, random);
+                context, traffic, runner, handOver, registration, this::callersServer, this::stopRequested);
+        this.messages = new GatewayMessageHandler(context, load, views, crashes, board, desk, ending, takeover, store);
+        this.requestRouter = new RequestRouter(context, traffic, intake, desk, gate, random);
     }
 
-    /** Starts serving at the addresses of its settings. */
+    /** Starts serving at the addresses in the settings. */
     public void start() {
         start(ListeningSocket.open(settings.callersAddress()));
     }
 
-    /** Starts serving, callers at a socket that listens already. */
+    /** Starts serving, with callers at a socket that is already listening. */
     public void start(ListeningSocket callers) {
-        // The store is asked first: its answers come while the rest of the start takes its time.
-        context.loop().execute(this::begin);
+        // The store is queried first, so that its answers arrive during the rest of the start.
+        context.loop().execute(this::startOnControlThread);
         peerServer = Optional.of(new PeerServer(
                 group,
                 settings.self().id(),
@@ -188,7 +190,7 @@
                 clock,
                 context.peers().traffic(),
                 messages::handle));
-        callersServer = Optional.of(HttpServer.start(group, callers, this::limits, router::route));
+        callersServer = Optional.of(HttpServer.start(group, callers, this::limits, requestRouter::route));
         readinessServer = Optional.of(
                 HttpServer.start(group, settings.readinessAddress(), HttpLimits.DEFAULT, readiness::answer));
         settings.metricsAddress().ifPresent(this::startMetrics);
@@ -201,8 +203,8 @@
     }
 
     /**
-     * Takes in settings that were read again; from any thread. Identity and addresses stay those of the start, since peers
-     * and callers know them: a change of these is told and waits for the next start.
+     * Applies reloaded settings; may be called from any thread. Identity and addresses stay as they were at the start, since
+     * peers and callers know them: a change of these is logged and takes effect at the next start.
      */
     public void reload(GatewaySettings newSettings) {
         context.loop().execute(() -> {
@@ -217,7 +219,7 @@
         });
     }
 
-    /** Settings that were read again can't be used; those in force stay. From any thread. */
+    /** Logs that reloaded settings are invalid; the settings in force stay. May be called from any thread. */
     public void rejectSettings(String finding) {
         context.timeline()
                 .event(EventKind.SETTINGS_REJECTED)
@@ -225,20 +227,20 @@
                 .write();
     }
 
-    /** Asks for the planned stop, whose time begins now; from any thread, any number of times. */
+    /** Requests the planned stop, whose time limit starts now; may be called from any thread and repeatedly. */
     public void askStop() {
         long askedNanos = context.nowNanos();
         context.loop().execute(() -> stop.ask(askedNanos));
     }
 
-    /** Completes when the planned stop is over. */
+    /** Returns a future that completes when the planned stop is over. */
     public CompletableFuture<Void> ended() {
         return stop.ended();
     }
 
-    /** Writes what the log still holds, in a time in milliseconds at the most. */
-    public void finishLog(long millis) {
-        log.finish(millis);
+    /** Writes the buffered log lines, within a timeout in milliseconds. */
+    public void finishLog(long timeoutMillis) {
+        log.finish(timeoutMillis);
     }
 
     @Override
@@ -253,8 +255,8 @@
         metricsServer.ifPresent(MetricsServer::close);
         context.peers().close();
         context.http().close();
-        group.shutdownGracefully(0, GROUP_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
-                .awaitUninterruptibly(2 * GROUP_SHUTDOWN_MILLIS);
+        group.shutdownGracefully(0, GROUP_SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly(2 * GROUP_SHUTDOWN_TIMEOUT_MILLIS);
     }
 
     private void startMetrics(Address address) {
@@ -273,21 +275,21 @@
         metricsServer = Optional.of(new MetricsServer(group, context, address));
     }
 
-    private void begin() {
+    private void startOnControlThread() {
         registration.start();
         views.start();
-        context.loop().every(TICK_MILLIS, this::tick);
-        context.loop().every(SLOW_TICK_MILLIS, this::slowTick);
-        context.loop().every(BEAT_MILLIS, load::beat);
-        context.loop().every(BEAT_MILLIS, trafficDelay::measure);
-        context.loop().every(LOG_FLUSH_MILLIS, log::flush);
-        context.loop().every(LOOK_MILLIS, () -> takeover.look(true));
-        // What an earlier process of this host left behind waits for nobody else.
+        context.loop().every(TICK_PERIOD_MILLIS, this::tick);
+        context.loop().every(SLOW_TICK_PERIOD_MILLIS, this::slowTick);
+        context.loop().every(HEARTBEAT_PERIOD_MILLIS, load::sendHeartbeat);
+        context.loop().every(HEARTBEAT_PERIOD_MILLIS, trafficDelayDetector::measure);
+        context.loop().every(LOG_FLUSH_PERIOD_MILLIS, log::flush);
+        context.loop().every(RECORD_SCAN_PERIOD_MILLIS, () -> takeover.look(true));
+        // Batches that an earlier process of this host owned can be taken over without waiting for other hosts.
         takeover.look(false);
     }
 
     private void tick() {
-        delayWatch
+        processDelayDetector
                 .tick(context.nowNanos(), System.currentTimeMillis())
                 .ifPresent(delay -> context.timeline()
                         .event(EventKind.PROCESS_DELAYED)
@@ -316,12 +318,12 @@
     }
 
     private void updateReadiness() {
-        boolean knowsEnough = views.areKnown() && !table.configuration().isEmpty();
-        readiness.update(knowsEnough, context.stop().phase() != PlannedStop.Phase.SERVING);
+        boolean canRoute = views.areKnown() && !table.configuration().isEmpty();
+        readiness.update(canRoute, context.stop().phase() != PlannedStop.Phase.SERVING);
     }
 
     private void loadChanged() {
-        load.changed();
+        load.scheduleReport();
     }
 
     private void endpointsChanged() {
@@ -334,9 +336,9 @@
             return;
         }
         table = new RouteTable(configuration);
-        router.configure(table);
+        requestRouter.configure(table);
         batchRoutes.configure(table);
-        traffic.configured(configuration.version());
+        traffic.setConfigurationVersion(configuration.version());
         context.timeline()
                 .event(EventKind.CONFIGURATION_IN_FORCE)
                 .with("version", configuration.version())
@@ -346,16 +348,16 @@
         runner.balance();
     }
 
-    /** From any thread. */
-    private void storeReachChanged(boolean reached, String reason) {
+    /** Logs that the store was lost or regained; may be called from any thread. */
+    private void storeReachabilityChanged(boolean reached, String reason) {
         context.timeline()
                 .event(reached ? EventKind.STORE_REGAINED : EventKind.STORE_LOST)
                 .with("reason", reason)
                 .write();
     }
 
-    /** Has another host call the store; from any thread. */
-    private CompletableFuture<PeerMessage> askHelpers(GatewayMessage.StoreCall call, long timeoutMillis) {
+    /** Asks another host to call the store; may be called from any thread. */
+    private CompletableFuture<PeerMessage> relayStoreCall(GatewayMessage.StoreCall call, long timeoutMillis) {
         return helpers.ask(call, timeoutMillis);
     }
 
@@ -367,9 +369,9 @@
         return callersServer.orElseThrow();
     }
 
-    private void stopAsked() {
+    private void stopRequested() {
         updateReadiness();
-        load.beat();
+        load.sendHeartbeat();
     }
 
     private HttpLimits limits() {
--- a/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
+++ b/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
@@ -7,48 +7,48 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Tells the other gateways what this host has in flight at endpoints, and takes in what they have. For the control thread.
+ * Exchanges reports of the requests in flight at endpoints with the other gateways. For the control thread.
  *
- * <p>A change is told within some tens of milliseconds, several of them together; all is told again each second, which also shows that
- * the host lives.
+ * <p>Changes are reported within some tens of milliseconds, several of them together; the report is repeated each second,
+ * which also shows that the host is alive.
  */
 final class LoadExchange {
-    /** Changes within this time go out together; meanwhile a service of some hundred requests a second gets a few. */
-    private static final long GATHER_MILLIS = 25;
+    /** Changes within this time are sent together; a service with some hundred requests per second gets a few meanwhile. */
+    private static final long COALESCING_MILLIS = 25;
 
     private final GatewayContext context;
     private final PeerLinks links;
-    private final StoreReach reach;
-    private boolean scheduled;
+    private final StoreReach storeReachability;
+    private boolean reportScheduled;
 
-    LoadExchange(GatewayContext context, PeerLinks links, StoreReach reach) {
+    LoadExchange(GatewayContext context, PeerLinks links, StoreReach storeReachability) {
         this.context = context;
         this.links = links;
-        this.reach = reach;
+        this.storeReachability = storeReachability;
     }
 
-    /** What this host has in flight has changed. */
-    void changed() {
-        if (scheduled) {
+    /** Schedules a report after a change of this host's requests in flight. */
+    void scheduleReport() {
+        if (reportScheduled) {
             return;
         }
-        scheduled = true;
-        context.loop().after(GATHER_MILLIS, () -> {
-            scheduled = false;
+        reportScheduled = true;
+        context.loop().after(COALESCING_MILLIS, () -> {
+            reportScheduled = false;
             links.tellAll(report());
         });
     }
 
-    /** Tells all, asks for a sign of life, and forgets hosts that gave none. */
-    void beat() {
+    /** Sends a report to all gateways, whose replies show that they are alive, and removes hosts that are silent. */
+    void sendHeartbeat() {
         PeerMessage report = report();
         links.gateways()
                 .forEach(host -> context.onLoop(links.ask(host, report), (reply, failure) -> {
                     if (failure == null) {
-                        links.answered(host.id());
+                        links.recordAnswer(host.id());
                     }
                 }));
-        for (HostId host : links.takeSilent()) {
+        for (HostId host : links.takeSilentHosts()) {
             context.fleet().lost(host);
             context.timeline()
                     .event(EventKind.PEER_SILENT)
@@ -57,9 +57,9 @@
         }
     }
 
-    /** Another host's report came. */
-    void heard(HostId from, GatewayMessage.InFlightReport report) {
-        links.heard(from, report);
+    /** Records the report of another host. */
+    void onReport(HostId from, GatewayMessage.InFlightReport report) {
+        links.recordReport(from, report);
         context.fleet().reported(from, report.inFlight(), context.nowNanos());
     }
 
@@ -68,7 +68,7 @@
         return new GatewayMessage.InFlightReport(
                 context.processStart(),
                 leaving,
-                reach.isDirect(),
+                storeReachability.isDirect(),
                 context.fleet().own());
     }
 }
--- /dev/null
+++ b/src/main/java/org/gooseberryhill/gateway/ProcessDelayDetector.java
@@ -0,0 +1,55 @@
+package org.gooseberryhill.gateway;
+
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Detects that the process was not running for a while: its requests waited although nothing that they used was slow.
+ * Not thread-safe.
+ *
+ * <p>Two clocks are compared, since the monotonic clock of a suspended host stops with it. A step of the wall clock is
+ * reported as well, because it cannot be distinguished from a suspension.
+ */
+final class ProcessDelayDetector {
+    /** Shorter delays are normal on a host with a share of one core. */
+    static final long MIN_REPORTED_MILLIS = 200;
+
+    private final long periodMillis;
+    private OptionalLong lastNanos = OptionalLong.empty();
+    private long lastEpochMillis;
+
+    /**
+     * Creates a detector.
+     *
+     * @param periodMillis expected time between two ticks
+     */
+    ProcessDelayDetector(long periodMillis) {
+        this.periodMillis = periodMillis;
+    }
+
+    /** Takes the current time of both clocks; returns the delay of this tick if it is long enough to be reported. */
+    Optional<Delay> tick(long nowNanos, long nowEpochMillis) {
+        OptionalLong before = lastNanos;
+        long epochMillis = nowEpochMillis - lastEpochMillis;
+        lastNanos = OptionalLong.of(nowNanos);
+        lastEpochMillis = nowEpochMillis;
+        if (before.isEmpty()) {
+            return Optional.empty();
+        }
+        long steadyMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - before.getAsLong());
+        long suspendedMillis = Math.max(0, epochMillis - steadyMillis);
+        long lateMillis = Math.max(steadyMillis, epochMillis) - periodMillis;
+        return lateMillis < MIN_REPORTED_MILLIS
+                ? Optional.empty()
+                : Optional.of(new Delay(lateMillis, suspendedMillis));
+    }
+
+    /**
+     * Time for which the process was not running. Immutable.
+     *
+     * @param millis delay of a tick
+     * @param suspendedMillis part of it that the monotonic clock did not count
+     */
+    record Delay(long millis, long suspendedMillis) {}
+}
--- /dev/null
+++ b/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
@@ -0,0 +1,178 @@
+package org.gooseberryhill.gateway;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.gooseberryhill.external.ExternalServiceException;
+import org.gooseberryhill.external.KeyChange;
+import org.gooseberryhill.external.KeyValueStore;
+import org.gooseberryhill.external.PollingKeyValueStore;
+import org.gooseberryhill.peer.GatewayMessage;
+import org.gooseberryhill.timeline.EventKind;
+import org.gooseberryhill.view.KeyView;
+
+/**
+ * Keeps the view of one key prefix up to date, from the store and from what other hosts read there. Used by the control
+ * thread only.
+ *
+ * <p>Each store call has a cost, and all hosts need the same changes: the host whose turn it is queries the store and
+ * forwards the changes; the others query only when their view exceeds their own, larger maximum age. No host is elected
+ * for this, so that updates continue when any host is lost.
+ */
+final class ViewUpdater {
+    /** A failed query is not repeated sooner, since refused calls have a cost too. */
+    private static final long RETRY_DELAY_MILLIS = 300;
+
+    private final GatewayContext context;
+    private final PeerLinks links;
+    private final String prefix;
+    private final ViewRefreshPolicy refreshPolicy;
+    private final Consumer<List<KeyChange>> onChanges;
+    private final KeyView view = new KeyView();
+    private boolean queryPending;
+    private long currentAsOfNanos;
+    private long nextQueryNanos;
+
+    ViewUpdater(
+            GatewayContext context,
+            PeerLinks links,
+            String prefix,
+            ViewRefreshPolicy refreshPolicy,
+            Consumer<List<KeyChange>> onChanges) {
+        this.context = context;
+        this.links = links;
+        this.prefix = prefix;
+        this.refreshPolicy = refreshPolicy;
+        this.onChanges = onChanges;
+        this.currentAsOfNanos = context.nowNanos() - TimeUnit.HOURS.toNanos(1);
+        this.nextQueryNanos = context.nowNanos();
+    }
+
+    String prefix() {
+        return prefix;
+    }
+
+    KeyView view() {
+        return view;
+    }
+
+    /** Returns the maximum age of the view in milliseconds. */
+    long ageMillis() {
+        return TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - currentAsOfNanos);
+    }
+
+    boolean isKnown() {
+        return view.revision() > 0;
+    }
+
+    /** Queries the store if it is this host's turn; the rank is this host's position among the live ones. */
+    void tick(int rank) {
+        if (queryPending || context.nowNanos() - nextQueryNanos < 0) {
+            return;
+        }
+        if (!isKnown()) {
+            queryListing();
+        } else if (ageMillis() >= refreshPolicy.maxAgeMillis(rank)) {
+            queryChanges();
+        }
+    }
+
+    /**
+     * Applies changes that another host forwarded. Returns false if this host lacks the changes before them; it then needs
+     * a listing of all entries that the other host knows.
+     */
+    boolean applyForwardedChanges(GatewayMessage.ViewChanges changes) {
+        Optional<List<KeyChange>> newChanges =
+                view.advance(changes.fromRevision(), changes.toRevision(), changes.changes());
+        newChanges.ifPresent(
+                found -> viewRefreshed(context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(changes.ageMillis()), found));
+        return newChanges.isPresent();
+    }
+
+    /** Applies a listing of all entries that another host knows. */
+    void applyListing(GatewayMessage.ViewListing listing) {
+        if (listing.revision() > 0) {
+            long readNanos = context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(listing.ageMillis());
+            viewRefreshed(readNanos, view.replace(listing.revision(), listing.entries()));
+        }
+    }
+
+    /** Returns a listing of all entries that this host knows, for another host. */
+    GatewayMessage.ViewListing listing() {
+        return new GatewayMessage.ViewListing(prefix, view.revision(), view.entries(), ageMillis());
+    }
+
+    private void queryListing() {
+        queryPending = true;
+        long sentNanos = context.nowNanos();
+        context.onLoop(context.store().list(prefix, false), (listing, failure) -> {
+            queryPending = false;
+            if (failure != null) {
+                queryFailed(failure);
+                return;
+            }
+            applyStoreListing(listing, sentNanos);
+        });
+    }
+
+    private void applyStoreListing(KeyValueStore.Listing listing, long sentNanos) {
+        long before = view.revision();
+        List<KeyChange> newChanges = view.replace(listing.revision(), listing.entries());
+        context.timeline()
+                .event(EventKind.VIEW_LISTED)
+                .with("prefix", prefix)
+                .with("revision", listing.revision())
+                .with("before", before)
+                .write();
+        viewRefreshed(sentNanos, newChanges);
+    }
+
+    private void queryChanges() {
+        queryPending = true;
+        long from = view.revision();
+        context.onLoop(context.store().changesAfter(prefix, from, refreshPolicy.waitMillis()), (changes, failure) -> {
+            queryPending = false;
+            if (failure != null) {
+                changesQueryFailed(failure);
+                return;
+            }
+            applyStoreChanges(from, changes);
+        });
+    }
+
+    private void applyStoreChanges(long from, PollingKeyValueStore.Changes changes) {
+        // The store answers on a change or when the wait is over, so the answer is current as of its arrival.
+        view.advance(from, changes.revision(), changes.changes())
+                .ifPresent(newChanges -> viewRefreshed(context.nowNanos(), newChanges));
+        links.tellAll(new GatewayMessage.ViewChanges(prefix, from, changes.revision(), changes.changes(), 0));
+    }
+
+    private void changesQueryFailed(Throwable failure) {
+        if (ExternalServiceException.kindOf(failure) == ExternalServiceException.Kind.HISTORY_GONE) {
+            // The changes in between are no longer available: only a listing shows which keys were deleted.
+            queryListing();
+            return;
+        }
+        queryFailed(failure);
+    }
+
+    private void queryFailed(Throwable failure) {
+        nextQueryNanos = context.nowNanos() + TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS);
+        context.timeline()
+                .event(EventKind.VIEW_UNANSWERED)
+                .with("prefix", prefix)
+                .with("reason", String.valueOf(failure.getMessage()))
+                .with("ageMillis", ageMillis())
+                .write();
+    }
+
+    private void viewRefreshed(long readNanos, List<KeyChange> newChanges) {
+        if (readNanos - currentAsOfNanos > 0) {
+            currentAsOfNanos = readNanos;
+        }
+        if (!newChanges.isEmpty()) {
+            onChanges.accept(newChanges);
+        }
+    }
+}
--- a/src/main/java/org/gooseberryhill/registration/HostRegistration.java
+++ b/src/main/java/org/gooseberryhill/registration/HostRegistration.java
@@ -17,17 +17,18 @@
 /**
  * Keeps this host's key among those of the live hosts, under a lease. Used by the control thread only.
  *
- * <p>A host that is lost disappears by its lease; one whose lease lapsed in an outage is back with its next renewal.
+ * <p>The key of a lost host disappears when its lease expires; a host whose lease expired during an outage of the store is
+ * listed again with its next renewal.
  */
 public final class HostRegistration {
     /**
-     * Long enough to outlast a lost renewal and its repetition; batches of a lost host wait as long. A host whose lease
-     * lapses all the same is known to live by its reports, and takes a new one.
+     * Long enough to outlast a lost renewal and its retry; the batches of a lost host wait for as long. A host whose lease
+     * expires nevertheless is known to be alive by its reports, and requests a new lease.
      */
     private static final long LEASE_MILLIS = 4000;
 
-    private static final long RENEW_MILLIS = 1500;
-    private static final long RETRY_MILLIS = 500;
+    private static final long RENEWAL_PERIOD_MILLIS = 1500;
+    private static final long RETRY_DELAY_MILLIS = 500;
 
     private final ControlLoop loop;
     private final KeyValueStore store;
@@ -37,9 +38,9 @@
     private boolean released;
 
     /**
-     * The key of a host.
+     * Creates the registration of a host.
      *
-     * @param self what the key says
+     * @param self supplies the value of the key
      */
     public HostRegistration(ControlLoop loop, KeyValueStore store, Timeline timeline, Supplier<ListedHost> self) {
         this.loop = loop;
@@ -48,12 +49,12 @@
         this.self = self;
     }
 
-    /** Begins to keep the key. */
+    /** Starts to keep the key. */
     public void start() {
-        grant();
+        grantLease();
     }
 
-    /** Takes the key back at a planned stop, then runs the action. */
+    /** Removes the key at a planned stop by revoking its lease, then runs the action. */
     public void release(Runnable then) {
         released = true;
         if (lease.isEmpty()) {
@@ -63,21 +64,21 @@
         onLoop(store.revokeLease(lease.get()), (done, failure) -> then.run());
     }
 
-    private void grant() {
+    private void grantLease() {
         if (released) {
             return;
         }
         onLoop(store.grantLease(LEASE_MILLIS), (id, failure) -> {
             if (failure != null) {
-                again(this::grant, failure);
+                retryLater(this::grantLease, failure);
                 return;
             }
             lease = Optional.of(id);
-            write();
+            writeKey();
         });
     }
 
-    private void write() {
+    private void writeKey() {
         if (released || lease.isEmpty()) {
             return;
         }
@@ -85,49 +86,49 @@
         Transaction put = Transaction.builder()
                 .putUnderLease(StoredKeys.host(value.host().id().value()), StoredForms.write(value), lease.get())
                 .build();
-        onLoop(store.write(put), this::writeAnswered);
+        onLoop(store.write(put), this::onWriteCompleted);
     }
 
-    private void writeAnswered(KeyValueStore.WriteResult result, Throwable failure) {
-        if (failure != null && leaseIsGone(failure)) {
-            grant();
+    private void onWriteCompleted(KeyValueStore.WriteResult result, Throwable failure) {
+        if (failure != null && isLeaseGone(failure)) {
+            grantLease();
             return;
         }
         if (failure != null) {
-            again(this::write, failure);
+            retryLater(this::writeKey, failure);
             return;
         }
-        loop.after(RENEW_MILLIS, this::renew);
+        loop.after(RENEWAL_PERIOD_MILLIS, this::renewLease);
     }
 
-    private void renew() {
+    private void renewLease() {
         if (released || lease.isEmpty()) {
             return;
         }
         onLoop(store.renewLease(lease.get()), (leftMillis, failure) -> {
-            if (failure != null && !leaseIsGone(failure)) {
-                again(this::renew, failure);
+            if (failure != null && !isLeaseGone(failure)) {
+                retryLater(this::renewLease, failure);
             } else if (failure != null || leftMillis <= 0) {
                 timeline.event(EventKind.LEASE_LOST).with("lease", lease.get()).write();
-                grant();
+                grantLease();
             } else {
-                loop.after(RENEW_MILLIS, this::renew);
+                loop.after(RENEWAL_PERIOD_MILLIS, this::renewLease);
             }
         });
     }
 
-    private void again(Runnable action, Throwable failure) {
+    private void retryLater(Runnable action, Throwable failure) {
         timeline.event(EventKind.LEASE_UNANSWERED)
                 .with("reason", String.valueOf(failure.getMessage()))
                 .write();
-        loop.after(RETRY_MILLIS, action);
+        loop.after(RETRY_DELAY_MILLIS, action);
     }
 
     private <T> void onLoop(CompletableFuture<T> future, BiConsumer<T, Throwable> completion) {
         future.whenComplete((result, failure) -> loop.execute(() -> completion.accept(result, failure)));
     }
 
-    private static boolean leaseIsGone(Throwable failure) {
+    private static boolean isLeaseGone(Throwable failure) {
         return ExternalServiceException.kindOf(failure) == ExternalServiceException.Kind.LEASE_GONE;
     }
 }
