--- a/src/main/java/org/gooseberryhill/peer/BatchForms.java
+++ b/src/main/java/org/gooseberryhill/peer/BatchForms.java
@@ -10,7 +10,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The compact forms of messages about request batches. Stateless. */
+/** Defines the compact encodings of messages about request batches. Stateless. */
 final class BatchForms {
     private BatchForms() {}
 
--- a/src/main/java/org/gooseberryhill/peer/CompactFields.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactFields.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Fields that several compact forms have, written and read alike. Stateless. */
+/** Writes and reads the field types that several compact encodings share. Stateless. */
 final class CompactFields {
     private CompactFields() {}
 
@@ -29,7 +29,7 @@
         writer.write(packer, value.get());
     }
 
-    /** The reader must read something that is never written as nil. */
+    /** Reads an optional value; nil means absent, so the reader's type must never be encoded as nil. */
     static <T> Optional<T> readOptional(MessageUnpacker unpacker, Reader<T> reader) throws IOException {
         return unpacker.tryUnpackNil() ? Optional.empty() : Optional.of(reader.read(unpacker));
     }
--- a/src/main/java/org/gooseberryhill/peer/CompactForm.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactForm.java
@@ -5,16 +5,16 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * How one type of message is written field by field. Immutable.
+ * Encodes and decodes one message type field by field. Immutable.
  *
- * @param <M> the type
- * @param code names it in frames; never given to another type
- * @param type the type
- * @param writer writes its fields
- * @param reader reads them in the same order
+ * @param <M> the message type
+ * @param code identifies the type in frames; never reused for another type
+ * @param type the class of the message type
+ * @param writer writes the fields
+ * @param reader reads the fields in the same order
  */
 record CompactForm<M extends PeerMessage>(int code, Class<M> type, Writer<M> writer, Reader<M> reader) {
-    /** Writes a message whose type was looked up. */
+    /** Writes the fields of a message, which must be of this type. */
     void write(PeerMessage message, MessagePacker packer) throws IOException {
         writer.write(type.cast(message), packer);
     }
--- a/src/main/java/org/gooseberryhill/peer/CompactForms.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactForms.java
@@ -12,11 +12,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The messages that gateways and hosts with a disk exchange, written field by field. Stateless.
+ * Registry of the compact encodings, which cover the messages that gateways and hosts with a disk exchange. Stateless.
  *
- * <p>The library's mapper writes any message, but what it finds out about the types at its first use takes a third of a
- * second of processor time. Whenever that comes, callers wait: at a start, when the key-value store turns a host away and
- * another calls for it, when a host that stops hands its batches over.
+ * <p>The Jackson mapper can encode any message, but the type introspection at its first use takes a third of a second
+ * of processor time. Callers wait meanwhile, whenever it happens: at startup, when the key-value store rejects a host
+ * and another host relays its calls, or when a stopping host hands over its batches.
  */
 final class CompactForms {
     private static final Map<Class<?>, CompactForm<?>> BY_TYPE = new HashMap<>();
@@ -31,16 +31,16 @@
 
     private CompactForms() {}
 
-    /** The form of a message; empty if the mapper writes it. */
+    /** Returns the encoding of a message; empty if the Jackson mapper encodes it. */
     static Optional<CompactForm<?>> of(PeerMessage message) {
         return Optional.ofNullable(BY_TYPE.get(message.getClass()));
     }
 
-    /** The form that a frame names. */
+    /** Returns the encoding with the given code; throws if the code is unknown. */
     static CompactForm<?> of(int code) throws IOException {
         CompactForm<?> form = BY_CODE.get(code);
         if (form == null) {
-            throw new IOException("no message has the code " + code);
+            throw new IOException("unknown message code: " + code);
         }
         return form;
     }
--- a/src/main/java/org/gooseberryhill/peer/GatewayMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/GatewayMessage.java
@@ -13,75 +13,76 @@
 import org.gooseberryhill.external.KeyValueStore;
 import org.gooseberryhill.external.Transaction;
 
-/** What gateways say to each other; each message names its reply, and where none is named it is {@link PeerMessage.Ack}. */
+/** Messages between gateways. The reply is {@link PeerMessage.Ack} unless a message names another. */
 public interface GatewayMessage extends PeerMessage {
     /**
-     * What a host has in flight at endpoints: the whole, so that a lost report is made good by the next.
+     * Reports all requests that a host has in flight at endpoints. Each report is complete, so the next one makes up
+     * for a lost one.
      *
-     * @param processStart tells the host's process from an earlier one
-     * @param leaving whether the host is stopping as planned
+     * @param processStart identifies the host's current process, as opposed to an earlier one
+     * @param leaving whether the host is in a planned stop
      * @param storeReached whether the key-value store answered the host's latest call
-     * @param inFlight by endpoint
+     * @param inFlight requests in flight by endpoint
      */
     record InFlightReport(
             String processStart, boolean leaving, boolean storeReached, Map<EndpointKey, InFlight> inFlight)
             implements GatewayMessage {}
 
     /**
-     * Changes that a host read from the key-value store, passed on.
+     * Forwards changes that a host read from the key-value store.
      *
      * @param prefix the prefix of the keys
-     * @param fromRevision the changes are complete after this revision
-     * @param toRevision up to this one
+     * @param fromRevision the revision after which the changes are complete, exclusive
+     * @param toRevision the revision up to which the changes are complete, inclusive
      * @param changes the changes
-     * @param ageMillis how long ago they were read
+     * @param ageMillis time since the changes were read
      */
     record ViewChanges(String prefix, long fromRevision, long toRevision, List<KeyChange> changes, long ageMillis)
             implements GatewayMessage {}
 
     /**
-     * Asks for all keys that a host knows under a prefix; the reply is {@link ViewListing}.
+     * Requests all keys that a host knows under a prefix; the reply is {@link ViewListing}.
      *
      * @param prefix the prefix
      */
     record ViewAsk(String prefix) implements GatewayMessage {}
 
     /**
-     * All keys that a host knows under a prefix.
+     * Lists all keys that a host knows under a prefix.
      *
      * @param prefix the prefix
-     * @param revision as of which they are complete; 0 if the host knows nothing yet
+     * @param revision the revision as of which the list is complete; 0 if the host has no data yet
      * @param entries the keys
-     * @param ageMillis how long ago the host last read the store
+     * @param ageMillis time since the host last read the store
      */
     record ViewListing(String prefix, long revision, List<KeyChange> entries, long ageMillis)
             implements GatewayMessage {}
 
     /**
-     * A host owns a request batch from now on.
+     * Announces that the sender now owns a request batch.
      *
-     * @param batch its id
+     * @param batch the batch's id
      */
     record BatchNotice(String batch) implements GatewayMessage {}
 
     /**
-     * Reads results at the owner of a request batch; the reply is {@link Results}.
+     * Requests results from the owner of a request batch; the reply is {@link Results}.
      *
-     * @param batch its id
-     * @param after the first position asked for
-     * @param waitMillis how long the reply may wait for a result
+     * @param batch the batch's id
+     * @param after the first requested position
+     * @param waitMillis how long the owner may wait for a result before it replies
      */
     record ResultsAsk(String batch, int after, long waitMillis) implements GatewayMessage {}
 
     /**
-     * Results of a request batch.
+     * Returns results of a request batch.
      *
      * @param page the results; empty if the host does not own the batch
      */
     record Results(Optional<BatchPage> page) implements GatewayMessage {}
 
     /**
-     * Reads the body of an item at the owner of its batch; the reply is {@link ItemBody}.
+     * Requests the body of an item from the owner of its batch; the reply is {@link ItemBody}.
      *
      * @param batch the batch's id
      * @param item the item's id
@@ -89,48 +90,49 @@
     record ItemBodyAsk(String batch, String item) implements GatewayMessage {}
 
     /**
-     * The body of an item.
+     * Returns the body of an item.
      *
      * @param owned whether the host owns the batch
-     * @param body the body of an item that is not listed yet
+     * @param body the body; present only if the item is not listed yet
      */
     record ItemBody(boolean owned, Optional<byte[]> body) implements GatewayMessage {}
 
     /**
-     * Ends a request batch at its owner; the reply is {@link BatchEnded}.
+     * Asks the owner of a request batch to end it; the reply is {@link BatchEnded}.
      *
-     * @param batch its id
+     * @param batch the batch's id
      */
     record BatchEndAsk(String batch) implements GatewayMessage {}
 
     /**
-     * Whether a batch is ended now.
+     * Tells whether a batch was ended or, in reply to {@link BatchHandOver}, taken over.
      *
      * @param ended false if the host does not own the batch
      */
     record BatchEnded(boolean ended) implements GatewayMessage {}
 
     /**
-     * A host that stops gives a batch to another; the reply is {@link BatchEnded}, which says whether it was taken.
+     * Hands over a batch from a stopping host to another; the reply is {@link BatchEnded}, which tells whether the
+     * other host took it.
      *
-     * @param batch its id
-     * @param revision the revision of its record
-     * @param record its record
-     * @param progress what its open items have generated so far
+     * @param batch the batch's id
+     * @param revision the revision of the batch's record
+     * @param record the batch's record
+     * @param progress what the open items have generated so far
      */
     record BatchHandOver(String batch, long revision, BatchRecord record, List<ItemCheckpoint> progress)
             implements GatewayMessage {}
 
     /**
-     * A call of the key-value store for a host that the store turns away; the reply is {@link StoreAnswer}. One of its
-     * parts is present.
+     * Asks the receiver to call the key-value store on behalf of a host that the store rejects; the reply is
+     * {@link StoreAnswer}. One of the optional components is present.
      *
-     * @param readKey a key to read
-     * @param listPrefix a prefix to list
+     * @param readKey the key to read
+     * @param listPrefix the prefix to list
      * @param mayBeStale whether a listing may be seconds old
-     * @param write a transaction
-     * @param grantMillis a lease to grant, by its time
-     * @param renewLease a lease to renew, by its id
+     * @param write the transaction to execute
+     * @param grantMillis the time to live of a lease to grant, in milliseconds
+     * @param renewLease the id of a lease to renew
      */
     record StoreCall(
             Optional<String> readKey,
@@ -142,13 +144,13 @@
             implements GatewayMessage {}
 
     /**
-     * What the store answered. One of its parts is present.
+     * Returns the answer of the key-value store to a {@link StoreCall}. One of the components is present.
      *
-     * @param failure why there is no answer
-     * @param read the answer to a reading
-     * @param listing the answer to a listing
-     * @param written the answer to a transaction
-     * @param lease a granted lease's id, or a renewed one's remaining time
+     * @param failure the kind of failure if the call was not answered
+     * @param read the result of a read
+     * @param listing the result of a listing
+     * @param written the result of a transaction
+     * @param lease the id of a granted lease, or the remaining time of a renewed one in milliseconds
      */
     record StoreAnswer(
             Optional<ExternalServiceException.Kind> failure,
--- a/src/main/java/org/gooseberryhill/peer/OutboxMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/OutboxMessage.java
@@ -2,40 +2,40 @@
 
 import org.gooseberryhill.decision.requestbatch.BatchRecord;
 
-/** What gateways say to the hosts that keep submissions until the key-value store has them, and their replies. */
+/** Messages between gateways and the hosts that hold submissions on disk until the key-value store has them. */
 public interface OutboxMessage extends PeerMessage {
     /**
-     * Asks a host to keep a submission on its disk; the reply is {@link Kept}.
+     * Asks a host to store a submission on its disk; the reply is {@link Kept}.
      *
      * @param batch the batch's id
-     * @param record the record that is to be created
-     * @param body the batch's items as they were submitted
+     * @param record the record to create in the key-value store
+     * @param body the batch's items as submitted
      */
     record Put(String batch, BatchRecord record, byte[] body) implements OutboxMessage {}
 
     /**
-     * Whether a submission is on the disk.
+     * Tells whether a submission is on disk.
      *
-     * @param kept false if the host is being emptied, or its disk refused
+     * @param kept false if the host is being evacuated or the write to its disk failed
      */
     record Kept(boolean kept) implements OutboxMessage {}
 
     /**
-     * The key-value store has a submission, or its caller was told that it was not accepted; the reply is
-     * {@link PeerMessage.Ack}.
+     * Asks a host to delete a submission, because the key-value store has it or its caller was told that it was not
+     * accepted; the reply is {@link PeerMessage.Ack}.
      *
      * @param batch the batch's id
-     * @param record the record that was to be created
+     * @param record the record that was to be created in the key-value store
      */
     record Drop(String batch, BatchRecord record) implements OutboxMessage {}
 
-    /** Asks how much a host keeps, which takes nothing in from now on; the reply is {@link State}. */
+    /** Requests the number of submissions on a host, which accepts no more from now on; the reply is {@link State}. */
     record StateAsk() implements OutboxMessage {}
 
     /**
-     * How much a host keeps.
+     * Returns the number of submissions that a host still holds.
      *
-     * @param submissions how many submissions the key-value store may lack
+     * @param submissions the number of submissions that may be missing in the key-value store
      */
     record State(int submissions) implements OutboxMessage {}
 }
--- a/src/main/java/org/gooseberryhill/peer/PeerClient.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerClient.java
@@ -20,11 +20,11 @@
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.HybridClock;
 
-/** Speaks to other processes over one connection for each address and lane. Thread-safe. */
+/** Sends messages to other processes, over one connection per address and lane. Thread-safe. */
 public final class PeerClient implements Closeable {
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** How long the answer to a {@link PeerMessage.ConnectionProbe} may take. */
+    /** Time-out of the reply to a {@link PeerMessage.ConnectionProbe}. */
     private static final long PROBE_MILLIS = 300;
 
     private final HostId self;
@@ -35,15 +35,15 @@
     private final LongAdder sentMessages = new LongAdder();
     private final Executor probeLimit;
 
-    /** A client on the process's traffic threads. */
+    /** Creates a client that runs on the given event loops. */
     public PeerClient(EventLoopGroup group, HostId self, HybridClock clock) {
         this(group, self, clock, CompletableFuture.delayedExecutor(PROBE_MILLIS, TimeUnit.MILLISECONDS, group));
     }
 
     /**
-     * A client on some traffic threads.
+     * Creates a client that runs on the given event loops.
      *
-     * @param probeLimit runs what it is given when the answer to a probe of a connection is overdue
+     * @param probeTimeoutExecutor runs each task when the time-out of a connection probe has passed
      */
     PeerClient(EventLoopGroup group, HostId self, HybridClock clock, Executor probeLimit) {
         this.self = self;
@@ -57,9 +57,10 @@
     }
 
     /**
-     * Sends a message and returns the reply; fails with {@link PeerException} when none comes in time.
+     * Sends a message and returns the reply; fails with {@link PeerException} if the connection is lost or the peer
+     * reports a failure, and with {@link TimeoutException} if no reply arrives in time.
      *
-     * @param timeoutMillis how long to wait for the reply, in milliseconds
+     * @param timeoutMillis how long to wait for the reply
      */
     public CompletableFuture<PeerMessage> ask(Address address, PeerLane lane, PeerMessage message, long timeoutMillis) {
         PeerConnection connection = connection(address, lane);
@@ -74,12 +75,12 @@
                 .thenApply(PeerClient::requireServed);
     }
 
-    /** Sends a message that has no reply; nobody learns whether it arrived. */
+    /** Sends a message without a reply; delivery is not confirmed. */
     public void post(Address address, PeerLane lane, PeerMessage message) {
         postAll(List.of(address), lane, message);
     }
 
-    /** Sends one message that has no reply to several processes; it is written once for all of them. */
+    /** Sends a message without a reply to several processes; it is encoded only once. */
     public void postAll(Collection<Address> addresses, PeerLane lane, PeerMessage message) {
         if (addresses.isEmpty()) {
             return;
@@ -88,12 +89,12 @@
         addresses.forEach(address -> connection(address, lane).post(frame));
     }
 
-    /** The bytes exchanged so far, also those of this process's server. */
+    /** Returns the byte counters, which this process's server shares. */
     public PeerTraffic traffic() {
         return traffic;
     }
 
-    /** How many messages were sent so far. */
+    /** Returns the number of messages sent so far. */
     public long sentMessages() {
         return sentMessages.sum();
     }
@@ -125,6 +126,6 @@
         return reply;
     }
 
-    /** A connection's key. */
+    /** Key of a connection. */
     private record Target(Address address, PeerLane lane) {}
 }
--- a/src/main/java/org/gooseberryhill/peer/PeerCodec.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerCodec.java
@@ -29,15 +29,15 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Turns frames into MessagePack behind a four-byte length, and back. One for each connection.
+ * Encodes and decodes frames as MessagePack, prefixed by a four-byte length. One instance per connection.
  *
- * <p>Messages that every gateway exchanges have a compact form of their own; the mapper writes all others.
+ * <p>Messages that every gateway exchanges have a compact encoding; the Jackson mapper encodes all others.
  */
 final class PeerCodec extends MessageToMessageCodec<ByteBuf, PeerFrame> {
-    /** The largest frame in bytes: a segment of the largest chunk with room for its name. */
+    /** Maximum frame size: a segment of the largest chunk plus room for its name. */
     static final int MAX_FRAME_BYTES = 24 * 1024 * 1024;
 
-    /** The bytes before each frame that tell its length. */
+    /** Size of the length field before each frame. */
     static final int LENGTH_BYTES = 4;
 
     private static final Lazy<ObjectMapper> MAPPER = Lazy.of(PeerCodec::newMapper);
@@ -48,20 +48,23 @@
         this.traffic = traffic;
     }
 
-    /** Adds the framing and the codec to a connection. */
+    /** Adds the framing and the codec to the pipeline of a connection. */
     static void addTo(ChannelPipeline pipeline, PeerTraffic traffic) {
         pipeline.addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
                 .addLast(new LengthFieldPrepender(LENGTH_BYTES))
                 .addLast(new PeerCodec(traffic));
     }
 
-    /** The bytes of a frame without its length; also what the cost per message is measured from. */
+    /** Encodes a frame without its length field; also used to measure the size of messages. */
     static byte[] encode(PeerFrame frame) throws IOException {
         Optional<CompactForm<?>> form = CompactForms.of(frame.message());
         return form.isPresent() ? encode(frame, form.get()) : MAPPER.get().writeValueAsBytes(frame);
     }
 
-    /** A frame of the mapper is an array; a compact one begins with the code of its message, which is a small number. */
+    /**
+     * Decodes a frame. A frame with a compact encoding begins with the message code, which is a small integer; a frame
+     * written by the mapper is an array.
+     */
     static PeerFrame decode(byte[] bytes) throws IOException {
         boolean compact = bytes.length > 0 && MessagePack.Code.isPosFixInt(bytes[0]);
         return compact ? decodeCompact(bytes) : MAPPER.get().readValue(bytes, PeerFrame.class);
--- a/src/main/java/org/gooseberryhill/peer/PeerConnection.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerConnection.java
@@ -20,9 +20,10 @@
 import org.gooseberryhill.link.HybridClock;
 
 /**
- * A connection to one process, made again when it was lost. Thread-safe.
+ * A connection to one process, re-established on the next use after it was lost. Thread-safe.
  *
- * <p>Invariant: each question is answered, or failed when its connection ends; none waits on a lost connection.
+ * <p>Invariant: each request either receives its reply or fails when its connection is closed; none waits on a lost
+ * connection.
  */
 final class PeerConnection {
     private final Bootstrap bootstrap;
@@ -35,9 +36,9 @@
     private ChannelFuture connecting;
 
     /**
-     * A connection that is made when it is first used.
+     * Creates a connection that is established on first use.
      *
-     * @param probeLimit runs what it is given when an answer to a {@link PeerMessage.ConnectionProbe} is overdue
+     * @param probeTimeoutExecutor runs each task when the time-out of a {@link PeerMessage.ConnectionProbe} has passed
      */
     PeerConnection(
             Bootstrap bootstrap,
@@ -73,7 +74,7 @@
         return future;
     }
 
-    /** Sends a frame that has no reply and is written already. */
+    /** Sends an encoded frame that has no reply. */
     void post(byte[] frame) {
         ChannelFuture current = currentConnection();
         current.addListener(done -> {
@@ -85,11 +86,11 @@
     }
 
     /**
-     * Probes the connection, and closes it if the answer does not come: one question that waits long must not fail the
-     * others.
+     * Probes the connection and closes it if the probe gets no reply in time. A single request that times out must not
+     * fail the other requests on the connection.
      *
-     * <p>Failure: an open connection goes silent for good without a reset, and each later question waits in vain, while a
-     * new connection would work.
+     * <p>Failure guarded against: an open connection stops delivering data without a reset, and every later request on
+     * it times out although a new connection would work.
      */
     void closeUnlessAlive() {
         latestConnection()
@@ -144,7 +145,7 @@
         return connecting;
     }
 
-    /** Pairs replies with questions. */
+    /** Matches replies with pending requests. */
     private final class ReplyHandler extends SimpleChannelInboundHandler<PeerFrame> {
         private final Map<Long, CompletableFuture<PeerMessage>> waiting = new ConcurrentHashMap<>();
 
--- a/src/main/java/org/gooseberryhill/peer/PeerException.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerException.java
@@ -1,10 +1,10 @@
 package org.gooseberryhill.peer;
 
-/** A peer did not answer, or answered that it could not serve the message. */
+/** Thrown if a peer can't be reached, or replies that it could not process a message. Has no stack trace. */
 public final class PeerException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** A failure with a short text for logs. */
+    /** Creates an exception with a short message for logs. */
     public PeerException(String message) {
         super(message, null, false, false);
     }
--- a/src/main/java/org/gooseberryhill/peer/PeerFrame.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerFrame.java
@@ -5,16 +5,16 @@
 import org.gooseberryhill.link.HybridTimestamp;
 
 /**
- * One frame on a peer connection. Immutable.
+ * A frame on a peer connection. Immutable.
  *
- * @param number pairs a reply with its request on the same connection
- * @param reply whether it is a reply
- * @param at the sender's clock
- * @param from the sender
- * @param message what is said
+ * @param number matches a reply with its request on the same connection
+ * @param reply whether the message is a reply
+ * @param at the sender's hybrid clock at the time of sending
+ * @param from the sending host
+ * @param message the payload
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record PeerFrame(long number, boolean reply, HybridTimestamp at, HostId from, PeerMessage message) {
-    /** The number of a message that has no reply. */
+    /** Number of a message that expects no reply. */
     static final long NO_REPLY = 0;
 }
--- a/src/main/java/org/gooseberryhill/peer/PeerLane.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerLane.java
@@ -1,8 +1,8 @@
 package org.gooseberryhill.peer;
 
-/** Which connection a message takes: a large segment must not hold up heartbeats behind it. Immutable. */
+/** Selects the connection of a message, so that a large segment does not delay heartbeats behind it. */
 public enum PeerLane {
-    /** Heartbeats, load, configuration, items. */
+    /** Heartbeats, load reports, configuration and items. */
     CONTROL,
     /** Segments. */
     BULK
--- a/src/main/java/org/gooseberryhill/peer/PeerMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerMessage.java
@@ -13,12 +13,13 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * What the system's processes say to each other. Immutable.
+ * Messages between the processes of the system. Immutable.
  *
- * <p>On the wire a message is an array of its fields in their order, since names would be most of a small message's
- * bytes. A field that is added goes to the end: an older process passes over it, a newer one reads its absence.
+ * <p>On the wire a message is an array of its fields in declaration order, because field names would make up most of
+ * the size of a small message. New fields are appended: an older process ignores them, and a newer process reads them
+ * as absent in messages of an older one.
  *
- * <p>Requests and their replies: each message names its reply; where none is named it is {@link Ack}.
+ * <p>The reply to a message is {@link Ack} unless the message names another.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.WRAPPER_ARRAY)
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -71,29 +72,29 @@
     @JsonSubTypes.Type(value = GatewayMessage.StoreAnswer.class, name = "kv")
 })
 public interface PeerMessage {
-    /** A request was taken in. */
+    /** Acknowledges a message. */
     record Ack() implements PeerMessage {}
 
     /**
-     * Asks whether the connection is alive. The other process's traffic thread answers it: what the process decides, and how
-     * long that takes, says nothing of the connection.
+     * Checks whether the connection is alive. The event-loop thread of the other process replies directly, so that a
+     * slow control thread is not mistaken for a dead connection.
      */
     record ConnectionProbe() implements PeerMessage {}
 
     /**
-     * A request could not be served.
+     * Reports that a message could not be processed.
      *
      * @param reason a short text for logs
      */
     record Failed(String reason) implements PeerMessage {}
 
     /**
-     * A sign of life with what is new; the reply is another heartbeat.
+     * Signals that the sender is alive and carries its recent news; the reply is another heartbeat.
      *
-     * @param incarnation grows when the host refutes a suspicion against itself
-     * @param leaving whether the host is stopping as planned
-     * @param configurationRevision the revision in force on the host
-     * @param rumors what the host has heard of others lately, bounded
+     * @param incarnation increased when the host refutes a suspicion against itself
+     * @param leaving whether the host is in a planned stop
+     * @param configurationRevision the revision of the host's active configuration
+     * @param rumors recent states of other hosts, bounded in number
      * @param work services for which the host owns waiting items, with the earliest due time in epoch milliseconds
      */
     record Heartbeat(
@@ -101,46 +102,46 @@
             implements PeerMessage {}
 
     /**
-     * Asks a third host to send a heartbeat to another; the reply is Ack if that one answered.
+     * Asks a host to send a heartbeat to a third host; the reply is {@link Ack} if the third host replied.
      *
      * @param target the host to probe
      */
     record ProbeThrough(HostId target) implements PeerMessage {}
 
     /**
-     * A configuration, pushed on or given on request.
+     * Transfers a configuration, either pushed or on request.
      *
-     * @param revision the revision that the key-value service gave it
-     * @param text the operators' text
+     * @param revision the revision that the key-value service assigned to it
+     * @param text the text as the operators wrote it
      */
     record ConfigurationPush(long revision, String text) implements PeerMessage {}
 
     /**
-     * What a new configuration changes, pushed on; a host that has another base asks for the whole.
+     * Pushes the difference between two configurations; a host with another base revision requests the full text.
      *
-     * @param baseRevision the revision that the change was made from
+     * @param baseRevision the revision that the change applies to
      * @param revision the revision of the new text
-     * @param change the change
+     * @param change the difference between the two texts
      */
     record ConfigurationChange(long baseRevision, long revision, TextChange change) implements PeerMessage {}
 
     /**
-     * Asks for a newer configuration; the reply is a push or Ack if there is none.
+     * Requests a newer configuration; the reply is {@link ConfigurationPush}, or {@link Ack} if there is none.
      *
-     * @param haveRevision the revision that the asking host has
+     * @param haveRevision the revision that the requesting host has
      */
     record ConfigurationAsk(long haveRevision) implements PeerMessage {}
 
     /**
-     * An entry tells a steward the online requests that it has in flight; the reply is {@link EndpointLoads}.
+     * Reports the online requests of an entry host to a steward; the reply is {@link EndpointLoads}.
      *
-     * @param inFlight count by endpoint, for the endpoints of that steward
-     * @param slowEndpoints endpoints whose latest tokens came slower than the class target
+     * @param inFlight number of requests in flight by endpoint, for the endpoints of that steward
+     * @param slowEndpoints endpoints whose latest tokens arrived more slowly than the target of their class
      */
     record OnlineLoad(Map<String, Integer> inFlight, List<String> slowEndpoints) implements PeerMessage {}
 
     /**
-     * A steward's sum over all entries.
+     * Returns a steward's totals over all entry hosts.
      *
      * @param online online requests in flight by endpoint
      * @param batch batch items in flight by endpoint
@@ -150,140 +151,140 @@
             implements PeerMessage {}
 
     /**
-     * A steward tells entries that one of its endpoints is leaving, or is not any more.
+     * Tells entry hosts that an endpoint of the sending steward is leaving, or no longer is.
      *
      * @param endpoint the endpoint
-     * @param leaving whether it is leaving
+     * @param leaving whether the endpoint is leaving
      */
     record LeavingNotice(String endpoint, boolean leaving) implements PeerMessage {}
 
     /**
-     * An endpoint broke off requests; their fingerprints are suspects on all hosts.
+     * Reports that an endpoint broke off requests, whose fingerprints become suspects on all hosts.
      *
      * @param endpoint the endpoint
-     * @param fingerprints the requests in flight
+     * @param fingerprints the fingerprints of the requests in flight
      */
     record CrashNotice(String endpoint, List<String> fingerprints) implements PeerMessage {}
 
     /**
-     * Asks to run a suspect apart from other suspects; the reply is {@link SuspectPermit}.
+     * Requests permission to run a suspect isolated from other suspects; the reply is {@link SuspectPermit}.
      *
      * @param service the service
-     * @param fingerprint the suspect
-     * @param endpoints endpoints that would do, best first
+     * @param fingerprint the fingerprint of the suspect
+     * @param endpoints acceptable endpoints, best first
      */
     record SuspectPermitAsk(String service, String fingerprint, List<String> endpoints) implements PeerMessage {}
 
     /**
-     * Where a suspect may run.
+     * Tells at which endpoint a suspect may run.
      *
-     * @param endpoint the endpoint; empty if it has to wait
+     * @param endpoint the endpoint; empty if the suspect has to wait
      */
     record SuspectPermit(Optional<String> endpoint) implements PeerMessage {}
 
     /**
-     * A suspect's run is over.
+     * Reports the end of a suspect's run.
      *
      * @param service the service
-     * @param fingerprint the suspect
-     * @param completed whether it got its answer, which clears it
+     * @param fingerprint the fingerprint of the suspect
+     * @param completed whether the run returned an answer, which clears the suspicion
      */
     record SuspectRelease(String service, String fingerprint, boolean completed) implements PeerMessage {}
 
     /**
-     * A job was submitted or cancelled.
+     * Reports that a job was submitted or cancelled.
      *
      * @param job the job as {@code caller/id}
-     * @param cancelled whether it was cancelled
+     * @param cancelled whether the job was cancelled
      */
     record JobNotice(String job, boolean cancelled) implements PeerMessage {}
 
     /**
-     * An owner has items that wait.
+     * Announces that the sending job owner has waiting items.
      *
      * @param service the service
-     * @param earliestDueMillis the earliest due time, in epoch milliseconds
+     * @param earliestDueMillis the earliest due time of the items, in epoch milliseconds
      */
     record WorkNotice(String service, long earliestDueMillis) implements PeerMessage {}
 
     /**
-     * A steward with free batch slots asks a job owner for items; the reply is {@link Items}.
+     * Requests items from a job owner for a steward with free batch slots; the reply is {@link Items}.
      *
      * @param service the service
-     * @param max how many it can run now
+     * @param max the number of items that the steward can run now
      */
     record ItemsAsk(String service, int max) implements PeerMessage {}
 
     /**
-     * Items handed out to a steward.
+     * Hands out items to a steward.
      *
      * @param items the items
      */
     record Items(List<WorkItem> items) implements PeerMessage {}
 
     /**
-     * How the run of an item ended.
+     * Reports how the run of an item ended.
      *
      * @param job the job as {@code caller/id}
-     * @param index the item's place in the job, from 0
-     * @param fence the owner's claim that the hand-out belongs to
-     * @param handout the number of this hand-out; an older one is ignored
-     * @param kind how it ended
-     * @param text the result for a completed item, what was generated so far for a yielded one, else the reason
-     * @param tokens how many tokens the text has
+     * @param index the position of the item in the job, from 0
+     * @param fence the fence of the owner's claim that the hand-out belongs to
+     * @param handout the number of this hand-out; reports of older hand-outs are ignored
+     * @param kind how the run ended
+     * @param text the result of a completed item, the text generated so far of a yielded item, otherwise the reason
+     * @param tokens the number of tokens in the text
      */
     record ItemReport(String job, int index, long fence, long handout, ItemEnd kind, String text, int tokens)
             implements PeerMessage {}
 
     /**
-     * An owner takes back all items of a job.
+     * Cancels all items of a job that the sending owner handed out.
      *
      * @param job the job as {@code caller/id}
-     * @param fence the owner's claim under which they were handed out; another owner's items go on
+     * @param fence the fence of the claim under which the items were handed out; items of another owner continue
      */
     record ItemsCancel(String job, long fence) implements PeerMessage {}
 
     /**
-     * An owner asks a steward which of its hand-outs it has; the reply is {@link ItemsHeld}.
+     * Asks a steward which hand-outs of the sending owner it holds; the reply is {@link ItemsHeld}.
      *
      * @param job the job as {@code caller/id}
-     * @param fence the owner's claim
+     * @param fence the fence of the owner's claim
      */
     record ItemsHeldAsk(String job, long fence) implements PeerMessage {}
 
     /**
-     * The hand-outs that a steward has and whose ends the owner has not taken.
+     * Lists the hand-outs that a steward holds and whose end the owner has not acknowledged.
      *
-     * @param handouts their numbers
+     * @param handouts the numbers of the hand-outs
      */
     record ItemsHeld(List<Long> handouts) implements PeerMessage {}
 
     /**
      * Stores a segment durably.
      *
-     * @param name its name
-     * @param bytes its content
+     * @param name the name of the segment
+     * @param bytes the content
      */
     record SegmentPut(String name, byte[] bytes) implements PeerMessage {}
 
     /**
-     * Asks for a segment; the reply is {@link Segment}.
+     * Requests a segment; the reply is {@link Segment}.
      *
-     * @param name its name
+     * @param name the name of the segment
      */
     record SegmentAsk(String name) implements PeerMessage {}
 
     /**
-     * A segment, if the store has it whole.
+     * Returns a segment.
      *
-     * @param bytes its content
+     * @param bytes the content; empty if the store has no intact copy
      */
     record Segment(Optional<byte[]> bytes) implements PeerMessage {}
 
     /**
-     * Asks which of these segments a store lacks; the reply is another one with those.
+     * Asks which of the given segments a store lacks; the reply is of the same type and lists the missing ones.
      *
-     * @param names the names
+     * @param names the names of the segments
      */
     record SegmentHave(List<String> names) implements PeerMessage {}
 }
--- a/src/main/java/org/gooseberryhill/peer/PeerMessageSize.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerMessageSize.java
@@ -5,7 +5,7 @@
 import org.gooseberryhill.host.HostId;
 import org.gooseberryhill.link.HybridTimestamp;
 
-/** How many bytes a message takes on the wire, its frame and length included. Stateless. */
+/** Computes the size of messages on the wire, including the frame and its length field. Stateless. */
 public final class PeerMessageSize {
     private static final int LENGTH_BYTES = 4;
     private static final HostId SENDER = new HostId("steward-0123");
@@ -14,7 +14,7 @@
 
     private PeerMessageSize() {}
 
-    /** The bytes of a message, without what TCP and IP add. */
+    /** Returns the size of a message in bytes, without the overhead of TCP and IP. */
     public static int bytes(PeerMessage message) {
         try {
             return LENGTH_BYTES + PeerCodec.encode(new PeerFrame(NUMBER, false, TIME, SENDER, message)).length;
--- a/src/main/java/org/gooseberryhill/peer/PeerServer.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerServer.java
@@ -21,7 +21,7 @@
 import org.gooseberryhill.link.HybridClock;
 import org.gooseberryhill.logging.Logs;
 
-/** Listens for other processes. Thread-safe. */
+/** Accepts connections from other processes and passes their messages to a handler. Thread-safe. */
 public final class PeerServer implements Closeable {
     private static final Lazy<Logger> LOG = Logs.of(PeerServer.class);
 
@@ -31,7 +31,7 @@
     private final Channel listener;
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
-    /** Starts listening; throws the bind's failure if the address is taken. */
+    /** Binds the address and starts accepting connections; throws the bind exception if the address is in use. */
     public PeerServer(
             EventLoopGroup group,
             HostId self,
@@ -66,7 +66,7 @@
         connections.close().awaitUninterruptibly();
     }
 
-    /** Serves one connection. */
+    /** Handles the messages of one connection. */
     private final class ServingHandler extends SimpleChannelInboundHandler<PeerFrame> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerFrame frame) {
--- a/src/main/java/org/gooseberryhill/peer/PeerTraffic.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerTraffic.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts the bytes that a process exchanges with others, frames included. Thread-safe. */
+/** Counts the bytes that a process exchanges with others, including frame headers. Thread-safe. */
 public final class PeerTraffic {
     private final LongAdder sent = new LongAdder();
     private final LongAdder received = new LongAdder();
 
-    /** Bytes sent so far. */
+    /** Returns the number of bytes sent so far. */
     public long sentBytes() {
         return sent.sum();
     }
 
-    /** Bytes received so far. */
+    /** Returns the number of bytes received so far. */
     public long receivedBytes() {
         return received.sum();
     }
--- a/src/main/java/org/gooseberryhill/peer/StoreCallForms.java
+++ b/src/main/java/org/gooseberryhill/peer/StoreCallForms.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The compact forms of calls of the key-value store that a host makes for another. Stateless. */
+/** Defines the compact encodings of key-value store calls that one host relays for another. Stateless. */
 final class StoreCallForms {
     private StoreCallForms() {}
 
--- a/src/main/java/org/gooseberryhill/peer/SubmissionForms.java
+++ b/src/main/java/org/gooseberryhill/peer/SubmissionForms.java
@@ -5,7 +5,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The compact forms of messages about submissions that hosts with a disk keep. Stateless. */
+/** Defines the compact encodings of messages about submissions that hosts with a disk store. Stateless. */
 final class SubmissionForms {
     private SubmissionForms() {}
 
--- a/src/main/java/org/gooseberryhill/peer/package-info.java
+++ b/src/main/java/org/gooseberryhill/peer/package-info.java
@@ -1,2 +1,2 @@
-/** The protocol between the system's own processes: TCP frames with a length, MessagePack inside. */
+/** The protocol between the processes of the system: length-prefixed frames of MessagePack over TCP. */
 package org.gooseberryhill.peer;
--- a/src/main/java/org/gooseberryhill/process/AdminServer.java
+++ b/src/main/java/org/gooseberryhill/process/AdminServer.java
@@ -18,9 +18,9 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Serves {@code /healthz}, {@code /readyz} and {@code /metrics} of a process that has no callers. Thread-safe.
+ * Serves {@code /healthz}, {@code /readyz} and {@code /metrics} of a process without a caller API. Thread-safe.
  *
- * <p>An entry serves the same paths beside its callers' interface and adds its own metrics.
+ * <p>An entry process serves the same paths next to its caller API and adds its own metrics.
  */
 public final class AdminServer implements Closeable {
     private static final int MAX_BODY_BYTES = 1024;
@@ -32,7 +32,7 @@
     private final PrometheusRegistry registry;
     private final HttpServer server;
 
-    /** Starts listening. */
+    /** Binds the address and starts serving. */
     public AdminServer(HostProcess process, Address address) {
         this.process = process;
         this.registry = new PrometheusRegistry();
@@ -40,7 +40,7 @@
         this.server = HttpServer.start(process.group(), address, HttpLimits.DEFAULT, this::handle);
     }
 
-    /** Adds the metrics that all processes have. */
+    /** Registers the metrics that all processes have. */
     public static void registerMetrics(HostProcess process, PrometheusRegistry registry) {
         gauge(
                 registry,
@@ -74,7 +74,7 @@
                 () -> process.keyValue().calls());
     }
 
-    /** Answers a call with the metrics of a registry. */
+    /** Replies to a call with the metrics of a registry in the Prometheus text format. */
     public static void replyMetrics(HttpCall call, PrometheusRegistry registry) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         Try.run(() -> PrometheusTextFormatWriter.create().write(text, registry.scrape()))
@@ -101,7 +101,7 @@
                             && process.configuration().revision() > 0;
                     call.reply(ready ? OK : NOT_READY, JSON, Json.bytes(Map.of("ready", ready)));
                 });
-            // Gauges read control state, so they are read on the control thread.
+            // The callbacks of the gauges read control state, so the scrape runs on the control thread.
             case "/metrics" -> process.loop().execute(() -> replyMetrics(call, registry));
             default -> call.reply(404, JSON, Json.bytes(Map.of("error", "no such path")));
         }
--- a/src/main/java/org/gooseberryhill/process/ConfigurationCodec.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationCodec.java
@@ -11,18 +11,18 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * The form in which the key-value service holds a configuration: compressed JSON. Stateless.
+ * Encodes a configuration for the key-value service as gzip-compressed JSON. Stateless.
  *
- * <p>Each watcher gets the whole value with each change; at the planned size the plain text would take all of the
+ * <p>Each watcher receives the whole value on each change; uncompressed, at the planned size, that would use up the
  * 13 KB/s that a node may spend (docs/CAPACITY.md).
  */
 public final class ConfigurationCodec {
-    /** What decompression may bring at the most: a guard against a value that was not written by this system. */
+    /** Limit on the decompressed size, as a guard against values that this system did not write. */
     private static final int MAX_BYTES = 16 * 1024 * 1024;
 
     private ConfigurationCodec() {}
 
-    /** Compresses a record. */
+    /** Encodes a record. */
     public static byte[] encode(ConfigurationRecord record) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (GZIPOutputStream gzip = new GZIPOutputStream(bytes)) {
@@ -33,7 +33,7 @@
         return bytes.toByteArray();
     }
 
-    /** Reads a record back; a failure tells what is wrong with the value. */
+    /** Decodes a record; the failure tells what is wrong with the value. */
     public static Try<ConfigurationRecord> decode(byte[] value) {
         return Try.of(() -> {
                     try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(value))) {
--- a/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
@@ -24,11 +24,11 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Brings the accepted configuration into force on this host. Used by the control thread only.
+ * Distributes the accepted configuration and activates it on this host. Used by the control thread only.
  *
- * <p>Two stewards a zone watch the key and push each new text to the hosts of their zone. Whoever misses the push sees
- * a greater revision on a heartbeat and asks for the text. A host that starts while the key-value service is out gets
- * the text from its peers in the same way.
+ * <p>Two stewards per availability zone watch the key and push each change to the hosts of their zone. A host that
+ * misses a push sees a greater revision in a heartbeat and requests the text. A host that starts while the key-value
+ * service is unavailable gets the text from its peers in the same way.
  */
 public final class ConfigurationDriver {
     private static final Logger LOG = LogManager.getLogger(ConfigurationDriver.class);
@@ -47,17 +47,17 @@
         this.process = process;
     }
 
-    /** Calls back on the control thread with each configuration that comes into force. */
+    /** Adds a listener that is called on the control thread with each configuration that becomes active. */
     public void onChange(Consumer<Configuration> listener) {
         listeners.add(listener);
     }
 
-    /** The revision in force; 0 before the first. */
+    /** Returns the revision of the active configuration; 0 if there is none yet. */
     public long revision() {
         return inForce.revision();
     }
 
-    /** The configuration in force. */
+    /** Returns the active configuration. */
     public Configuration current() {
         return inForce.configuration();
     }
@@ -132,7 +132,7 @@
 
     private void openWatch() {
         opening = true;
-        // The watch goes on from the revision of the reading, so that no write falls between the two.
+        // The watch starts right after the revision of the read, so that no write in between is missed.
         process.keyValue()
                 .read(Keys.CONFIGURATION)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
@@ -147,7 +147,7 @@
                 }));
     }
 
-    /** A watch may be cut off without a sign; the revision alone is read, since the text is large. */
+    /** Detects a watch that stopped without notice. Reads only the revision, because the text is large. */
     private void checkRevision() {
         process.keyValue()
                 .readRevision(Keys.CONFIGURATION)
@@ -171,7 +171,7 @@
     private void offerEntry(KeyValueStore.Entry entry, String source) {
         ConfigurationCodec.decode(entry.value())
                 .onSuccess(record -> offer(entry.modRevision(), record.text(), source))
-                .onFailure(failure -> LOG.warn("the configuration's value can't be read: {}", failure.toString()));
+                .onFailure(failure -> LOG.warn("cannot decode the stored configuration: {}", failure.toString()));
     }
 
     private void takeChange(HostId from, PeerMessage.ConfigurationChange change) {
@@ -190,7 +190,7 @@
         String baseText = inForce.text();
         Offer offer = inForce.offer(revision, text);
         if (offer == Offer.INVALID) {
-            LOG.warn("revision {} is not valid and stays out of force: {}", revision, inForce.findings());
+            LOG.warn("rejected invalid configuration revision {}: {}", revision, inForce.findings());
         }
         if (offer != Offer.APPLIED) {
             return;
@@ -200,7 +200,7 @@
                 .with("revision", revision)
                 .with("source", source)
                 .write();
-        LOG.info("configuration revision {} is in force, by {}", revision, source);
+        LOG.info("activated configuration revision {} (source: {})", revision, source);
         listeners.forEach(listener -> listener.accept(inForce.configuration()));
         if (watch.isPresent()) {
             TextChange change = TextChange.between(baseText, inForce.text());
@@ -208,7 +208,7 @@
         }
     }
 
-    /** Only what changed: a whole text to each host of a zone would be most of what a watcher may send. */
+    /** Pushes a change, not the full text, which would use up most of what a watcher may send. */
     private void pushToZone(PeerMessage push) {
         process.membership().present().stream()
                 .filter(host -> host.zone().equals(process.settings().self().zone()))
@@ -219,11 +219,11 @@
         try {
             closeable.close();
         } catch (IOException e) {
-            LOG.debug("a watch could not be closed: {}", e.toString());
+            LOG.debug("failed to close the configuration watch: {}", e.toString());
         }
     }
 
-    /** Follows the watch of the key. */
+    /** Handles the events of the watch and reopens it when it ends. */
     private final class KeyWatch implements StreamingKeyValueStore.WatchListener {
         @Override
         public void onChange(String key, Optional<KeyValueStore.Entry> entry) {
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -45,18 +45,18 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * The common part of the system's processes. Its methods are for the control thread unless they say otherwise.
+ * The part that all processes of the system share. Methods are called on the control thread unless stated otherwise.
  *
- * <p>Invariant: control state lives on the control thread; traffic threads reach it through {@link #loop()}.
+ * <p>Invariant: only the control thread accesses control state; event-loop threads submit tasks to {@link #loop()}.
  */
 public final class HostProcess implements Closeable {
-    /** How long a reply on the control lane may take. */
+    /** Time-out of replies on the control lane. */
     public static final long ASK_TIMEOUT_MILLIS = 1000;
 
     private static final Logger LOG = LogManager.getLogger(HostProcess.class);
     private static final long TICK_MILLIS = 50;
 
-    /** How long a line of the ordinary course may wait for others. */
+    /** Maximum time that a routine timeline event is buffered before it is written. */
     private static final long LOG_FLUSH_MILLIS = 250;
 
     private static final int TRAFFIC_THREADS = 2;
@@ -87,7 +87,7 @@
     private long seenMembershipVersion = -1;
     private volatile List<Host> presentStores = List.of();
 
-    /** A process that is not started yet; a seed makes its random choices repeatable. */
+    /** Creates a process without starting it; the seed makes its random choices repeatable. */
     public HostProcess(HostSettings settings, long seed) {
         this.settings = settings;
         HostId self = settings.self().id();
@@ -108,7 +108,7 @@
         this.stop = new PlannedStop(settings.stopGraceMillis(), settings.stopBoundMillis());
     }
 
-    /** Starts listening to peers and reading the platform; the role's handler must be set before. */
+    /** Starts serving peers and reading from the platform; the role's handler must be set before. */
     public void start() {
         peerServer = new PeerServer(
                 group, settings.self().id(), settings.self().address(), clock, peers.traffic(), this::handle);
@@ -128,28 +128,33 @@
         loop.every(settings.hostListPeriodMillis(), this::readHostList);
     }
 
-    /** Sets what answers the messages of the process's role. */
+    /** Sets the handler of the messages of the process's role; must be called before {@link #start()}. */
     public void roleHandler(MessageHandler handler) {
         roleHandler = handler;
     }
 
-    /** Calls back on the control thread after each change of the membership. */
+    /** Adds a listener that is called on the control thread after each change of the membership. */
     public void onMembershipChange(Runnable listener) {
         membershipListeners.add(listener);
     }
 
-    /** Calls back on the control thread with each reading of the host list. */
+    /** Adds a listener that is called on the control thread after each successful read of the host list. */
     public void onHostList(HostListListener listener) {
         hostListListeners.add(listener);
     }
 
-    /** Sets what heartbeats say of waiting work, and what takes in what others' say; before the start. */
+    /**
+     * Sets the exchange of waiting work in heartbeats; must be called before {@link #start()}.
+     *
+     * @param own supplies the waiting work of this host by service
+     * @param others receives the waiting work that other hosts report
+     */
     public void heartbeatWork(Supplier<Map<String, Long>> own, BiConsumer<HostId, Map<String, Long>> others) {
         membershipDriver.ownWork(own);
         membershipDriver.onWork(others);
     }
 
-    /** Asks for the planned stop, whose time begins now; from any thread, any number of times. */
+    /** Requests the planned stop, whose time limits count from now. Thread-safe; repeated calls have no effect. */
     public void askStop() {
         long askedNanos = loop.nowNanos();
         loop.execute(() -> {
@@ -162,10 +167,10 @@
     }
 
     /**
-     * Advances the planned stop; completes {@link #ended()} when it is over.
+     * Advances the planned stop and completes {@link #ended()} when it is over.
      *
-     * @param inProgress how much has begun and not ended
-     * @param reachable whether callers may still send something new
+     * @param inProgress the amount of work that was started and has not ended
+     * @param reachable whether callers can still send new requests
      */
     public void advanceStop(int inProgress, boolean reachable) {
         if (stop.phase() == PlannedStop.Phase.SERVING || stop.phase() == PlannedStop.Phase.ENDED) {
@@ -179,31 +184,34 @@
         }
     }
 
-    /** Completes when the planned stop is over. */
+    /** Returns a future that completes when the planned stop is over or the process is closed. */
     public CompletableFuture<Void> ended() {
         return ended;
     }
 
-    /** The planned stop. */
+    /** Returns the state of the planned stop. */
     public PlannedStop stop() {
         return stop;
     }
 
-    /** Sends a message to a host; completes on a traffic thread. */
+    /** Sends a message to a host and returns the reply, which completes on an event-loop thread. */
     public CompletableFuture<PeerMessage> ask(Host host, PeerMessage message) {
         return peers.ask(host.address(), PeerLane.CONTROL, message, ASK_TIMEOUT_MILLIS);
     }
 
-    /** Tells a host something without waiting for its reply. */
+    /** Sends a message to a host and ignores the reply; a failure is logged at debug level. */
     public void tell(Host host, PeerMessage message) {
         ask(host, message).whenComplete((reply, failure) -> {
             if (failure != null) {
-                LOG.debug("{} did not take {}", host.id(), message.getClass().getSimpleName());
+                LOG.debug(
+                        "host {} did not acknowledge {}",
+                        host.id(),
+                        message.getClass().getSimpleName());
             }
         });
     }
 
-    /** The present hosts of a role, this one included where it has the role. */
+    /** Returns the present hosts of a role, including this one if it has the role. */
     public List<Host> present(Role role) {
         List<Host> hosts = new ArrayList<>(membership.present(role));
         if (settings.self().role() == role) {
@@ -213,62 +221,62 @@
         return hosts;
     }
 
-    /** Whether a host is this one. */
+    /** Returns whether a host is this one. */
     public boolean isSelf(Host host) {
         return host.id().equals(settings.self().id());
     }
 
-    /** What this process writes into the keys that it claims; another process of the same host writes another value. */
+    /** Returns the value that this process writes into the keys that it claims; unique to this process of the host. */
     public byte[] claimValue() {
         return claimValue.clone();
     }
 
-    /** The settings. */
+    /** Returns the settings. */
     public HostSettings settings() {
         return settings;
     }
 
-    /** The control loop; thread-safe. */
+    /** Returns the control loop; thread-safe. */
     public ControlLoop loop() {
         return loop;
     }
 
-    /** The traffic threads; thread-safe. */
+    /** Returns the event loops for network I/O; thread-safe. */
     public EventLoopGroup group() {
         return group;
     }
 
-    /** The HTTP client; thread-safe. */
+    /** Returns the HTTP client; thread-safe. */
     public HttpClient http() {
         return http;
     }
 
-    /** The peer client; thread-safe. */
+    /** Returns the peer client; thread-safe. */
     public PeerClient peers() {
         return peers;
     }
 
-    /** The key-value service; thread-safe. */
+    /** Returns the client of the key-value service; thread-safe. */
     public EtcdKeyValueStore keyValue() {
         return keyValue;
     }
 
-    /** The stores' segments; thread-safe. */
+    /** Returns the client of the segment stores; thread-safe. */
     public SegmentClient segments() {
         return segments;
     }
 
-    /** The time line; thread-safe. */
+    /** Returns the timeline; thread-safe. */
     public Timeline timeline() {
         return timeline;
     }
 
-    /** The view of the other hosts. */
+    /** Returns the view of the other hosts. */
     public Membership membership() {
         return membership;
     }
 
-    /** The configuration in force. */
+    /** Returns the driver of the active configuration. */
     public ConfigurationDriver configuration() {
         return configuration;
     }
@@ -292,7 +300,7 @@
                 .awaitUninterruptibly(2 * GROUP_SHUTDOWN_MILLIS);
         if (sink instanceof FileSink file) {
             Try.run(file::close)
-                    .onFailure(failure -> LOG.warn("the time line could not be closed: {}", failure.toString()));
+                    .onFailure(failure -> LOG.warn("failed to close the timeline file: {}", failure.toString()));
         }
         ended.complete(null);
     }
@@ -314,7 +322,7 @@
     private void readHostList() {
         hostList.read()
                 .whenComplete((listing, failure) -> loop.execute(() -> {
-                    // Without an answer the hosts of the last one stay: the heartbeats tell who of them is alive.
+                    // On failure the hosts of the last listing stay; the heartbeats tell which of them are alive.
                     if (failure == null) {
                         membership.candidates(listing.hosts(), loop.nowNanos());
                         noticeMembershipChange();
@@ -341,10 +349,10 @@
         return common.orElseGet(() -> roleHandler.handle(from, message));
     }
 
-    /** Follows the readings of the host list. */
+    /** Receives the listings of the host list. */
     @FunctionalInterface
     public interface HostListListener {
-        /** The list was read. */
+        /** Called after each successful read of the host list. */
         void onHostList(HostList.Listing listing);
     }
 }
--- a/src/main/java/org/gooseberryhill/process/HostSettings.java
+++ b/src/main/java/org/gooseberryhill/process/HostSettings.java
@@ -6,17 +6,18 @@
 import org.gooseberryhill.link.Address;
 
 /**
- * What a process learns from its settings. Immutable.
+ * Settings that all processes have. Immutable.
  *
- * @param self its identity, role, availability zone and peer address
- * @param keyValueAddress the key-value service
- * @param hostListAddress the platform's host list
- * @param platformTimeoutMillis how long a call to the platform may take
- * @param hostListPeriodMillis how often the host list is read
- * @param leaseMillis how long a lease lasts after its last renewal
- * @param stopGraceMillis how long requests are still taken in after a planned stop was asked for
- * @param stopBoundMillis after which a planned stop ends even with requests in progress
- * @param timelineFolder where the time line is written, for a system inside another program; else it goes to the log
+ * @param self the id, role, availability zone and peer address of this host
+ * @param keyValueAddress the address of the key-value service
+ * @param hostListAddress the address of the platform's host list
+ * @param platformTimeoutMillis time-out of calls to the platform
+ * @param hostListPeriodMillis interval between reads of the host list
+ * @param leaseMillis time to live of a lease after its last renewal
+ * @param stopGraceMillis how long requests are still accepted after a planned stop was requested
+ * @param stopBoundMillis time after which a planned stop ends even if requests are in progress
+ * @param timelineFolder the folder of the timeline file, for a system embedded in another program; if empty, the
+ *     timeline goes to the log
  */
 public record HostSettings(
         Host self,
--- a/src/main/java/org/gooseberryhill/process/LeaseKeeper.java
+++ b/src/main/java/org/gooseberryhill/process/LeaseKeeper.java
@@ -9,9 +9,10 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Keeps this host's one lease in the key-value service. Used by the control thread only.
+ * Obtains and renews this host's single lease in the key-value service. Used by the control thread only.
  *
- * <p>Example: claims are written with {@code usable().get()}; after {@code onLost} all of them are gone.
+ * <p>Claims are written under the lease {@code usable().get()}; when the {@code onLost} listeners run, all of them are
+ * gone.
  */
 public final class LeaseKeeper {
     private static final Logger LOG = LogManager.getLogger(LeaseKeeper.class);
@@ -25,30 +26,30 @@
     private boolean calling;
     private boolean released;
 
-    /** A keeper that holds no lease yet. */
+    /** Creates an instance that holds no lease yet. */
     public LeaseKeeper(HostProcess process) {
         this.process = process;
         this.leaseMillis = process.settings().leaseMillis();
         this.guard = new LeaseGuard(leaseMillis / MARGIN_DIVISOR);
     }
 
-    /** Asks for the lease and renews it from now on. */
+    /** Requests the lease and renews it periodically. */
     public void start() {
         renew();
         process.loop().every(leaseMillis / RENEWALS_PER_LEASE, this::renew);
     }
 
-    /** Calls back when the lease is gone, and with it all claims. */
+    /** Adds a listener that is called when the lease, and with it all claims, is gone. */
     public void onLost(Runnable listener) {
         lossListeners.add(listener);
     }
 
-    /** The lease, if this host may act under it now. */
+    /** Returns the id of the lease, if this host may act under it now. */
     public Optional<Long> usable() {
         return guard.usable(process.loop().nowNanos());
     }
 
-    /** Gives the lease back at a planned stop, so that others need not wait for its end; then runs the action. */
+    /** Revokes the lease at a planned stop, so that others need not wait until it expires; then runs the action. */
     public void release(Runnable then) {
         released = true;
         Optional<Long> lease = guard.granted();
@@ -100,7 +101,7 @@
             guard.renewed(lease, sentNanos, leftMillis.get());
             return;
         }
-        LOG.warn("lease {} is gone", lease);
+        LOG.warn("lease {} has expired or was revoked", lease);
         process.timeline().event(EventKind.LEASE_LOST).with("lease", lease).write();
         guard.lost();
         lossListeners.forEach(Runnable::run);
--- a/src/main/java/org/gooseberryhill/process/MembershipDriver.java
+++ b/src/main/java/org/gooseberryhill/process/MembershipDriver.java
@@ -18,7 +18,7 @@
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Carries the membership's heartbeats over the peer protocol. Used by the control thread only. */
+/** Exchanges the heartbeats of the membership over the peer protocol. Used by the control thread only. */
 final class MembershipDriver implements MembershipCommands {
     private final HostProcess process;
     private final Map<HostId, HostState> lastStates = new HashMap<>();
@@ -29,12 +29,12 @@
         this.process = process;
     }
 
-    /** Sets what this host's heartbeats say of waiting work. */
+    /** Sets the supplier of the waiting work that this host's heartbeats report. */
     void ownWork(Supplier<Map<String, Long>> supplier) {
         ownWork = supplier;
     }
 
-    /** Calls back with what other hosts' heartbeats say of waiting work. */
+    /** Adds a listener that is called with the waiting work reported by heartbeats of other hosts. */
     void onWork(BiConsumer<HostId, Map<String, Long>> listener) {
         workListeners.add(listener);
     }
@@ -43,7 +43,7 @@
         process.membership().tick(process.loop().nowNanos(), this);
     }
 
-    /** Tells all hosts at once that this one is leaving, so that none sends it new work. */
+    /** Tells all hosts immediately, by a heartbeat, that this one is leaving, so that they send it no new work. */
     void announceLeaving() {
         for (Host host : process.membership().present()) {
             process.tell(host, heartbeat(process.membership().rumorsFor(host.id())));
@@ -104,7 +104,7 @@
         workListeners.forEach(listener -> listener.accept(from, heartbeat.work()));
     }
 
-    /** Writes what changed in the view onto the time line. */
+    /** Records the hosts' state changes in the timeline. */
     void recordChanges() {
         process.membership().states().forEach((host, state) -> {
             HostState before = lastStates.put(host, state);
--- a/src/main/java/org/gooseberryhill/process/MessageHandler.java
+++ b/src/main/java/org/gooseberryhill/process/MessageHandler.java
@@ -4,13 +4,13 @@
 import org.gooseberryhill.host.HostId;
 import org.gooseberryhill.peer.PeerMessage;
 
-/** Answers the messages that belong to a role; runs on the control thread and must not wait. */
+/** Handles the messages of a role; called on the control thread and must not block. */
 @FunctionalInterface
 public interface MessageHandler {
-    /** The reply to a message. */
+    /** Returns the reply to a message. */
     CompletableFuture<PeerMessage> handle(HostId from, PeerMessage message);
 
-    /** A reply that is there already. */
+    /** Returns a completed future with a reply. */
     static CompletableFuture<PeerMessage> reply(PeerMessage message) {
         return CompletableFuture.completedFuture(message);
     }
--- a/src/main/java/org/gooseberryhill/process/package-info.java
+++ b/src/main/java/org/gooseberryhill/process/package-info.java
@@ -1,2 +1,2 @@
-/** What every process of the system has: control loop, peers, membership, configuration, lease. */
+/** The common parts of all processes: control loop, peers, membership, configuration and lease. */
 package org.gooseberryhill.process;
--- a/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
@@ -43,13 +43,13 @@
         group.shutdownGracefully();
     }
 
-    /** Guards against questions that fail since another one on their connection was not answered in its time. */
+    /** Guards against requests that fail because another request on their connection timed out. */
     @Test
     void aQuestionThatTimesOutDoesNotFailTheOthersOnItsConnection() {
         CompletableFuture<PeerMessage> patient = ask(address, "slow", LONG_MILLIS);
 
         assertTimesOut(ask(address, "never", SHORT_MILLIS));
-        // The answer to this one comes after the answer to the probe.
+        // The probe was sent earlier on the same connection, so its reply arrives before this one.
         ask(address, "at once", LONG_MILLIS).join();
         probeIsOverdue();
 
@@ -57,7 +57,7 @@
         assertThat(patient.join()).isEqualTo(new GatewayMessage.BatchEnded(true));
     }
 
-    /** Guards against questions that fail since the other process decides nothing for a while. */
+    /** Guards against requests that fail because the control thread of the other process is busy for a while. */
     @Test
     void aProbeIsAnsweredThoughTheProcessAnswersNothingElse() {
         CompletableFuture<PeerMessage> patient = ask(address, "slow", LONG_MILLIS);
@@ -69,7 +69,7 @@
         assertThat(patient).isNotDone();
     }
 
-    /** Guards against a connection that went silent without a reset and is used for ever. */
+    /** Guards against endless use of a connection that stopped delivering data without a reset. */
     @Test
     void aConnectionThatAnswersNothingIsGivenUp() throws IOException {
         try (ServerSocket silent = silentServer()) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Guards against a silent connection that stays in use since it was made after the question that was not answered. */
+    /** Guards against keeping an unresponsive connection that was established only after its request timed out. */
     @Test
     void aConnectionThatIsMadeAfterAQuestionHasTimedOutIsGivenUpIfItAnswersNothing() throws IOException {
         try (ServerSocket silent = silentServer()) {
@@ -119,7 +119,7 @@
         assertThatThrownBy(question::join).hasMessageContaining("Timeout");
     }
 
-    /** A server whose connections are made by the system and read by nobody. */
+    /** Returns a server socket whose connections the kernel accepts and nobody reads. */
     private static ServerSocket silentServer() throws IOException {
         return new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
     }
--- a/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
@@ -112,7 +112,7 @@
         assertThat(PeerCodec.decode(PeerCodec.encode(frame))).isEqualTo(frame);
     }
 
-    /** Arrays have no equality of their own, so values are looked at one by one. */
+    /** Records that contain arrays are not equal to their copies, so the contents are compared one by one. */
     @Test
     void theBytesOfKeysAndBodiesComeOutAsTheyWentIn() throws IOException {
         byte[] value = {0, 1, -1, 127};
@@ -138,7 +138,7 @@
         assertThat(put.body()).isEqualTo(value);
     }
 
-    /** The mapper's first use takes a third of a second of processor time, whenever it comes. */
+    /** Guards against callers that wait for the mapper's first use: a third of a second of processor time. */
     @ParameterizedTest
     @MethodSource("gatewayMessages")
     void whatGatewaysExchangeNeedsNoMapper(PeerMessage message) {
@@ -195,7 +195,7 @@
         assertThat(answer.written()).contains(new KeyValueStore.WriteResult(true, 5));
     }
 
-    /** A frame of another version of the system names a message that this one does not know: the connection fails. */
+    /** A process of another version may send a message that this one does not know; the connection has to fail. */
     @Test
     void aFrameWithAnUnknownCodeIsRefused() {
         assertThatThrownBy(() -> PeerCodec.decode(new byte[] {99, 1, -62, 1, -95, 'h'}))
--- a/src/test/java/org/gooseberryhill/process/HostProcessTest.java
+++ b/src/test/java/org/gooseberryhill/process/HostProcessTest.java
@@ -22,7 +22,10 @@
     @TempDir
     private Path folder;
 
-    /** Guards against what is cut at the end of a stop whose time began only when a late control thread learned of it. */
+    /**
+     * Guards against requests that are cut off at the end of a planned stop, because the stop was timed only from
+     * when a delayed control thread processed it.
+     */
     @Test
     void theTimeOfAStopBeginsWhenItIsAskedForEvenIfTheControlThreadIsLate() {
         HostProcess process = new HostProcess(settings(), 1);
@@ -31,7 +34,7 @@
         process.askStop();
         long askedNanos = System.nanoTime();
         Loopback.await(
-                "the end of the grace",
+                "the end of the grace period",
                 () -> System.nanoTime() - askedNanos > TimeUnit.MILLISECONDS.toNanos(GRACE_MILLIS));
         CompletableFuture<PlannedStop.Phase> phase = new CompletableFuture<>();
         process.loop().execute(() -> {
