--- a/src/main/java/org/gooseberryhill/peer/BatchForms.java
+++ b/src/main/java/org/gooseberryhill/peer/BatchCodecs.java
@@ -10,18 +10,18 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Defines the compact encodings of messages about request batches. Stateless. */
-final class BatchForms {
-    private BatchForms() {}
+/** Defines the compact codecs of messages about request batches. Stateless. */
+final class BatchCodecs {
+    private BatchCodecs() {}
 
-    static List<CompactForm<?>> all() {
+    static List<CompactCodec<?>> all() {
         return List.of(
-                new CompactForm<>(
+                new CompactCodec<>(
                         6,
                         GatewayMessage.BatchNotice.class,
                         (notice, packer) -> packer.packString(notice.batch()),
                         unpacker -> new GatewayMessage.BatchNotice(unpacker.unpackString())),
-                new CompactForm<>(
+                new CompactCodec<>(
                         7,
                         GatewayMessage.ResultsAsk.class,
                         (ask, packer) -> packer.packString(ask.batch())
@@ -29,18 +29,19 @@
                                 .packLong(ask.waitMillis()),
                         unpacker -> new GatewayMessage.ResultsAsk(
                                 unpacker.unpackString(), unpacker.unpackInt(), unpacker.unpackLong())),
-                new CompactForm<>(
+                new CompactCodec<>(
                         8,
                         GatewayMessage.Results.class,
-                        (results, packer) -> CompactFields.writeOptional(packer, results.page(), BatchForms::writePage),
-                        unpacker ->
-                                new GatewayMessage.Results(CompactFields.readOptional(unpacker, BatchForms::readPage))),
-                new CompactForm<>(
+                        (results, packer) ->
+                                CompactFields.writeOptional(packer, results.page(), BatchCodecs::writePage),
+                        unpacker -> new GatewayMessage.Results(
+                                CompactFields.readOptional(unpacker, BatchCodecs::readPage))),
+                new CompactCodec<>(
                         9,
                         GatewayMessage.ItemBodyAsk.class,
                         (ask, packer) -> packer.packString(ask.batch()).packString(ask.item()),
                         unpacker -> new GatewayMessage.ItemBodyAsk(unpacker.unpackString(), unpacker.unpackString())),
-                new CompactForm<>(
+                new CompactCodec<>(
                         10,
                         GatewayMessage.ItemBody.class,
                         (body, packer) -> CompactFields.writeOptional(
@@ -48,29 +49,29 @@
                         unpacker -> new GatewayMessage.ItemBody(
                                 unpacker.unpackBoolean(),
                                 CompactFields.readOptional(unpacker, CompactFields::readBytes))),
-                new CompactForm<>(
+                new CompactCodec<>(
                         11,
                         GatewayMessage.BatchEndAsk.class,
                         (ask, packer) -> packer.packString(ask.batch()),
                         unpacker -> new GatewayMessage.BatchEndAsk(unpacker.unpackString())),
-                new CompactForm<>(
+                new CompactCodec<>(
                         12,
                         GatewayMessage.BatchEnded.class,
                         (answer, packer) -> packer.packBoolean(answer.ended()),
                         unpacker -> new GatewayMessage.BatchEnded(unpacker.unpackBoolean())),
-                new CompactForm<>(
-                        15, GatewayMessage.BatchHandOver.class, BatchForms::writeHandOver, BatchForms::readHandOver));
+                new CompactCodec<>(
+                        15, GatewayMessage.BatchHandOver.class, BatchCodecs::writeHandOver, BatchCodecs::readHandOver));
     }
 
     private static void writePage(MessagePacker packer, BatchPage page) throws IOException {
         packer.packInt(page.total()).packInt(page.after());
-        CompactFields.writeList(packer, page.results(), BatchForms::writeResult);
+        CompactFields.writeList(packer, page.results(), BatchCodecs::writeResult);
     }
 
     private static BatchPage readPage(MessageUnpacker unpacker) throws IOException {
         int total = unpacker.unpackInt();
         int after = unpacker.unpackInt();
-        return new BatchPage(total, after, CompactFields.readList(unpacker, BatchForms::readResult));
+        return new BatchPage(total, after, CompactFields.readList(unpacker, BatchCodecs::readResult));
     }
 
     private static void writeResult(MessagePacker packer, ItemResult result) throws IOException {
@@ -85,7 +86,7 @@
     private static void writeHandOver(GatewayMessage.BatchHandOver handOver, MessagePacker packer) throws IOException {
         packer.packString(handOver.batch()).packLong(handOver.revision());
         writeRecord(packer, handOver.record());
-        CompactFields.writeList(packer, handOver.progress(), BatchForms::writeCheckpoint);
+        CompactFields.writeList(packer, handOver.progress(), BatchCodecs::writeCheckpoint);
     }
 
     private static GatewayMessage.BatchHandOver readHandOver(MessageUnpacker unpacker) throws IOException {
@@ -93,7 +94,7 @@
                 unpacker.unpackString(),
                 unpacker.unpackLong(),
                 readRecord(unpacker),
-                CompactFields.readList(unpacker, BatchForms::readCheckpoint));
+                CompactFields.readList(unpacker, BatchCodecs::readCheckpoint));
     }
 
     private static void writeCheckpoint(MessagePacker packer, ItemCheckpoint checkpoint) throws IOException {
--- a/src/main/java/org/gooseberryhill/peer/CompactForm.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactCodec.java
@@ -13,7 +13,7 @@
  * @param writer writes the fields
  * @param reader reads the fields in the same order
  */
-record CompactForm<M extends PeerMessage>(int code, Class<M> type, Writer<M> writer, Reader<M> reader) {
+record CompactCodec<M extends PeerMessage>(int code, Class<M> type, Writer<M> writer, Reader<M> reader) {
     /** Writes the fields of a message, which must be of this type. */
     void write(PeerMessage message, MessagePacker packer) throws IOException {
         writer.write(type.cast(message), packer);
--- a/src/main/java/org/gooseberryhill/peer/CompactForms.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactCodecs.java
@@ -12,59 +12,59 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Registry of the compact encodings, which cover the messages that gateways and hosts with a disk exchange. Stateless.
+ * Registry of the compact codecs, which cover the messages that gateways and hosts with a disk exchange. Stateless.
  *
  * <p>The Jackson mapper can encode any message, but the type introspection at its first use takes a third of a second
  * of processor time. Callers wait meanwhile, whenever it happens: at startup, when the key-value store rejects a host
  * and another host relays its calls, or when a stopping host hands over its batches.
  */
-final class CompactForms {
-    private static final Map<Class<?>, CompactForm<?>> BY_TYPE = new HashMap<>();
-    private static final Map<Integer, CompactForm<?>> BY_CODE = new HashMap<>();
+final class CompactCodecs {
+    private static final Map<Class<?>, CompactCodec<?>> BY_TYPE = new HashMap<>();
+    private static final Map<Integer, CompactCodec<?>> BY_CODE = new HashMap<>();
 
     static {
-        own().forEach(CompactForms::add);
-        BatchForms.all().forEach(CompactForms::add);
-        SubmissionForms.all().forEach(CompactForms::add);
-        StoreCallForms.all().forEach(CompactForms::add);
+        coreCodecs().forEach(CompactCodecs::add);
+        BatchCodecs.all().forEach(CompactCodecs::add);
+        SubmissionCodecs.all().forEach(CompactCodecs::add);
+        StoreCallCodecs.all().forEach(CompactCodecs::add);
     }
 
-    private CompactForms() {}
+    private CompactCodecs() {}
 
-    /** Returns the encoding of a message; empty if the Jackson mapper encodes it. */
-    static Optional<CompactForm<?>> of(PeerMessage message) {
+    /** Returns the codec of a message; empty if the Jackson mapper encodes it. */
+    static Optional<CompactCodec<?>> of(PeerMessage message) {
         return Optional.ofNullable(BY_TYPE.get(message.getClass()));
     }
 
-    /** Returns the encoding with the given code; throws if the code is unknown. */
-    static CompactForm<?> of(int code) throws IOException {
-        CompactForm<?> form = BY_CODE.get(code);
-        if (form == null) {
+    /** Returns the codec with the given code; throws if the code is unknown. */
+    static CompactCodec<?> of(int code) throws IOException {
+        CompactCodec<?> codec = BY_CODE.get(code);
+        if (codec == null) {
             throw new IOException("unknown message code: " + code);
         }
-        return form;
+        return codec;
     }
 
-    private static void add(CompactForm<?> form) {
-        BY_TYPE.put(form.type(), form);
-        BY_CODE.put(form.code(), form);
+    private static void add(CompactCodec<?> codec) {
+        BY_TYPE.put(codec.type(), codec);
+        BY_CODE.put(codec.code(), codec);
     }
 
-    private static List<CompactForm<?>> own() {
+    private static List<CompactCodec<?>> coreCodecs() {
         return List.of(
-                new CompactForm<>(1, PeerMessage.Ack.class, (ack, packer) -> {}, unpacker -> new PeerMessage.Ack()),
-                new CompactForm<>(
-                        2, GatewayMessage.InFlightReport.class, CompactForms::writeReport, CompactForms::readReport),
-                new CompactForm<>(
-                        3, GatewayMessage.ViewChanges.class, CompactForms::writeChanges, CompactForms::readChanges),
-                new CompactForm<>(
+                new CompactCodec<>(1, PeerMessage.Ack.class, (ack, packer) -> {}, unpacker -> new PeerMessage.Ack()),
+                new CompactCodec<>(
+                        2, GatewayMessage.InFlightReport.class, CompactCodecs::writeReport, CompactCodecs::readReport),
+                new CompactCodec<>(
+                        3, GatewayMessage.ViewChanges.class, CompactCodecs::writeChanges, CompactCodecs::readChanges),
+                new CompactCodec<>(
                         4,
                         GatewayMessage.ViewAsk.class,
                         (ask, packer) -> packer.packString(ask.prefix()),
                         unpacker -> new GatewayMessage.ViewAsk(unpacker.unpackString())),
-                new CompactForm<>(
-                        5, GatewayMessage.ViewListing.class, CompactForms::writeListing, CompactForms::readListing),
-                new CompactForm<>(
+                new CompactCodec<>(
+                        5, GatewayMessage.ViewListing.class, CompactCodecs::writeListing, CompactCodecs::readListing),
+                new CompactCodec<>(
                         13,
                         PeerMessage.CrashNotice.class,
                         (notice, packer) -> CompactFields.writeList(
@@ -72,7 +72,7 @@
                         unpacker -> new PeerMessage.CrashNotice(
                                 unpacker.unpackString(),
                                 CompactFields.readList(unpacker, MessageUnpacker::unpackString))),
-                new CompactForm<>(
+                new CompactCodec<>(
                         14,
                         PeerMessage.SuspectRelease.class,
                         (release, packer) -> packer.packString(release.service())
@@ -80,12 +80,12 @@
                                 .packBoolean(release.completed()),
                         unpacker -> new PeerMessage.SuspectRelease(
                                 unpacker.unpackString(), unpacker.unpackString(), unpacker.unpackBoolean())),
-                new CompactForm<>(
+                new CompactCodec<>(
                         23,
                         PeerMessage.Failed.class,
                         (failed, packer) -> packer.packString(failed.reason()),
                         unpacker -> new PeerMessage.Failed(unpacker.unpackString())),
-                new CompactForm<>(
+                new CompactCodec<>(
                         24,
                         PeerMessage.ConnectionProbe.class,
                         (probe, packer) -> {},
--- a/src/main/java/org/gooseberryhill/peer/CompactFields.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactFields.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes and reads the field types that several compact encodings share. Stateless. */
+/** Writes and reads the field types that several compact codecs share. Stateless. */
 final class CompactFields {
     private CompactFields() {}
 
--- a/src/main/java/org/gooseberryhill/peer/PeerClient.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerClient.java
@@ -25,19 +25,19 @@
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
     /** Time-out of the reply to a {@link PeerMessage.ConnectionProbe}. */
-    private static final long PROBE_MILLIS = 300;
+    private static final long PROBE_TIMEOUT_MILLIS = 300;
 
     private final HostId self;
     private final HybridClock clock;
     private final Bootstrap bootstrap;
-    private final Map<Target, PeerConnection> connections = new ConcurrentHashMap<>();
+    private final Map<ConnectionKey, PeerConnection> connections = new ConcurrentHashMap<>();
     private final PeerTraffic traffic = new PeerTraffic();
     private final LongAdder sentMessages = new LongAdder();
-    private final Executor probeLimit;
+    private final Executor probeTimeoutExecutor;
 
     /** Creates a client that runs on the given event loops. */
     public PeerClient(EventLoopGroup group, HostId self, HybridClock clock) {
-        this(group, self, clock, CompletableFuture.delayedExecutor(PROBE_MILLIS, TimeUnit.MILLISECONDS, group));
+        this(group, self, clock, CompletableFuture.delayedExecutor(PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS, group));
     }
 
     /**
@@ -45,10 +45,10 @@
      *
      * @param probeTimeoutExecutor runs each task when the time-out of a connection probe has passed
      */
-    PeerClient(EventLoopGroup group, HostId self, HybridClock clock, Executor probeLimit) {
+    PeerClient(EventLoopGroup group, HostId self, HybridClock clock, Executor probeTimeoutExecutor) {
         this.self = self;
         this.clock = clock;
-        this.probeLimit = probeLimit;
+        this.probeTimeoutExecutor = probeTimeoutExecutor;
         this.bootstrap = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
@@ -72,7 +72,7 @@
                         connection.closeUnlessAlive();
                     }
                 })
-                .thenApply(PeerClient::requireServed);
+                .thenApply(PeerClient::throwIfFailed);
     }
 
     /** Sends a message without a reply; delivery is not confirmed. */
@@ -85,7 +85,7 @@
         if (addresses.isEmpty()) {
             return;
         }
-        byte[] frame = encoded(new PeerFrame(PeerFrame.NO_REPLY, false, clock.now(), self, message));
+        byte[] frame = encode(new PeerFrame(PeerFrame.NO_REPLY, false, clock.now(), self, message));
         addresses.forEach(address -> connection(address, lane).post(frame));
     }
 
@@ -107,11 +107,11 @@
     private PeerConnection connection(Address address, PeerLane lane) {
         sentMessages.increment();
         return connections.computeIfAbsent(
-                new Target(address, lane),
-                target -> new PeerConnection(bootstrap, address, self, clock, traffic, probeLimit));
+                new ConnectionKey(address, lane),
+                key -> new PeerConnection(bootstrap, address, self, clock, traffic, probeTimeoutExecutor));
     }
 
-    private static byte[] encoded(PeerFrame frame) {
+    private static byte[] encode(PeerFrame frame) {
         try {
             return PeerCodec.encode(frame);
         } catch (IOException e) {
@@ -119,7 +119,7 @@
         }
     }
 
-    private static PeerMessage requireServed(PeerMessage reply) {
+    private static PeerMessage throwIfFailed(PeerMessage reply) {
         if (reply instanceof PeerMessage.Failed failed) {
             throw new PeerException(failed.reason());
         }
@@ -127,5 +127,5 @@
     }
 
     /** Key of a connection. */
-    private record Target(Address address, PeerLane lane) {}
+    private record ConnectionKey(Address address, PeerLane lane) {}
 }
--- a/src/main/java/org/gooseberryhill/peer/PeerCodec.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerCodec.java
@@ -57,8 +57,8 @@
 
     /** Encodes a frame without its length field; also used to measure the size of messages. */
     static byte[] encode(PeerFrame frame) throws IOException {
-        Optional<CompactForm<?>> form = CompactForms.of(frame.message());
-        return form.isPresent() ? encode(frame, form.get()) : MAPPER.get().writeValueAsBytes(frame);
+        Optional<CompactCodec<?>> codec = CompactCodecs.of(frame.message());
+        return codec.isPresent() ? encode(frame, codec.get()) : MAPPER.get().writeValueAsBytes(frame);
     }
 
     /**
@@ -70,26 +70,26 @@
         return compact ? decodeCompact(bytes) : MAPPER.get().readValue(bytes, PeerFrame.class);
     }
 
-    private static byte[] encode(PeerFrame frame, CompactForm<?> form) throws IOException {
+    private static byte[] encode(PeerFrame frame, CompactCodec<?> codec) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packInt(form.code())
+            packer.packInt(codec.code())
                     .packLong(frame.number())
                     .packBoolean(frame.reply())
                     .packLong(frame.at().packed())
                     .packString(frame.from().value());
-            form.write(frame.message(), packer);
+            codec.write(frame.message(), packer);
             return packer.toByteArray();
         }
     }
 
     private static PeerFrame decodeCompact(byte[] bytes) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
-            CompactForm<?> form = CompactForms.of(unpacker.unpackInt());
+            CompactCodec<?> codec = CompactCodecs.of(unpacker.unpackInt());
             long number = unpacker.unpackLong();
             boolean reply = unpacker.unpackBoolean();
             HybridTimestamp at = new HybridTimestamp(unpacker.unpackLong());
             HostId from = new HostId(unpacker.unpackString());
-            return new PeerFrame(number, reply, at, from, form.reader().read(unpacker));
+            return new PeerFrame(number, reply, at, from, codec.reader().read(unpacker));
         }
     }
 
@@ -106,13 +106,13 @@
     @Override
     protected void encode(ChannelHandlerContext context, PeerFrame frame, List<Object> out) throws IOException {
         byte[] bytes = encode(frame);
-        traffic.sent(LENGTH_BYTES + bytes.length);
+        traffic.addSent(LENGTH_BYTES + bytes.length);
         out.add(Unpooled.wrappedBuffer(bytes));
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out) throws IOException {
-        traffic.received(LENGTH_BYTES + buffer.readableBytes());
+        traffic.addReceived(LENGTH_BYTES + buffer.readableBytes());
         out.add(decode(ByteBufUtil.getBytes(buffer)));
     }
 }
--- a/src/main/java/org/gooseberryhill/peer/PeerConnection.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerConnection.java
@@ -31,9 +31,9 @@
     private final HostId self;
     private final HybridClock clock;
     private final PeerTraffic traffic;
-    private final Executor probeLimit;
-    private final AtomicLong numbers = new AtomicLong();
-    private ChannelFuture connecting;
+    private final Executor probeTimeoutExecutor;
+    private final AtomicLong lastRequestNumber = new AtomicLong();
+    private ChannelFuture connectFuture;
 
     /**
      * Creates a connection that is established on first use.
@@ -46,7 +46,7 @@
             HostId self,
             HybridClock clock,
             PeerTraffic traffic,
-            Executor probeLimit) {
+            Executor probeTimeoutExecutor) {
         this.bootstrap = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
             @Override
             protected void initChannel(SocketChannel channel) {
@@ -58,12 +58,12 @@
         this.self = self;
         this.clock = clock;
         this.traffic = traffic;
-        this.probeLimit = probeLimit;
+        this.probeTimeoutExecutor = probeTimeoutExecutor;
     }
 
     CompletableFuture<PeerMessage> ask(PeerMessage message) {
         CompletableFuture<PeerMessage> future = new CompletableFuture<>();
-        ChannelFuture current = currentConnection();
+        ChannelFuture current = connectIfNeeded();
         current.addListener(done -> {
             if (!done.isSuccess()) {
                 future.completeExceptionally(new PeerException("no connection to " + address));
@@ -76,10 +76,10 @@
 
     /** Sends an encoded frame that has no reply. */
     void post(byte[] frame) {
-        ChannelFuture current = currentConnection();
+        ChannelFuture current = connectIfNeeded();
         current.addListener(done -> {
             if (done.isSuccess()) {
-                traffic.sent(PeerCodec.LENGTH_BYTES + frame.length);
+                traffic.addSent(PeerCodec.LENGTH_BYTES + frame.length);
                 current.channel().writeAndFlush(Unpooled.wrappedBuffer(frame));
             }
         });
@@ -93,7 +93,7 @@
      * it times out although a new connection would work.
      */
     void closeUnlessAlive() {
-        latestConnection()
+        latestConnectFuture()
                 .ifPresent(latest -> latest.addListener(done -> {
                     if (done.isSuccess()) {
                         probe(latest.channel());
@@ -102,13 +102,13 @@
     }
 
     void close() {
-        latestConnection().ifPresent(latest -> latest.channel().close());
+        latestConnectFuture().ifPresent(latest -> latest.channel().close());
     }
 
     private void probe(Channel channel) {
         CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
         send(channel, new PeerMessage.ConnectionProbe(), reply);
-        probeLimit.execute(() -> {
+        probeTimeoutExecutor.execute(() -> {
             if (!reply.isDone()) {
                 channel.close();
             }
@@ -116,14 +116,14 @@
     }
 
     private void send(Channel channel, PeerMessage message, CompletableFuture<PeerMessage> future) {
-        ReplyHandler replies = channel.pipeline().get(ReplyHandler.class);
-        if (replies == null) {
+        ReplyHandler replyHandler = channel.pipeline().get(ReplyHandler.class);
+        if (replyHandler == null) {
             future.completeExceptionally(new PeerException("lost the connection to " + address));
             return;
         }
-        long number = numbers.incrementAndGet();
-        replies.waiting.put(number, future);
-        future.whenComplete((reply, failure) -> replies.waiting.remove(number));
+        long number = lastRequestNumber.incrementAndGet();
+        replyHandler.pendingRequests.put(number, future);
+        future.whenComplete((reply, failure) -> replyHandler.pendingRequests.remove(number));
         channel.writeAndFlush(new PeerFrame(number, false, clock.now(), self, message))
                 .addListener(written -> {
                     if (!written.isSuccess()) {
@@ -132,27 +132,27 @@
                 });
     }
 
-    private synchronized Optional<ChannelFuture> latestConnection() {
-        return Optional.ofNullable(connecting);
+    private synchronized Optional<ChannelFuture> latestConnectFuture() {
+        return Optional.ofNullable(connectFuture);
     }
 
-    private synchronized ChannelFuture currentConnection() {
-        boolean usable = connecting != null
-                && (!connecting.isDone() || connecting.channel().isActive());
+    private synchronized ChannelFuture connectIfNeeded() {
+        boolean usable = connectFuture != null
+                && (!connectFuture.isDone() || connectFuture.channel().isActive());
         if (!usable) {
-            connecting = bootstrap.connect(new InetSocketAddress(address.ip(), address.port()));
+            connectFuture = bootstrap.connect(new InetSocketAddress(address.ip(), address.port()));
         }
-        return connecting;
+        return connectFuture;
     }
 
     /** Matches replies with pending requests. */
     private final class ReplyHandler extends SimpleChannelInboundHandler<PeerFrame> {
-        private final Map<Long, CompletableFuture<PeerMessage>> waiting = new ConcurrentHashMap<>();
+        private final Map<Long, CompletableFuture<PeerMessage>> pendingRequests = new ConcurrentHashMap<>();
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerFrame frame) {
             clock.observe(frame.at());
-            CompletableFuture<PeerMessage> future = waiting.remove(frame.number());
+            CompletableFuture<PeerMessage> future = pendingRequests.remove(frame.number());
             if (future != null) {
                 future.complete(frame.message());
             }
@@ -161,7 +161,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             PeerException lost = new PeerException("lost the connection to " + address);
-            waiting.values().forEach(future -> future.completeExceptionally(lost));
+            pendingRequests.values().forEach(future -> future.completeExceptionally(lost));
         }
 
         @Override
--- a/src/main/java/org/gooseberryhill/peer/PeerException.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerException.java
@@ -1,6 +1,6 @@
 package org.gooseberryhill.peer;
 
-/** Thrown if a peer can't be reached, or replies that it could not process a message. Has no stack trace. */
+/** Thrown if peers can't be reached, or reply that they could not process a message. Has no stack trace. */
 public final class PeerException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/gooseberryhill/peer/PeerMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerMessage.java
@@ -95,10 +95,15 @@
      * @param leaving whether the host is in a planned stop
      * @param configurationRevision the revision of the host's active configuration
      * @param rumors recent states of other hosts, bounded in number
-     * @param work services for which the host owns waiting items, with the earliest due time in epoch milliseconds
+     * @param earliestDueMillisByService the earliest due time of the waiting items that the host owns, by service, in
+     *     epoch milliseconds
      */
     record Heartbeat(
-            long incarnation, boolean leaving, long configurationRevision, List<Rumor> rumors, Map<String, Long> work)
+            long incarnation,
+            boolean leaving,
+            long configurationRevision,
+            List<Rumor> rumors,
+            Map<String, Long> earliestDueMillisByService)
             implements PeerMessage {}
 
     /**
--- a/src/main/java/org/gooseberryhill/peer/PeerServer.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerServer.java
@@ -28,7 +28,7 @@
     private final HostId self;
     private final HybridClock clock;
     private final PeerHandler handler;
-    private final Channel listener;
+    private final Channel serverChannel;
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
     /** Binds the address and starts accepting connections; throws the bind exception if the address is in use. */
@@ -42,7 +42,7 @@
         this.self = self;
         this.clock = clock;
         this.handler = handler;
-        listener = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -52,7 +52,7 @@
                     protected void initChannel(SocketChannel channel) {
                         connections.add(channel);
                         PeerCodec.addTo(channel.pipeline(), traffic);
-                        channel.pipeline().addLast(new ServingHandler());
+                        channel.pipeline().addLast(new RequestHandler());
                     }
                 })
                 .bind(new InetSocketAddress(address.ip(), address.port()))
@@ -62,12 +62,12 @@
 
     @Override
     public void close() {
-        listener.close().syncUninterruptibly();
+        serverChannel.close().syncUninterruptibly();
         connections.close().awaitUninterruptibly();
     }
 
     /** Handles the messages of one connection. */
-    private final class ServingHandler extends SimpleChannelInboundHandler<PeerFrame> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<PeerFrame> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerFrame frame) {
             clock.observe(frame.at());
@@ -83,8 +83,8 @@
             });
         }
 
-        private void reply(ChannelHandlerContext context, PeerFrame question, PeerMessage answer) {
-            context.writeAndFlush(new PeerFrame(question.number(), true, clock.now(), self, answer));
+        private void reply(ChannelHandlerContext context, PeerFrame request, PeerMessage message) {
+            context.writeAndFlush(new PeerFrame(request.number(), true, clock.now(), self, message));
         }
 
         @Override
--- a/src/main/java/org/gooseberryhill/peer/PeerTraffic.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerTraffic.java
@@ -17,11 +17,11 @@
         return received.sum();
     }
 
-    void sent(int bytes) {
+    void addSent(int bytes) {
         sent.add(bytes);
     }
 
-    void received(int bytes) {
+    void addReceived(int bytes) {
         received.add(bytes);
     }
 }
--- a/src/main/java/org/gooseberryhill/peer/StoreCallForms.java
+++ b/src/main/java/org/gooseberryhill/peer/StoreCallCodecs.java
@@ -9,23 +9,26 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Defines the compact encodings of key-value store calls that one host relays for another. Stateless. */
-final class StoreCallForms {
-    private StoreCallForms() {}
+/** Defines the compact codecs of key-value store calls that one host relays for another. Stateless. */
+final class StoreCallCodecs {
+    private StoreCallCodecs() {}
 
-    static List<CompactForm<?>> all() {
+    static List<CompactCodec<?>> all() {
         return List.of(
-                new CompactForm<>(
-                        21, GatewayMessage.StoreCall.class, StoreCallForms::writeCall, StoreCallForms::readCall),
-                new CompactForm<>(
-                        22, GatewayMessage.StoreAnswer.class, StoreCallForms::writeAnswer, StoreCallForms::readAnswer));
+                new CompactCodec<>(
+                        21, GatewayMessage.StoreCall.class, StoreCallCodecs::writeCall, StoreCallCodecs::readCall),
+                new CompactCodec<>(
+                        22,
+                        GatewayMessage.StoreAnswer.class,
+                        StoreCallCodecs::writeAnswer,
+                        StoreCallCodecs::readAnswer));
     }
 
     private static void writeCall(GatewayMessage.StoreCall call, MessagePacker packer) throws IOException {
         CompactFields.writeOptional(packer, call.readKey(), MessagePacker::packString);
         CompactFields.writeOptional(packer, call.listPrefix(), MessagePacker::packString);
         packer.packBoolean(call.mayBeStale());
-        CompactFields.writeOptional(packer, call.write(), StoreCallForms::writeTransaction);
+        CompactFields.writeOptional(packer, call.write(), StoreCallCodecs::writeTransaction);
         CompactFields.writeOptional(packer, call.grantMillis(), MessagePacker::packLong);
         CompactFields.writeOptional(packer, call.renewLease(), MessagePacker::packLong);
     }
@@ -35,19 +38,19 @@
                 CompactFields.readOptional(unpacker, MessageUnpacker::unpackString),
                 CompactFields.readOptional(unpacker, MessageUnpacker::unpackString),
                 unpacker.unpackBoolean(),
-                CompactFields.readOptional(unpacker, StoreCallForms::readTransaction),
+                CompactFields.readOptional(unpacker, StoreCallCodecs::readTransaction),
                 CompactFields.readOptional(unpacker, MessageUnpacker::unpackLong),
                 CompactFields.readOptional(unpacker, MessageUnpacker::unpackLong));
     }
 
     private static void writeTransaction(MessagePacker packer, Transaction transaction) throws IOException {
-        CompactFields.writeList(packer, transaction.conditions(), StoreCallForms::writeCondition);
-        CompactFields.writeList(packer, transaction.writes(), StoreCallForms::writeWrite);
+        CompactFields.writeList(packer, transaction.conditions(), StoreCallCodecs::writeCondition);
+        CompactFields.writeList(packer, transaction.writes(), StoreCallCodecs::writeWrite);
     }
 
     private static Transaction readTransaction(MessageUnpacker unpacker) throws IOException {
-        List<Transaction.Condition> conditions = CompactFields.readList(unpacker, StoreCallForms::readCondition);
-        return new Transaction(conditions, CompactFields.readList(unpacker, StoreCallForms::readWrite));
+        List<Transaction.Condition> conditions = CompactFields.readList(unpacker, StoreCallCodecs::readCondition);
+        return new Transaction(conditions, CompactFields.readList(unpacker, StoreCallCodecs::readWrite));
     }
 
     private static void writeCondition(MessagePacker packer, Transaction.Condition condition) throws IOException {
@@ -74,9 +77,9 @@
 
     private static void writeAnswer(GatewayMessage.StoreAnswer answer, MessagePacker packer) throws IOException {
         CompactFields.writeOptional(packer, answer.failure().map(Enum::name), MessagePacker::packString);
-        CompactFields.writeOptional(packer, answer.read(), StoreCallForms::writeReadResult);
-        CompactFields.writeOptional(packer, answer.listing(), StoreCallForms::writeListing);
-        CompactFields.writeOptional(packer, answer.written(), StoreCallForms::writeWriteResult);
+        CompactFields.writeOptional(packer, answer.read(), StoreCallCodecs::writeReadResult);
+        CompactFields.writeOptional(packer, answer.listing(), StoreCallCodecs::writeListing);
+        CompactFields.writeOptional(packer, answer.written(), StoreCallCodecs::writeWriteResult);
         CompactFields.writeOptional(packer, answer.lease(), MessagePacker::packLong);
     }
 
@@ -84,22 +87,22 @@
         return new GatewayMessage.StoreAnswer(
                 CompactFields.readOptional(unpacker, MessageUnpacker::unpackString)
                         .map(ExternalServiceException.Kind::valueOf),
-                CompactFields.readOptional(unpacker, StoreCallForms::readReadResult),
-                CompactFields.readOptional(unpacker, StoreCallForms::readListing),
-                CompactFields.readOptional(unpacker, StoreCallForms::readWriteResult),
+                CompactFields.readOptional(unpacker, StoreCallCodecs::readReadResult),
+                CompactFields.readOptional(unpacker, StoreCallCodecs::readListing),
+                CompactFields.readOptional(unpacker, StoreCallCodecs::readWriteResult),
                 CompactFields.readOptional(unpacker, MessageUnpacker::unpackLong));
     }
 
     private static void writeReadResult(MessagePacker packer, KeyValueStore.ReadResult read) throws IOException {
         packer.packLong(read.revision()).packBoolean(read.more());
-        CompactFields.writeList(packer, read.entries(), StoreCallForms::writeEntry);
+        CompactFields.writeList(packer, read.entries(), StoreCallCodecs::writeEntry);
     }
 
     private static KeyValueStore.ReadResult readReadResult(MessageUnpacker unpacker) throws IOException {
         long revision = unpacker.unpackLong();
         boolean more = unpacker.unpackBoolean();
         return new KeyValueStore.ReadResult(
-                revision, CompactFields.readList(unpacker, StoreCallForms::readEntry), more);
+                revision, CompactFields.readList(unpacker, StoreCallCodecs::readEntry), more);
     }
 
     private static void writeEntry(MessagePacker packer, KeyValueStore.Entry entry) throws IOException {
--- a/src/main/java/org/gooseberryhill/process/AdminServer.java
+++ b/src/main/java/org/gooseberryhill/process/AdminServer.java
@@ -42,32 +42,32 @@
 
     /** Registers the metrics that all processes have. */
     public static void registerMetrics(HostProcess process, PrometheusRegistry registry) {
-        gauge(
+        registerGauge(
                 registry,
                 "gooseberry_configuration_revision",
                 "Revision in force",
                 () -> process.configuration().revision());
-        gauge(
+        registerGauge(
                 registry,
                 "gooseberry_peers_present",
                 "Other hosts that are not thought dead",
                 () -> process.membership().present().size());
-        gauge(
+        registerGauge(
                 registry,
                 "gooseberry_peer_messages_sent",
                 "Messages sent to other processes",
                 () -> process.peers().sentMessages());
-        gauge(
+        registerGauge(
                 registry,
                 "gooseberry_peer_bytes_sent",
                 "Bytes sent to other processes",
                 () -> process.peers().traffic().sentBytes());
-        gauge(
+        registerGauge(
                 registry,
                 "gooseberry_peer_bytes_received",
                 "Bytes received from other processes",
                 () -> process.peers().traffic().receivedBytes());
-        gauge(
+        registerGauge(
                 registry,
                 "gooseberry_key_value_calls",
                 "Calls of the key-value service",
@@ -107,7 +107,7 @@
         }
     }
 
-    private static void gauge(PrometheusRegistry registry, String name, String help, DoubleSupplier value) {
+    private static void registerGauge(PrometheusRegistry registry, String name, String help, DoubleSupplier value) {
         GaugeWithCallback.builder()
                 .name(name)
                 .help(help)
--- a/src/main/java/org/gooseberryhill/process/ConfigurationCodec.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationCodec.java
@@ -18,7 +18,7 @@
  */
 public final class ConfigurationCodec {
     /** Limit on the decompressed size, as a guard against values that this system did not write. */
-    private static final int MAX_BYTES = 16 * 1024 * 1024;
+    private static final int MAX_DECOMPRESSED_BYTES = 16 * 1024 * 1024;
 
     private ConfigurationCodec() {}
 
@@ -37,7 +37,7 @@
     public static Try<ConfigurationRecord> decode(byte[] value) {
         return Try.of(() -> {
                     try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(value))) {
-                        return gzip.readNBytes(MAX_BYTES);
+                        return gzip.readNBytes(MAX_DECOMPRESSED_BYTES);
                     }
                 })
                 .flatMap(json -> Json.read(json, ConfigurationRecord.class));
--- a/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
@@ -33,15 +33,15 @@
 public final class ConfigurationDriver {
     private static final Logger LOG = LogManager.getLogger(ConfigurationDriver.class);
     private static final int WATCHERS_PER_ZONE = 2;
-    private static final long REREAD_MILLIS = 10_000;
-    private static final long WATCH_RETRY_MILLIS = 500;
+    private static final long REVISION_CHECK_PERIOD_MILLIS = 10_000;
+    private static final long WATCH_RETRY_DELAY_MILLIS = 500;
 
     private final HostProcess process;
     private final ConfigurationInForce inForce = new ConfigurationInForce();
     private final List<Consumer<Configuration>> listeners = new ArrayList<>();
     private Optional<Closeable> watch = Optional.empty();
-    private boolean asking;
-    private boolean opening;
+    private boolean requestPending;
+    private boolean openingWatch;
 
     ConfigurationDriver(HostProcess process) {
         this.process = process;
@@ -63,24 +63,24 @@
     }
 
     void start() {
-        readKey();
-        process.onMembershipChange(this::watchIfChosen);
-        process.loop().every(REREAD_MILLIS, () -> {
+        readConfiguration();
+        process.onMembershipChange(this::updateWatch);
+        process.loop().every(REVISION_CHECK_PERIOD_MILLIS, () -> {
             if (watch.isPresent()) {
                 checkRevision();
             }
         });
     }
 
-    void heardRevision(HostId from, long revision) {
-        if (revision <= inForce.revision() || asking) {
+    void fetchIfNewer(HostId from, long revision) {
+        if (revision <= inForce.revision() || requestPending) {
             return;
         }
         process.membership().find(from).ifPresent(host -> {
-            asking = true;
+            requestPending = true;
             process.ask(host, new PeerMessage.ConfigurationAsk(inForce.revision()))
                     .whenComplete((reply, failure) -> process.loop().execute(() -> {
-                        asking = false;
+                        requestPending = false;
                         if (reply instanceof PeerMessage.ConfigurationPush push) {
                             offer(push.revision(), push.text(), "peer " + from);
                         }
@@ -90,15 +90,15 @@
 
     Optional<CompletableFuture<PeerMessage>> handle(HostId from, PeerMessage message) {
         if (message instanceof PeerMessage.ConfigurationChange change) {
-            takeChange(from, change);
+            applyChange(from, change);
             return Optional.of(MessageHandler.reply(new PeerMessage.Ack()));
         }
         if (message instanceof PeerMessage.ConfigurationPush push) {
             offer(push.revision(), push.text(), "push");
             return Optional.of(MessageHandler.reply(new PeerMessage.Ack()));
         }
-        if (message instanceof PeerMessage.ConfigurationAsk question) {
-            boolean newer = inForce.revision() > question.haveRevision();
+        if (message instanceof PeerMessage.ConfigurationAsk request) {
+            boolean newer = inForce.revision() > request.haveRevision();
             return Optional.of(MessageHandler.reply(
                     newer
                             ? new PeerMessage.ConfigurationPush(inForce.revision(), inForce.text())
@@ -107,12 +107,12 @@
         return Optional.empty();
     }
 
-    private void watchIfChosen() {
-        boolean chosen = isWatcher();
-        if (chosen && watch.isEmpty() && !opening) {
+    private void updateWatch() {
+        boolean watcher = isWatcher();
+        if (watcher && watch.isEmpty() && !openingWatch) {
             openWatch();
         }
-        if (!chosen && watch.isPresent()) {
+        if (!watcher && watch.isPresent()) {
             closeQuietly(watch.get());
             watch = Optional.empty();
         }
@@ -131,14 +131,14 @@
     }
 
     private void openWatch() {
-        opening = true;
+        openingWatch = true;
         // The watch starts right after the revision of the read, so that no write in between is missed.
         process.keyValue()
                 .read(Keys.CONFIGURATION)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
-                    opening = false;
+                    openingWatch = false;
                     if (failure != null) {
-                        process.loop().after(WATCH_RETRY_MILLIS, this::watchIfChosen);
+                        process.loop().after(WATCH_RETRY_DELAY_MILLIS, this::updateWatch);
                         return;
                     }
                     result.first().ifPresent(entry -> offerEntry(entry, "read"));
@@ -153,12 +153,12 @@
                 .readRevision(Keys.CONFIGURATION)
                 .whenComplete((revision, failure) -> process.loop().execute(() -> {
                     if (failure == null && revision > inForce.revision()) {
-                        readKey();
+                        readConfiguration();
                     }
                 }));
     }
 
-    private void readKey() {
+    private void readConfiguration() {
         process.keyValue()
                 .read(Keys.CONFIGURATION)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
@@ -174,14 +174,14 @@
                 .onFailure(failure -> LOG.warn("cannot decode the stored configuration: {}", failure.toString()));
     }
 
-    private void takeChange(HostId from, PeerMessage.ConfigurationChange change) {
+    private void applyChange(HostId from, PeerMessage.ConfigurationChange change) {
         Optional<String> text = change.baseRevision() == inForce.revision()
                 ? change.change().applyTo(inForce.text())
                 : Optional.empty();
         if (text.isPresent()) {
             offer(change.revision(), text.get(), "push");
         } else {
-            heardRevision(from, change.revision());
+            fetchIfNewer(from, change.revision());
         }
     }
 
@@ -234,7 +234,7 @@
         public void onEnd() {
             process.loop().execute(() -> {
                 watch = Optional.empty();
-                process.loop().after(WATCH_RETRY_MILLIS, ConfigurationDriver.this::watchIfChosen);
+                process.loop().after(WATCH_RETRY_DELAY_MILLIS, ConfigurationDriver.this::updateWatch);
             });
         }
     }
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -54,10 +54,10 @@
     public static final long ASK_TIMEOUT_MILLIS = 1000;
 
     private static final Logger LOG = LogManager.getLogger(HostProcess.class);
-    private static final long TICK_MILLIS = 50;
+    private static final long TICK_PERIOD_MILLIS = 50;
 
     /** Maximum time that a routine timeline event is buffered before it is written. */
-    private static final long LOG_FLUSH_MILLIS = 250;
+    private static final long SINK_FLUSH_PERIOD_MILLIS = 250;
 
     private static final int TRAFFIC_THREADS = 2;
     private static final long GROUP_SHUTDOWN_MILLIS = 500;
@@ -84,7 +84,7 @@
     private final List<HostListListener> hostListListeners = new CopyOnWriteArrayList<>();
     private MessageHandler roleHandler = (from, message) -> MessageHandler.reply(new PeerMessage.Ack());
     private PeerServer peerServer;
-    private long seenMembershipVersion = -1;
+    private long lastMembershipVersion = -1;
     private volatile List<Host> presentStores = List.of();
 
     /** Creates a process without starting it; the seed makes its random choices repeatable. */
@@ -123,8 +123,8 @@
                 settings.self().zone());
         loop.execute(this::readHostList);
         loop.execute(configuration::start);
-        loop.every(TICK_MILLIS, this::tick);
-        loop.every(LOG_FLUSH_MILLIS, sink::flush);
+        loop.every(TICK_PERIOD_MILLIS, this::tick);
+        loop.every(SINK_FLUSH_PERIOD_MILLIS, sink::flush);
         loop.every(settings.hostListPeriodMillis(), this::readHostList);
     }
 
@@ -150,16 +150,16 @@
      * @param others receives the waiting work that other hosts report
      */
     public void heartbeatWork(Supplier<Map<String, Long>> own, BiConsumer<HostId, Map<String, Long>> others) {
-        membershipDriver.ownWork(own);
-        membershipDriver.onWork(others);
+        membershipDriver.setOwnWork(own);
+        membershipDriver.addWorkListener(others);
     }
 
     /** Requests the planned stop, whose time limits count from now. Thread-safe; repeated calls have no effect. */
     public void askStop() {
-        long askedNanos = loop.nowNanos();
+        long requestedNanos = loop.nowNanos();
         loop.execute(() -> {
             if (stop.phase() == PlannedStop.Phase.SERVING) {
-                stop.ask(askedNanos);
+                stop.ask(requestedNanos);
                 timeline.event(EventKind.PROCESS_STOPPING).write();
                 membershipDriver.announceLeaving();
             }
@@ -307,14 +307,14 @@
 
     private void tick() {
         membershipDriver.tick();
-        noticeMembershipChange();
+        publishMembershipChange();
     }
 
-    private void noticeMembershipChange() {
-        if (membership.version() != seenMembershipVersion) {
-            seenMembershipVersion = membership.version();
+    private void publishMembershipChange() {
+        if (membership.version() != lastMembershipVersion) {
+            lastMembershipVersion = membership.version();
             presentStores = present(Role.STORE);
-            membershipDriver.recordChanges();
+            membershipDriver.recordStateChanges();
             membershipListeners.forEach(Runnable::run);
         }
     }
@@ -325,7 +325,7 @@
                     // On failure the hosts of the last listing stay; the heartbeats tell which of them are alive.
                     if (failure == null) {
                         membership.candidates(listing.hosts(), loop.nowNanos());
-                        noticeMembershipChange();
+                        publishMembershipChange();
                         hostListListeners.forEach(listener -> listener.onHostList(listing));
                     }
                 }));
--- a/src/main/java/org/gooseberryhill/process/LeaseKeeper.java
+++ b/src/main/java/org/gooseberryhill/process/LeaseKeeper.java
@@ -17,20 +17,20 @@
 public final class LeaseKeeper {
     private static final Logger LOG = LogManager.getLogger(LeaseKeeper.class);
     private static final int RENEWALS_PER_LEASE = 3;
-    private static final int MARGIN_DIVISOR = 5;
+    private static final int SAFETY_MARGIN_DIVISOR = 5;
 
     private final HostProcess process;
     private final LeaseGuard guard;
     private final long leaseMillis;
     private final List<Runnable> lossListeners = new ArrayList<>();
-    private boolean calling;
+    private boolean callPending;
     private boolean released;
 
     /** Creates an instance that holds no lease yet. */
     public LeaseKeeper(HostProcess process) {
         this.process = process;
         this.leaseMillis = process.settings().leaseMillis();
-        this.guard = new LeaseGuard(leaseMillis / MARGIN_DIVISOR);
+        this.guard = new LeaseGuard(leaseMillis / SAFETY_MARGIN_DIVISOR);
     }
 
     /** Requests the lease and renews it periodically. */
@@ -50,31 +50,31 @@
     }
 
     /** Revokes the lease at a planned stop, so that others need not wait until it expires; then runs the action. */
-    public void release(Runnable then) {
+    public void release(Runnable action) {
         released = true;
         Optional<Long> lease = guard.granted();
         guard.lost();
         if (lease.isEmpty()) {
-            then.run();
+            action.run();
             return;
         }
         process.keyValue()
                 .revokeLease(lease.get())
-                .whenComplete((done, failure) -> process.loop().execute(then));
+                .whenComplete((done, failure) -> process.loop().execute(action));
     }
 
     private void renew() {
-        if (calling || released) {
+        if (callPending || released) {
             return;
         }
-        calling = true;
+        callPending = true;
         long sentNanos = process.loop().nowNanos();
         Optional<Long> lease = guard.granted();
         if (lease.isEmpty()) {
             process.keyValue()
                     .grantLease(leaseMillis)
                     .whenComplete((id, failure) -> process.loop().execute(() -> {
-                        calling = false;
+                        callPending = false;
                         if (failure == null && !released) {
                             guard.renewed(id, sentNanos, leaseMillis);
                             process.timeline()
@@ -87,18 +87,19 @@
         }
         process.keyValue()
                 .renewLease(lease.get())
-                .whenComplete((leftMillis, failure) -> process.loop().execute(() -> {
-                    calling = false;
-                    renewed(lease.get(), sentNanos, failure == null ? Optional.of(leftMillis) : Optional.empty());
+                .whenComplete((remainingMillis, failure) -> process.loop().execute(() -> {
+                    callPending = false;
+                    onRenewalAnswer(
+                            lease.get(), sentNanos, failure == null ? Optional.of(remainingMillis) : Optional.empty());
                 }));
     }
 
-    private void renewed(long lease, long sentNanos, Optional<Long> leftMillis) {
-        if (leftMillis.isEmpty() || released) {
+    private void onRenewalAnswer(long lease, long sentNanos, Optional<Long> remainingMillis) {
+        if (remainingMillis.isEmpty() || released) {
             return;
         }
-        if (leftMillis.get() > 0) {
-            guard.renewed(lease, sentNanos, leftMillis.get());
+        if (remainingMillis.get() > 0) {
+            guard.renewed(lease, sentNanos, remainingMillis.get());
             return;
         }
         LOG.warn("lease {} has expired or was revoked", lease);
--- a/src/main/java/org/gooseberryhill/process/MembershipDriver.java
+++ b/src/main/java/org/gooseberryhill/process/MembershipDriver.java
@@ -30,12 +30,12 @@
     }
 
     /** Sets the supplier of the waiting work that this host's heartbeats report. */
-    void ownWork(Supplier<Map<String, Long>> supplier) {
+    void setOwnWork(Supplier<Map<String, Long>> supplier) {
         ownWork = supplier;
     }
 
     /** Adds a listener that is called with the waiting work reported by heartbeats of other hosts. */
-    void onWork(BiConsumer<HostId, Map<String, Long>> listener) {
+    void addWorkListener(BiConsumer<HostId, Map<String, Long>> listener) {
         workListeners.add(listener);
     }
 
@@ -55,7 +55,7 @@
         process.ask(target, heartbeat(rumors))
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     if (reply instanceof PeerMessage.Heartbeat heartbeat) {
-                        take(target.id(), heartbeat);
+                        recordHeartbeat(target.id(), heartbeat);
                     }
                 }));
     }
@@ -73,17 +73,17 @@
 
     Optional<CompletableFuture<PeerMessage>> handle(HostId from, PeerMessage message) {
         if (message instanceof PeerMessage.Heartbeat heartbeat) {
-            take(from, heartbeat);
+            recordHeartbeat(from, heartbeat);
             return Optional.of(
                     MessageHandler.reply(heartbeat(process.membership().rumorsFor(from))));
         }
         if (message instanceof PeerMessage.ProbeThrough probe) {
-            return Optional.of(probeFor(probe.target()));
+            return Optional.of(probeOnRequest(probe.target()));
         }
         return Optional.empty();
     }
 
-    private CompletableFuture<PeerMessage> probeFor(HostId target) {
+    private CompletableFuture<PeerMessage> probeOnRequest(HostId target) {
         Optional<Host> host = process.membership().find(target);
         if (host.isEmpty()) {
             return MessageHandler.reply(new PeerMessage.Failed("not known: " + target));
@@ -92,7 +92,7 @@
                 .thenApply(reply -> new PeerMessage.Ack());
     }
 
-    private void take(HostId from, PeerMessage.Heartbeat heartbeat) {
+    private void recordHeartbeat(HostId from, PeerMessage.Heartbeat heartbeat) {
         Membership membership = process.membership();
         membership.heard(
                 from,
@@ -100,12 +100,12 @@
                 heartbeat.leaving(),
                 heartbeat.rumors(),
                 process.loop().nowNanos());
-        process.configuration().heardRevision(from, heartbeat.configurationRevision());
-        workListeners.forEach(listener -> listener.accept(from, heartbeat.work()));
+        process.configuration().fetchIfNewer(from, heartbeat.configurationRevision());
+        workListeners.forEach(listener -> listener.accept(from, heartbeat.earliestDueMillisByService()));
     }
 
     /** Records the hosts' state changes in the timeline. */
-    void recordChanges() {
+    void recordStateChanges() {
         process.membership().states().forEach((host, state) -> {
             HostState before = lastStates.put(host, state);
             if (before != null && before != state) {
--- a/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
@@ -22,14 +22,14 @@
 import org.junit.jupiter.api.Test;
 
 class PeerClientTest {
-    private static final long SHORT_MILLIS = 200;
-    private static final long LONG_MILLIS = 30_000;
+    private static final long SHORT_TIMEOUT_MILLIS = 200;
+    private static final long LONG_TIMEOUT_MILLIS = 30_000;
 
     private final EventLoopGroup group = Loopback.group();
     private final EventLoopGroup clientGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Address address = Loopback.freeAddress();
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
-    private final CompletableFuture<PeerMessage> slowAnswer = new CompletableFuture<>();
+    private final CompletableFuture<PeerMessage> slowReply = new CompletableFuture<>();
     private final PeerServer server =
             new PeerServer(group, new HostId("server"), address, clock, new PeerTraffic(), this::answer);
     private final Queue<Runnable> overdueProbes = new ConcurrentLinkedQueue<>();
@@ -45,56 +45,56 @@
 
     /** Guards against requests that fail because another request on their connection timed out. */
     @Test
-    void aQuestionThatTimesOutDoesNotFailTheOthersOnItsConnection() {
-        CompletableFuture<PeerMessage> patient = ask(address, "slow", LONG_MILLIS);
+    void aRequestThatTimesOutDoesNotFailOthersOnItsConnection() {
+        CompletableFuture<PeerMessage> pending = ask(address, "slow", LONG_TIMEOUT_MILLIS);
 
-        assertTimesOut(ask(address, "never", SHORT_MILLIS));
+        assertTimesOut(ask(address, "never", SHORT_TIMEOUT_MILLIS));
         // The probe was sent earlier on the same connection, so its reply arrives before this one.
-        ask(address, "at once", LONG_MILLIS).join();
-        probeIsOverdue();
+        ask(address, "at once", LONG_TIMEOUT_MILLIS).join();
+        expireProbe();
 
-        slowAnswer.complete(new GatewayMessage.BatchEnded(true));
-        assertThat(patient.join()).isEqualTo(new GatewayMessage.BatchEnded(true));
+        slowReply.complete(new GatewayMessage.BatchEnded(true));
+        assertThat(pending.join()).isEqualTo(new GatewayMessage.BatchEnded(true));
     }
 
     /** Guards against requests that fail because the control thread of the other process is busy for a while. */
     @Test
-    void aProbeIsAnsweredThoughTheProcessAnswersNothingElse() {
-        CompletableFuture<PeerMessage> patient = ask(address, "slow", LONG_MILLIS);
+    void aProbeIsAnsweredWhileTheProcessAnswersNothingElse() {
+        CompletableFuture<PeerMessage> pending = ask(address, "slow", LONG_TIMEOUT_MILLIS);
 
         CompletableFuture<PeerMessage> probe =
-                client.ask(address, PeerLane.CONTROL, new PeerMessage.ConnectionProbe(), LONG_MILLIS);
+                client.ask(address, PeerLane.CONTROL, new PeerMessage.ConnectionProbe(), LONG_TIMEOUT_MILLIS);
 
         assertThat(probe.join()).isEqualTo(new PeerMessage.Ack());
-        assertThat(patient).isNotDone();
+        assertThat(pending).isNotDone();
     }
 
     /** Guards against endless use of a connection that stopped delivering data without a reset. */
     @Test
-    void aConnectionThatAnswersNothingIsGivenUp() throws IOException {
+    void anUnresponsiveConnectionIsClosed() throws IOException {
         try (ServerSocket silent = silentServer()) {
-            CompletableFuture<PeerMessage> patient = ask(addressOf(silent), "slow", LONG_MILLIS);
+            CompletableFuture<PeerMessage> pending = ask(addressOf(silent), "slow", LONG_TIMEOUT_MILLIS);
 
-            assertTimesOut(ask(addressOf(silent), "never", SHORT_MILLIS));
-            probeIsOverdue();
+            assertTimesOut(ask(addressOf(silent), "never", SHORT_TIMEOUT_MILLIS));
+            expireProbe();
 
-            assertThatThrownBy(patient::join).hasMessageContaining("lost the connection");
+            assertThatThrownBy(pending::join).hasMessageContaining("lost the connection");
         }
     }
 
     /** Guards against keeping an unresponsive connection that was established only after its request timed out. */
     @Test
-    void aConnectionThatIsMadeAfterAQuestionHasTimedOutIsGivenUpIfItAnswersNothing() throws IOException {
+    void anUnresponsiveConnectionMadeAfterARequestTimedOutIsClosed() throws IOException {
         try (ServerSocket silent = silentServer()) {
             CountDownLatch timedOut = new CountDownLatch(1);
             clientGroup.execute(() -> awaitUninterruptibly(timedOut));
-            CompletableFuture<PeerMessage> patient = ask(addressOf(silent), "slow", LONG_MILLIS);
+            CompletableFuture<PeerMessage> pending = ask(addressOf(silent), "slow", LONG_TIMEOUT_MILLIS);
 
-            assertTimesOut(ask(addressOf(silent), "never", SHORT_MILLIS));
+            assertTimesOut(ask(addressOf(silent), "never", SHORT_TIMEOUT_MILLIS));
             timedOut.countDown();
-            probeIsOverdue();
+            expireProbe();
 
-            assertThatThrownBy(patient::join).hasMessageContaining("lost the connection");
+            assertThatThrownBy(pending::join).hasMessageContaining("lost the connection");
         }
     }
 
@@ -104,19 +104,19 @@
 
     private CompletionStage<PeerMessage> answer(HostId from, PeerMessage message) {
         return switch (((GatewayMessage.BatchEndAsk) message).batch()) {
-            case "slow" -> slowAnswer;
+            case "slow" -> slowReply;
             case "never" -> new CompletableFuture<>();
             default -> CompletableFuture.completedFuture(new GatewayMessage.BatchEnded(false));
         };
     }
 
-    private void probeIsOverdue() {
+    private void expireProbe() {
         Loopback.await("a probe", () -> !overdueProbes.isEmpty());
         overdueProbes.remove().run();
     }
 
-    private static void assertTimesOut(CompletableFuture<PeerMessage> question) {
-        assertThatThrownBy(question::join).hasMessageContaining("Timeout");
+    private static void assertTimesOut(CompletableFuture<PeerMessage> request) {
+        assertThatThrownBy(request::join).hasMessageContaining("Timeout");
     }
 
     /** Returns a server socket whose connections the kernel accepts and nobody reads. */
--- a/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
@@ -106,7 +106,7 @@
 
     @ParameterizedTest
     @MethodSource({"messages", "gatewayMessages"})
-    void aMessageComesOutAsItWentIn(PeerMessage message) throws IOException {
+    void aMessageSurvivesARoundTrip(PeerMessage message) throws IOException {
         PeerFrame frame = new PeerFrame(5, true, HybridTimestamp.ofMillis(1000), HOST, message);
 
         assertThat(PeerCodec.decode(PeerCodec.encode(frame))).isEqualTo(frame);
@@ -114,7 +114,7 @@
 
     /** Records that contain arrays are not equal to their copies, so the contents are compared one by one. */
     @Test
-    void theBytesOfKeysAndBodiesComeOutAsTheyWentIn() throws IOException {
+    void theBytesOfKeysAndBodiesSurviveARoundTrip() throws IOException {
         byte[] value = {0, 1, -1, 127};
         GatewayMessage.ViewListing listing = (GatewayMessage.ViewListing)
                 roundTrip(new GatewayMessage.ViewListing("p/", 9, List.of(KeyChange.written("p/k", value, 8)), 1));
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void aSubmissionComesOutAsItWentIn() throws IOException {
+    void aSubmissionSurvivesARoundTrip() throws IOException {
         BatchRecord record = new BatchRecord("h", "/t", "hash", "o", "s", 1, 1, 9, false, List.of(), 0);
         byte[] value = {0, 1, -1, 127};
 
@@ -141,12 +141,12 @@
     /** Guards against callers that wait for the mapper's first use: a third of a second of processor time. */
     @ParameterizedTest
     @MethodSource("gatewayMessages")
-    void whatGatewaysExchangeNeedsNoMapper(PeerMessage message) {
-        assertThat(CompactForms.of(message)).isPresent();
+    void gatewayMessagesHaveACompactCodec(PeerMessage message) {
+        assertThat(CompactCodecs.of(message)).isPresent();
     }
 
     @Test
-    void aTransactionForAnotherHostComesOutAsItWentIn() throws IOException {
+    void aRelayedTransactionSurvivesARoundTrip() throws IOException {
         byte[] value = {0, 1, -1, 127};
         Transaction transaction = Transaction.builder()
                 .ifAbsent("a")
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void whatTheStoreAnsweredComesOutAsItWentIn() throws IOException {
+    void aStoreAnswerSurvivesARoundTrip() throws IOException {
         byte[] value = {0, 1, -1, 127};
         GatewayMessage.StoreAnswer answer = (GatewayMessage.StoreAnswer) roundTrip(new GatewayMessage.StoreAnswer(
                 Optional.empty(),
--- a/src/test/java/org/gooseberryhill/process/HostProcessTest.java
+++ b/src/test/java/org/gooseberryhill/process/HostProcessTest.java
@@ -27,22 +27,22 @@
      * when a delayed control thread processed it.
      */
     @Test
-    void theTimeOfAStopBeginsWhenItIsAskedForEvenIfTheControlThreadIsLate() {
+    void aStopIsTimedFromTheRequestEvenIfTheControlThreadIsLate() {
         HostProcess process = new HostProcess(settings(), 1);
-        CompletableFuture<Void> held = new CompletableFuture<>();
-        process.loop().execute(held::join);
+        CompletableFuture<Void> blocker = new CompletableFuture<>();
+        process.loop().execute(blocker::join);
         process.askStop();
-        long askedNanos = System.nanoTime();
+        long requestedNanos = System.nanoTime();
         Loopback.await(
                 "the end of the grace period",
-                () -> System.nanoTime() - askedNanos > TimeUnit.MILLISECONDS.toNanos(GRACE_MILLIS));
+                () -> System.nanoTime() - requestedNanos > TimeUnit.MILLISECONDS.toNanos(GRACE_MILLIS));
         CompletableFuture<PlannedStop.Phase> phase = new CompletableFuture<>();
         process.loop().execute(() -> {
             process.advanceStop(1, true);
             phase.complete(process.stop().phase());
         });
 
-        held.complete(null);
+        blocker.complete(null);
 
         assertThat(phase.join()).isEqualTo(PlannedStop.Phase.DRAINING);
         process.close();
