--- a/src/main/java/org/gooseberryhill/peer/PeerClient.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerClient.java
@@ -20,35 +20,35 @@
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.HybridClock;
 
-/** Speaks to other processes over one connection for each address and lane. Thread-safe. */
+/** Sends messages to other processes, over one connection per address and lane. Thread-safe. */
 public final class PeerClient implements Closeable {
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** How long the answer to a {@link PeerMessage.ConnectionProbe} may take. */
-    private static final long PROBE_MILLIS = 300;
+    /** Time-out of the reply to a {@link PeerMessage.ConnectionProbe}. */
+    private static final long PROBE_TIMEOUT_MILLIS = 300;
 
     private final HostId self;
     private final HybridClock clock;
     private final Bootstrap bootstrap;
-    private final Map<Target, PeerConnection> connections = new ConcurrentHashMap<>();
+    private final Map<ConnectionKey, PeerConnection> connections = new ConcurrentHashMap<>();
     private final PeerTraffic traffic = new PeerTraffic();
     private final LongAdder sentMessages = new LongAdder();
-    private final Executor probeLimit;
+    private final Executor probeTimeoutExecutor;
 
-    /** A client on the process's traffic threads. */
+    /** Creates a client that runs on the given event loops. */
     public PeerClient(EventLoopGroup group, HostId self, HybridClock clock) {
-        this(group, self, clock, CompletableFuture.delayedExecutor(PROBE_MILLIS, TimeUnit.MILLISECONDS, group));
+        this(group, self, clock, CompletableFuture.delayedExecutor(PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS, group));
     }
 
     /**
-     * A client on some traffic threads.
+     * Creates a client that runs on the given event loops.
      *
-     * @param probeLimit runs what it is given when the answer to a probe of a connection is overdue
+     * @param probeTimeoutExecutor runs each task when the time-out of a connection probe has passed
      */
-    PeerClient(EventLoopGroup group, HostId self, HybridClock clock, Executor probeLimit) {
+    PeerClient(EventLoopGroup group, HostId self, HybridClock clock, Executor probeTimeoutExecutor) {
         this.self = self;
         this.clock = clock;
-        this.probeLimit = probeLimit;
+        this.probeTimeoutExecutor = probeTimeoutExecutor;
         this.bootstrap = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
@@ -57,9 +57,10 @@
     }
 
     /**
-     * Sends a message and returns the reply; fails with {@link PeerException} when none comes in time.
+     * Sends a message and returns the reply; fails with {@link PeerException} if the connection is lost or the peer
+     * reports a failure, and with {@link TimeoutException} if no reply arrives in time.
      *
-     * @param timeoutMillis how long to wait for the reply, in milliseconds
+     * @param timeoutMillis how long to wait for the reply
      */
     public CompletableFuture<PeerMessage> ask(Address address, PeerLane lane, PeerMessage message, long timeoutMillis) {
         PeerConnection connection = connection(address, lane);
@@ -71,29 +72,29 @@
                         connection.closeUnlessAlive();
                     }
                 })
-                .thenApply(PeerClient::requireServed);
+                .thenApply(PeerClient::throwIfFailed);
     }
 
-    /** Sends a message that has no reply; nobody learns whether it arrived. */
+    /** Sends a message without a reply; delivery is not confirmed. */
     public void post(Address address, PeerLane lane, PeerMessage message) {
         postAll(List.of(address), lane, message);
     }
 
-    /** Sends one message that has no reply to several processes; it is written once for all of them. */
+    /** Sends a message without a reply to several processes; it is encoded only once. */
     public void postAll(Collection<Address> addresses, PeerLane lane, PeerMessage message) {
         if (addresses.isEmpty()) {
             return;
         }
-        byte[] frame = encoded(new PeerFrame(PeerFrame.NO_REPLY, false, clock.now(), self, message));
+        byte[] frame = encode(new PeerFrame(PeerFrame.NO_REPLY, false, clock.now(), self, message));
         addresses.forEach(address -> connection(address, lane).post(frame));
     }
 
-    /** The bytes exchanged so far, also those of this process's server. */
+    /** Returns the byte counters, which this process's server shares. */
     public PeerTraffic traffic() {
         return traffic;
     }
 
-    /** How many messages were sent so far. */
+    /** Returns the number of messages sent so far. */
     public long sentMessages() {
         return sentMessages.sum();
     }
@@ -106,11 +107,11 @@
     private PeerConnection connection(Address address, PeerLane lane) {
         sentMessages.increment();
         return connections.computeIfAbsent(
-                new Target(address, lane),
-                target -> new PeerConnection(bootstrap, address, self, clock, traffic, probeLimit));
+                new ConnectionKey(address, lane),
+                key -> new PeerConnection(bootstrap, address, self, clock, traffic, probeTimeoutExecutor));
     }
 
-    private static byte[] encoded(PeerFrame frame) {
+    private static byte[] encode(PeerFrame frame) {
         try {
             return PeerCodec.encode(frame);
         } catch (IOException e) {
@@ -118,13 +119,13 @@
         }
     }
 
-    private static PeerMessage requireServed(PeerMessage reply) {
+    private static PeerMessage throwIfFailed(PeerMessage reply) {
         if (reply instanceof PeerMessage.Failed failed) {
             throw new PeerException(failed.reason());
         }
         return reply;
     }
 
-    /** A connection's key. */
-    private record Target(Address address, PeerLane lane) {}
+    /** Key of a connection. */
+    private record ConnectionKey(Address address, PeerLane lane) {}
 }
--- a/src/main/java/org/gooseberryhill/peer/PeerServer.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerServer.java
@@ -21,17 +21,17 @@
 import org.gooseberryhill.link.HybridClock;
 import org.gooseberryhill.logging.Logs;
 
-/** Listens for other processes. Thread-safe. */
+/** Accepts connections from other processes and passes their messages to a handler. Thread-safe. */
 public final class PeerServer implements Closeable {
     private static final Lazy<Logger> LOG = Logs.of(PeerServer.class);
 
     private final HostId self;
     private final HybridClock clock;
     private final PeerHandler handler;
-    private final Channel listener;
+    private final Channel serverChannel;
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
-    /** Starts listening; throws the bind's failure if the address is taken. */
+    /** Binds the address and starts accepting connections; throws the bind exception if the address is in use. */
     public PeerServer(
             EventLoopGroup group,
             HostId self,
@@ -42,7 +42,7 @@
         this.self = self;
         this.clock = clock;
         this.handler = handler;
-        listener = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -52,7 +52,7 @@
                     protected void initChannel(SocketChannel channel) {
                         connections.add(channel);
                         PeerCodec.addTo(channel.pipeline(), traffic);
-                        channel.pipeline().addLast(new ServingHandler());
+                        channel.pipeline().addLast(new RequestHandler());
                     }
                 })
                 .bind(new InetSocketAddress(address.ip(), address.port()))
@@ -62,12 +62,12 @@
 
     @Override
     public void close() {
-        listener.close().syncUninterruptibly();
+        serverChannel.close().syncUninterruptibly();
         connections.close().awaitUninterruptibly();
     }
 
-    /** Serves one connection. */
-    private final class ServingHandler extends SimpleChannelInboundHandler<PeerFrame> {
+    /** Handles the messages of one connection. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<PeerFrame> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, PeerFrame frame) {
             clock.observe(frame.at());
@@ -83,8 +83,8 @@
             });
         }
 
-        private void reply(ChannelHandlerContext context, PeerFrame question, PeerMessage answer) {
-            context.writeAndFlush(new PeerFrame(question.number(), true, clock.now(), self, answer));
+        private void reply(ChannelHandlerContext context, PeerFrame request, PeerMessage message) {
+            context.writeAndFlush(new PeerFrame(request.number(), true, clock.now(), self, message));
         }
 
         @Override
--- a/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
@@ -24,63 +24,63 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Brings the accepted configuration into force on this host. Used by the control thread only.
+ * Distributes the accepted configuration and activates it on this host. Used by the control thread only.
  *
- * <p>Two stewards a zone watch the key and push each new text to the hosts of their zone. Whoever misses the push sees
- * a greater revision on a heartbeat and asks for the text. A host that starts while the key-value service is out gets
- * the text from its peers in the same way.
+ * <p>Two stewards per availability zone watch the key and push each change to the hosts of their zone. A host that
+ * misses a push sees a greater revision in a heartbeat and requests the text. A host that starts while the key-value
+ * service is unavailable gets the text from its peers in the same way.
  */
 public final class ConfigurationDriver {
     private static final Logger LOG = LogManager.getLogger(ConfigurationDriver.class);
     private static final int WATCHERS_PER_ZONE = 2;
-    private static final long REREAD_MILLIS = 10_000;
-    private static final long WATCH_RETRY_MILLIS = 500;
+    private static final long REVISION_CHECK_PERIOD_MILLIS = 10_000;
+    private static final long WATCH_RETRY_DELAY_MILLIS = 500;
 
     private final HostProcess process;
     private final ConfigurationInForce inForce = new ConfigurationInForce();
     private final List<Consumer<Configuration>> listeners = new ArrayList<>();
     private Optional<Closeable> watch = Optional.empty();
-    private boolean asking;
-    private boolean opening;
+    private boolean requestPending;
+    private boolean openingWatch;
 
     ConfigurationDriver(HostProcess process) {
         this.process = process;
     }
 
-    /** Calls back on the control thread with each configuration that comes into force. */
+    /** Adds a listener that is called on the control thread with each configuration that becomes active. */
     public void onChange(Consumer<Configuration> listener) {
         listeners.add(listener);
     }
 
-    /** The revision in force; 0 before the first. */
+    /** Returns the revision of the active configuration; 0 if there is none yet. */
     public long revision() {
         return inForce.revision();
     }
 
-    /** The configuration in force. */
+    /** Returns the active configuration. */
     public Configuration current() {
         return inForce.configuration();
     }
 
     void start() {
-        readKey();
-        process.onMembershipChange(this::watchIfChosen);
-        process.loop().every(REREAD_MILLIS, () -> {
+        readConfiguration();
+        process.onMembershipChange(this::updateWatch);
+        process.loop().every(REVISION_CHECK_PERIOD_MILLIS, () -> {
             if (watch.isPresent()) {
                 checkRevision();
             }
         });
     }
 
-    void heardRevision(HostId from, long revision) {
-        if (revision <= inForce.revision() || asking) {
+    void fetchIfNewer(HostId from, long revision) {
+        if (revision <= inForce.revision() || requestPending) {
             return;
         }
         process.membership().find(from).ifPresent(host -> {
-            asking = true;
+            requestPending = true;
             process.ask(host, new PeerMessage.ConfigurationAsk(inForce.revision()))
                     .whenComplete((reply, failure) -> process.loop().execute(() -> {
-                        asking = false;
+                        requestPending = false;
                         if (reply instanceof PeerMessage.ConfigurationPush push) {
                             offer(push.revision(), push.text(), "peer " + from);
                         }
@@ -90,15 +90,15 @@
 
     Optional<CompletableFuture<PeerMessage>> handle(HostId from, PeerMessage message) {
         if (message instanceof PeerMessage.ConfigurationChange change) {
-            takeChange(from, change);
+            applyChange(from, change);
             return Optional.of(MessageHandler.reply(new PeerMessage.Ack()));
         }
         if (message instanceof PeerMessage.ConfigurationPush push) {
             offer(push.revision(), push.text(), "push");
             return Optional.of(MessageHandler.reply(new PeerMessage.Ack()));
         }
-        if (message instanceof PeerMessage.ConfigurationAsk question) {
-            boolean newer = inForce.revision() > question.haveRevision();
+        if (message instanceof PeerMessage.ConfigurationAsk request) {
+            boolean newer = inForce.revision() > request.haveRevision();
             return Optional.of(MessageHandler.reply(
                     newer
                             ? new PeerMessage.ConfigurationPush(inForce.revision(), inForce.text())
@@ -107,12 +107,12 @@
         return Optional.empty();
     }
 
-    private void watchIfChosen() {
-        boolean chosen = isWatcher();
-        if (chosen && watch.isEmpty() && !opening) {
+    private void updateWatch() {
+        boolean watcher = isWatcher();
+        if (watcher && watch.isEmpty() && !openingWatch) {
             openWatch();
         }
-        if (!chosen && watch.isPresent()) {
+        if (!watcher && watch.isPresent()) {
             closeQuietly(watch.get());
             watch = Optional.empty();
         }
@@ -131,14 +131,14 @@
     }
 
     private void openWatch() {
-        opening = true;
-        // The watch goes on from the revision of the reading, so that no write falls between the two.
+        openingWatch = true;
+        // The watch starts right after the revision of the read, so that no write in between is missed.
         process.keyValue()
                 .read(Keys.CONFIGURATION)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
-                    opening = false;
+                    openingWatch = false;
                     if (failure != null) {
-                        process.loop().after(WATCH_RETRY_MILLIS, this::watchIfChosen);
+                        process.loop().after(WATCH_RETRY_DELAY_MILLIS, this::updateWatch);
                         return;
                     }
                     result.first().ifPresent(entry -> offerEntry(entry, "read"));
@@ -147,18 +147,18 @@
                 }));
     }
 
-    /** A watch may be cut off without a sign; the revision alone is read, since the text is large. */
+    /** Detects a watch that stopped without notice. Reads only the revision, because the text is large. */
     private void checkRevision() {
         process.keyValue()
                 .readRevision(Keys.CONFIGURATION)
                 .whenComplete((revision, failure) -> process.loop().execute(() -> {
                     if (failure == null && revision > inForce.revision()) {
-                        readKey();
+                        readConfiguration();
                     }
                 }));
     }
 
-    private void readKey() {
+    private void readConfiguration() {
         process.keyValue()
                 .read(Keys.CONFIGURATION)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
@@ -171,17 +171,17 @@
     private void offerEntry(KeyValueStore.Entry entry, String source) {
         ConfigurationCodec.decode(entry.value())
                 .onSuccess(record -> offer(entry.modRevision(), record.text(), source))
-                .onFailure(failure -> LOG.warn("the configuration's value can't be read: {}", failure.toString()));
+                .onFailure(failure -> LOG.warn("cannot decode the stored configuration: {}", failure.toString()));
     }
 
-    private void takeChange(HostId from, PeerMessage.ConfigurationChange change) {
+    private void applyChange(HostId from, PeerMessage.ConfigurationChange change) {
         Optional<String> text = change.baseRevision() == inForce.revision()
                 ? change.change().applyTo(inForce.text())
                 : Optional.empty();
         if (text.isPresent()) {
             offer(change.revision(), text.get(), "push");
         } else {
-            heardRevision(from, change.revision());
+            fetchIfNewer(from, change.revision());
         }
     }
 
@@ -190,7 +190,7 @@
         String baseText = inForce.text();
         Offer offer = inForce.offer(revision, text);
         if (offer == Offer.INVALID) {
-            LOG.warn("revision {} is not valid and stays out of force: {}", revision, inForce.findings());
+            LOG.warn("rejected invalid configuration revision {}: {}", revision, inForce.findings());
         }
         if (offer != Offer.APPLIED) {
             return;
@@ -200,7 +200,7 @@
                 .with("revision", revision)
                 .with("source", source)
                 .write();
-        LOG.info("configuration revision {} is in force, by {}", revision, source);
+        LOG.info("activated configuration revision {} (source: {})", revision, source);
         listeners.forEach(listener -> listener.accept(inForce.configuration()));
         if (watch.isPresent()) {
             TextChange change = TextChange.between(baseText, inForce.text());
@@ -208,7 +208,7 @@
         }
     }
 
-    /** Only what changed: a whole text to each host of a zone would be most of what a watcher may send. */
+    /** Pushes a change, not the full text, which would use up most of what a watcher may send. */
     private void pushToZone(PeerMessage push) {
         process.membership().present().stream()
                 .filter(host -> host.zone().equals(process.settings().self().zone()))
@@ -219,11 +219,11 @@
         try {
             closeable.close();
         } catch (IOException e) {
-            LOG.debug("a watch could not be closed: {}", e.toString());
+            LOG.debug("failed to close the configuration watch: {}", e.toString());
         }
     }
 
-    /** Follows the watch of the key. */
+    /** Handles the events of the watch and reopens it when it ends. */
     private final class KeyWatch implements StreamingKeyValueStore.WatchListener {
         @Override
         public void onChange(String key, Optional<KeyValueStore.Entry> entry) {
@@ -234,7 +234,7 @@
         public void onEnd() {
             process.loop().execute(() -> {
                 watch = Optional.empty();
-                process.loop().after(WATCH_RETRY_MILLIS, ConfigurationDriver.this::watchIfChosen);
+                process.loop().after(WATCH_RETRY_DELAY_MILLIS, ConfigurationDriver.this::updateWatch);
             });
         }
     }
--- a/src/main/java/org/gooseberryhill/process/LeaseKeeper.java
+++ b/src/main/java/org/gooseberryhill/process/LeaseKeeper.java
@@ -9,71 +9,72 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Keeps this host's one lease in the key-value service. Used by the control thread only.
+ * Obtains and renews this host's single lease in the key-value service. Used by the control thread only.
  *
- * <p>Example: claims are written with {@code usable().get()}; after {@code onLost} all of them are gone.
+ * <p>Claims are written under the lease {@code usable().get()}; when the {@code onLost} listeners run, all of them are
+ * gone.
  */
 public final class LeaseKeeper {
     private static final Logger LOG = LogManager.getLogger(LeaseKeeper.class);
     private static final int RENEWALS_PER_LEASE = 3;
-    private static final int MARGIN_DIVISOR = 5;
+    private static final int SAFETY_MARGIN_DIVISOR = 5;
 
     private final HostProcess process;
     private final LeaseGuard guard;
     private final long leaseMillis;
     private final List<Runnable> lossListeners = new ArrayList<>();
-    private boolean calling;
+    private boolean callPending;
     private boolean released;
 
-    /** A keeper that holds no lease yet. */
+    /** Creates an instance that holds no lease yet. */
     public LeaseKeeper(HostProcess process) {
         this.process = process;
         this.leaseMillis = process.settings().leaseMillis();
-        this.guard = new LeaseGuard(leaseMillis / MARGIN_DIVISOR);
+        this.guard = new LeaseGuard(leaseMillis / SAFETY_MARGIN_DIVISOR);
     }
 
-    /** Asks for the lease and renews it from now on. */
+    /** Requests the lease and renews it periodically. */
     public void start() {
         renew();
         process.loop().every(leaseMillis / RENEWALS_PER_LEASE, this::renew);
     }
 
-    /** Calls back when the lease is gone, and with it all claims. */
+    /** Adds a listener that is called when the lease, and with it all claims, is gone. */
     public void onLost(Runnable listener) {
         lossListeners.add(listener);
     }
 
-    /** The lease, if this host may act under it now. */
+    /** Returns the id of the lease, if this host may act under it now. */
     public Optional<Long> usable() {
         return guard.usable(process.loop().nowNanos());
     }
 
-    /** Gives the lease back at a planned stop, so that others need not wait for its end; then runs the action. */
-    public void release(Runnable then) {
+    /** Revokes the lease at a planned stop, so that others need not wait until it expires; then runs the action. */
+    public void release(Runnable action) {
         released = true;
         Optional<Long> lease = guard.granted();
         guard.lost();
         if (lease.isEmpty()) {
-            then.run();
+            action.run();
             return;
         }
         process.keyValue()
                 .revokeLease(lease.get())
-                .whenComplete((done, failure) -> process.loop().execute(then));
+                .whenComplete((done, failure) -> process.loop().execute(action));
     }
 
     private void renew() {
-        if (calling || released) {
+        if (callPending || released) {
             return;
         }
-        calling = true;
+        callPending = true;
         long sentNanos = process.loop().nowNanos();
         Optional<Long> lease = guard.granted();
         if (lease.isEmpty()) {
             process.keyValue()
                     .grantLease(leaseMillis)
                     .whenComplete((id, failure) -> process.loop().execute(() -> {
-                        calling = false;
+                        callPending = false;
                         if (failure == null && !released) {
                             guard.renewed(id, sentNanos, leaseMillis);
                             process.timeline()
@@ -86,21 +87,22 @@
         }
         process.keyValue()
                 .renewLease(lease.get())
-                .whenComplete((leftMillis, failure) -> process.loop().execute(() -> {
-                    calling = false;
-                    renewed(lease.get(), sentNanos, failure == null ? Optional.of(leftMillis) : Optional.empty());
+                .whenComplete((remainingMillis, failure) -> process.loop().execute(() -> {
+                    callPending = false;
+                    onRenewalAnswer(
+                            lease.get(), sentNanos, failure == null ? Optional.of(remainingMillis) : Optional.empty());
                 }));
     }
 
-    private void renewed(long lease, long sentNanos, Optional<Long> leftMillis) {
-        if (leftMillis.isEmpty() || released) {
+    private void onRenewalAnswer(long lease, long sentNanos, Optional<Long> remainingMillis) {
+        if (remainingMillis.isEmpty() || released) {
             return;
         }
-        if (leftMillis.get() > 0) {
-            guard.renewed(lease, sentNanos, leftMillis.get());
+        if (remainingMillis.get() > 0) {
+            guard.renewed(lease, sentNanos, remainingMillis.get());
             return;
         }
-        LOG.warn("lease {} is gone", lease);
+        LOG.warn("lease {} has expired or was revoked", lease);
         process.timeline().event(EventKind.LEASE_LOST).with("lease", lease).write();
         guard.lost();
         lossListeners.forEach(Runnable::run);
--- a/src/main/java/org/gooseberryhill/process/MembershipDriver.java
+++ b/src/main/java/org/gooseberryhill/process/MembershipDriver.java
@@ -18,7 +18,7 @@
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Carries the membership's heartbeats over the peer protocol. Used by the control thread only. */
+/** Exchanges the heartbeats of the membership over the peer protocol. Used by the control thread only. */
 final class MembershipDriver implements MembershipCommands {
     private final HostProcess process;
     private final Map<HostId, HostState> lastStates = new HashMap<>();
@@ -29,13 +29,13 @@
         this.process = process;
     }
 
-    /** Sets what this host's heartbeats say of waiting work. */
-    void ownWork(Supplier<Map<String, Long>> supplier) {
+    /** Sets the supplier of the waiting work that this host's heartbeats report. */
+    void setOwnWork(Supplier<Map<String, Long>> supplier) {
         ownWork = supplier;
     }
 
-    /** Calls back with what other hosts' heartbeats say of waiting work. */
-    void onWork(BiConsumer<HostId, Map<String, Long>> listener) {
+    /** Adds a listener that is called with the waiting work reported by heartbeats of other hosts. */
+    void addWorkListener(BiConsumer<HostId, Map<String, Long>> listener) {
         workListeners.add(listener);
     }
 
@@ -43,7 +43,7 @@
         process.membership().tick(process.loop().nowNanos(), this);
     }
 
-    /** Tells all hosts at once that this one is leaving, so that none sends it new work. */
+    /** Tells all hosts immediately, by a heartbeat, that this one is leaving, so that they send it no new work. */
     void announceLeaving() {
         for (Host host : process.membership().present()) {
             process.tell(host, heartbeat(process.membership().rumorsFor(host.id())));
@@ -55,7 +55,7 @@
         process.ask(target, heartbeat(rumors))
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     if (reply instanceof PeerMessage.Heartbeat heartbeat) {
-                        take(target.id(), heartbeat);
+                        recordHeartbeat(target.id(), heartbeat);
                     }
                 }));
     }
@@ -73,17 +73,17 @@
 
     Optional<CompletableFuture<PeerMessage>> handle(HostId from, PeerMessage message) {
         if (message instanceof PeerMessage.Heartbeat heartbeat) {
-            take(from, heartbeat);
+            recordHeartbeat(from, heartbeat);
             return Optional.of(
                     MessageHandler.reply(heartbeat(process.membership().rumorsFor(from))));
         }
         if (message instanceof PeerMessage.ProbeThrough probe) {
-            return Optional.of(probeFor(probe.target()));
+            return Optional.of(probeOnRequest(probe.target()));
         }
         return Optional.empty();
     }
 
-    private CompletableFuture<PeerMessage> probeFor(HostId target) {
+    private CompletableFuture<PeerMessage> probeOnRequest(HostId target) {
         Optional<Host> host = process.membership().find(target);
         if (host.isEmpty()) {
             return MessageHandler.reply(new PeerMessage.Failed("not known: " + target));
@@ -92,7 +92,7 @@
                 .thenApply(reply -> new PeerMessage.Ack());
     }
 
-    private void take(HostId from, PeerMessage.Heartbeat heartbeat) {
+    private void recordHeartbeat(HostId from, PeerMessage.Heartbeat heartbeat) {
         Membership membership = process.membership();
         membership.heard(
                 from,
@@ -100,12 +100,12 @@
                 heartbeat.leaving(),
                 heartbeat.rumors(),
                 process.loop().nowNanos());
-        process.configuration().heardRevision(from, heartbeat.configurationRevision());
-        workListeners.forEach(listener -> listener.accept(from, heartbeat.work()));
+        process.configuration().fetchIfNewer(from, heartbeat.configurationRevision());
+        workListeners.forEach(listener -> listener.accept(from, heartbeat.earliestDueMillisByService()));
     }
 
-    /** Writes what changed in the view onto the time line. */
-    void recordChanges() {
+    /** Records the hosts' state changes in the timeline. */
+    void recordStateChanges() {
         process.membership().states().forEach((host, state) -> {
             HostState before = lastStates.put(host, state);
             if (before != null && before != state) {
--- a/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
@@ -106,15 +106,15 @@
 
     @ParameterizedTest
     @MethodSource({"messages", "gatewayMessages"})
-    void aMessageComesOutAsItWentIn(PeerMessage message) throws IOException {
+    void aMessageSurvivesARoundTrip(PeerMessage message) throws IOException {
         PeerFrame frame = new PeerFrame(5, true, HybridTimestamp.ofMillis(1000), HOST, message);
 
         assertThat(PeerCodec.decode(PeerCodec.encode(frame))).isEqualTo(frame);
     }
 
-    /** Arrays have no equality of their own, so values are looked at one by one. */
+    /** Records that contain arrays are not equal to their copies, so the contents are compared one by one. */
     @Test
-    void theBytesOfKeysAndBodiesComeOutAsTheyWentIn() throws IOException {
+    void theBytesOfKeysAndBodiesSurviveARoundTrip() throws IOException {
         byte[] value = {0, 1, -1, 127};
         GatewayMessage.ViewListing listing = (GatewayMessage.ViewListing)
                 roundTrip(new GatewayMessage.ViewListing("p/", 9, List.of(KeyChange.written("p/k", value, 8)), 1));
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void aSubmissionComesOutAsItWentIn() throws IOException {
+    void aSubmissionSurvivesARoundTrip() throws IOException {
         BatchRecord record = new BatchRecord("h", "/t", "hash", "o", "s", 1, 1, 9, false, List.of(), 0);
         byte[] value = {0, 1, -1, 127};
 
@@ -138,15 +138,15 @@
         assertThat(put.body()).isEqualTo(value);
     }
 
-    /** The mapper's first use takes a third of a second of processor time, whenever it comes. */
+    /** Guards against callers that wait for the mapper's first use: a third of a second of processor time. */
     @ParameterizedTest
     @MethodSource("gatewayMessages")
-    void whatGatewaysExchangeNeedsNoMapper(PeerMessage message) {
-        assertThat(CompactForms.of(message)).isPresent();
+    void gatewayMessagesHaveACompactCodec(PeerMessage message) {
+        assertThat(CompactCodecs.of(message)).isPresent();
     }
 
     @Test
-    void aTransactionForAnotherHostComesOutAsItWentIn() throws IOException {
+    void aRelayedTransactionSurvivesARoundTrip() throws IOException {
         byte[] value = {0, 1, -1, 127};
         Transaction transaction = Transaction.builder()
                 .ifAbsent("a")
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void whatTheStoreAnsweredComesOutAsItWentIn() throws IOException {
+    void aStoreAnswerSurvivesARoundTrip() throws IOException {
         byte[] value = {0, 1, -1, 127};
         GatewayMessage.StoreAnswer answer = (GatewayMessage.StoreAnswer) roundTrip(new GatewayMessage.StoreAnswer(
                 Optional.empty(),
@@ -195,7 +195,7 @@
         assertThat(answer.written()).contains(new KeyValueStore.WriteResult(true, 5));
     }
 
-    /** A frame of another version of the system names a message that this one does not know: the connection fails. */
+    /** A process of another version may send a message that this one does not know; the connection has to fail. */
     @Test
     void aFrameWithAnUnknownCodeIsRefused() {
         assertThatThrownBy(() -> PeerCodec.decode(new byte[] {99, 1, -62, 1, -95, 'h'}))
