--- a/src/main/java/org/gooseberryhill/entry/AccessControl.java
+++ b/src/main/java/org/gooseberryhill/entry/AccessControl.java
@@ -9,13 +9,16 @@
 import org.gooseberryhill.contract.Fingerprint;
 import org.gooseberryhill.http.HttpCall;
 
-/** Tells callers by their bearer keys. Thread-safe: traffic threads read a snapshot that configurations replace. */
+/**
+ * Authenticates callers by their bearer keys. Thread-safe: a new configuration replaces the snapshot that traffic
+ * threads read.
+ */
 final class AccessControl {
     private static final String BEARER = "Bearer ";
 
     private volatile Snapshot snapshot = new Snapshot(Configuration.EMPTY, Map.of());
 
-    /** Takes in a configuration. */
+    /** Applies a new configuration. */
     void configure(Configuration configuration) {
         Map<String, CallerSettings> byHash = new HashMap<>();
         configuration.callers().values().forEach(caller -> byHash.put(caller.keySha256(), caller));
@@ -26,7 +29,7 @@
         return snapshot.configuration;
     }
 
-    /** The caller whose key the request carries; only the key's hash is compared, so no key is kept. */
+    /** Returns the caller whose key the request carries. Only hashes are compared, so no key is stored. */
     Optional<CallerSettings> caller(HttpCall call) {
         String header = call.headers().get("authorization");
         if (header == null || !header.startsWith(BEARER)) {
@@ -36,6 +39,6 @@
         return Optional.ofNullable(snapshot.byHash.get(Fingerprint.sha256Hex(key)));
     }
 
-    /** A configuration with its index. */
+    /** A configuration with the index of its callers by the SHA-256 hash of their keys. */
     private record Snapshot(Configuration configuration, Map<String, CallerSettings> byHash) {}
 }
--- a/src/main/java/org/gooseberryhill/entry/CallRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/CallRouter.java
@@ -26,7 +26,7 @@
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.process.AdminServer;
 
-/** Sends each call of the callers' interface to what answers it. Thread-safe. */
+/** Routes the calls of the callers' interface to their handlers. Thread-safe. */
 final class CallRouter {
     private static final String SERVICES = "/services/";
     private static final String DEADLINE_HEADER = "x-deadline-millis";
@@ -44,7 +44,7 @@
         this.jobs = new JobCalls(context);
     }
 
-    /** Looks at a call's head and returns what takes in its body. */
+    /** Routes a call by its head and returns the handler of its body. */
     HttpBody route(HttpCall call) {
         String path = call.path();
         switch (path) {
@@ -162,7 +162,8 @@
         context.process().loop().execute(() -> {
             boolean serving = context.process().stop().phase() == PlannedStop.Phase.SERVING;
             long revision = context.process().configuration().revision();
-            // Without a store a job could only be refused: the balancer should ask another host till one is known.
+            // Without a known store every job would be refused, so the balancer should use another host until one is
+            // known.
             boolean knowsStores = !context.process().present(Role.STORE).isEmpty();
             boolean ready = serving && revision > 0 && knowsStores;
             call.reply(
--- a/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
+++ b/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
@@ -17,9 +17,9 @@
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.process.HostProcess;
 
-/** Carries a {@link Claim} to the key-value service and back. Used by the control thread but where it says so. */
+/** Performs the steps of a {@link Claim} at the key-value service. For the control thread, except where noted. */
 final class ClaimDriver {
-    /** Answers up to this size are kept for a resend; the service's values are small. */
+    /** The largest answer body stored for a resent call; values of the key-value service are small. */
     private static final int MAX_KEPT_BYTES = 64 * 1024;
 
     private static final int MAX_CLEANUP_TRIES = 20;
@@ -44,7 +44,7 @@
         this.claim = new Claim(own);
     }
 
-    /** Claims the call; one of the three is called on the control thread. */
+    /** Claims the call, then runs exactly one of the three callbacks on the control thread. */
     void begin(Runnable send, Consumer<ClaimRecord> replay, Consumer<Refusal> refuse) {
         onSend = send;
         onReplay = replay;
@@ -52,7 +52,7 @@
         follow(claim.begin());
     }
 
-    /** The call has its answer: keeps it, then runs the action, also if it can't be kept. From any thread. */
+    /** Stores the call's answer, then runs the action, even if the write fails. May be called from any thread. */
     void answered(int status, Map<String, String> headers, byte[] body, Runnable then) {
         answerKept = true;
         ClaimRecord record = body.length <= MAX_KEPT_BYTES ? own.answered(status, headers, body) : own.answerLost();
@@ -65,7 +65,10 @@
         });
     }
 
-    /** The call was given up: a call that did not run frees its key, one that may have run marks it. */
+    /**
+     * Ends the claim of a call that is given up. The key becomes free if the call did not run; if it may have run, the
+     * record is marked as having lost its answer.
+     */
     void gaveUp(Refusal refusal) {
         if (answerKept) {
             return;
@@ -112,8 +115,8 @@
     }
 
     /**
-     * A claim whose creation was not answered may stand although its call was never sent; left alone, it would refuse
-     * each resend. It is deleted, and only it: the record must be this call's own.
+     * Deletes the claim of a call that was never sent. A claim whose creation was not answered may exist; left in
+     * place, it would cause every resend to be refused. It is deleted only if the record is this call's own.
      */
     private void withdrawUnsent(int triesLeft) {
         if (!claim.isUncertain() || triesLeft == 0) {
--- a/src/main/java/org/gooseberryhill/entry/EntryContext.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryContext.java
@@ -3,13 +3,13 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * What the parts of the entry program share. Immutable; its parts say how they may be used.
+ * Holds the objects that the parts of the entry program share. Immutable; each object states its own thread safety.
  *
  * @param process the common part of the process
  * @param settings the program's settings
- * @param traffic what is shared with other hosts about online work
- * @param access tells callers
- * @param metrics the metrics
+ * @param traffic the state of online requests that this host exchanges with others
+ * @param access authenticates callers
+ * @param metrics the metrics of this process
  */
 record EntryContext(
         HostProcess process,
--- a/src/main/java/org/gooseberryhill/entry/EntryMetrics.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryMetrics.java
@@ -5,7 +5,7 @@
 import io.prometheus.metrics.core.metrics.Histogram;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
-/** The metrics of one entry process; names and labels are in docs/OPERATIONS.md. Thread-safe. */
+/** Holds the metrics of one entry process; docs/OPERATIONS.md lists names and labels. Thread-safe. */
 final class EntryMetrics {
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final Counter requests = Counter.builder()
--- a/src/main/java/org/gooseberryhill/entry/EntryProcess.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryProcess.java
@@ -13,7 +13,7 @@
 import org.gooseberryhill.process.HostSettings;
 import org.gooseberryhill.process.MessageHandler;
 
-/** The program {@code gooseberry-entry}. Thread-safe. */
+/** Runs the program {@code gooseberry-entry}. Thread-safe. */
 public final class EntryProcess implements Closeable {
     private static final long STOP_CHECK_MILLIS = 200;
 
@@ -22,7 +22,7 @@
     private final EntrySettings settings;
     private Optional<HttpServer> server = Optional.empty();
 
-    /** A process that is not started yet. */
+    /** Creates a process without starting it. */
     public EntryProcess(HostSettings hostSettings, EntrySettings settings, long seed) {
         this.settings = settings;
         this.process = new HostProcess(hostSettings, seed);
@@ -35,7 +35,7 @@
         process.roleHandler(this::handle);
     }
 
-    /** Starts serving. */
+    /** Starts the process and its HTTP server. */
     public void start() {
         process.start();
         CallRouter router = new CallRouter(context);
@@ -44,12 +44,14 @@
         process.loop().every(STOP_CHECK_MILLIS, this::advanceStop);
     }
 
-    /** The common part of the process. */
+    /** Returns the part of the process that all roles have in common. */
     public HostProcess process() {
         return process;
     }
 
-    /** Whether this entry sends an endpoint nothing new; for the control thread. */
+    /**
+     * Returns whether this entry sends no new requests to an endpoint because it is leaving. For the control thread.
+     */
     public boolean knowsLeaving(String endpoint) {
         return context.traffic()
                 .core()
@@ -66,7 +68,7 @@
         process.close();
     }
 
-    /** What comes in once the stop is under way is refused: it never runs, but its answer has to reach the caller. */
+    /** Advances the planned stop. A request refused during the stop never runs, but the stop waits for its response. */
     private void advanceStop() {
         int unanswered = server.map(HttpServer::unanswered).orElse(0);
         process.advanceStop(Math.max(context.traffic().inProgress(), unanswered), false);
--- a/src/main/java/org/gooseberryhill/entry/EntrySettings.java
+++ b/src/main/java/org/gooseberryhill/entry/EntrySettings.java
@@ -7,14 +7,14 @@
 /**
  * Settings of the entry program. Immutable.
  *
- * @param httpAddress where callers are served
- * @param httpLimits bounds of connections
- * @param maxBodyBytes the largest body of an online request
- * @param maxItems the most items of a job
- * @param maxItemBytes the largest item of a job
- * @param defaultDeadlineMillis how long an online request may take when its caller does not say
- * @param endpointSilenceMillis how long an endpoint may be silent inside an answer
- * @param policies the decisions about online requests
+ * @param httpAddress the address of the HTTP server for callers
+ * @param httpLimits limits of the HTTP connections
+ * @param maxBodyBytes the maximum size of an online request's body
+ * @param maxItems the maximum number of items in a job
+ * @param maxItemBytes the maximum size of a job's item
+ * @param defaultDeadlineMillis the time limit of an online request whose caller sets none
+ * @param endpointSilenceMillis the maximum time without a byte from an endpoint during an exchange
+ * @param policies the policies for routing, admission and retries of online requests
  */
 public record EntrySettings(
         Address httpAddress,
--- a/src/main/java/org/gooseberryhill/entry/ErrorForm.java
+++ b/src/main/java/org/gooseberryhill/entry/ErrorForm.java
@@ -7,11 +7,11 @@
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.link.Json;
 
-/** The one JSON form of errors that callers see. Stateless. */
+/** Formats all error responses to callers as JSON. Stateless. */
 final class ErrorForm {
     private ErrorForm() {}
 
-    /** Answers a call with a refusal: code, outcome, message, and Retry-After where it helps. */
+    /** Replies to a call with a refusal: code, outcome, message, and Retry-After if the refusal has a retry time. */
     static void reply(HttpCall call, String requestId, Refusal refusal) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("content-type", "application/json");
@@ -21,7 +21,7 @@
         call.reply(refusal.code().httpStatus(), headers, Json.bytes(body(requestId, refusal)));
     }
 
-    /** The body of the form. */
+    /** Returns the JSON body of the response. */
     static ObjectNode body(String requestId, Refusal refusal) {
         ObjectNode form = Json.object();
         ObjectNode error = form.putObject("error");
--- a/src/main/java/org/gooseberryhill/entry/JobCalls.java
+++ b/src/main/java/org/gooseberryhill/entry/JobCalls.java
@@ -13,7 +13,7 @@
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.http.WholeBody;
 
-/** The calls below {@code /v1/jobs}. A caller reaches its own jobs only, since its name is part of each key. */
+/** Routes the calls below {@code /v1/jobs}. A caller can reach only its own jobs, since job keys contain its name. */
 final class JobCalls {
     static final String PATH = "/v1/jobs";
 
--- a/src/main/java/org/gooseberryhill/entry/JobIntakeBody.java
+++ b/src/main/java/org/gooseberryhill/entry/JobIntakeBody.java
@@ -27,13 +27,13 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Takes in a job while its body comes. Body methods run on the connection's traffic thread.
+ * Handles the submission of a job while its body is received. The body methods run on the connection's traffic thread.
  *
- * <p>Invariant: the caller gets a success only when all items are on the disks of two zones and the job's record is in
- * the key-value service. A body with a mistake leaves no record: nothing of it is accepted.
+ * <p>Invariant: the caller receives a success only once all items are on the disks of two zones and the job's record is
+ * in the key-value service. If any item is invalid, no record is written and none of the items is accepted.
  */
 final class JobIntakeBody implements HttpBody {
-    /** Items a chunk: the unit of storing and committing (docs/CAPACITY.md). */
+    /** Items per chunk, the unit of storing and committing (docs/CAPACITY.md). */
     static final int CHUNK_ITEMS = 256;
 
     private static final long RETRY_AFTER_MILLIS = 2000;
@@ -111,7 +111,7 @@
         chunk.clear();
         String name = SegmentNames.items(request.key(), segmentNames.size(), content);
         segmentNames.add(name);
-        // One chunk at a time, and no reading meanwhile: a fast sender must not fill this host's memory.
+        // Reading pauses while a chunk is stored, so that a fast sender can't fill this host's memory.
         call.readBody(false);
         stored = stored.thenCompose(done -> context.process().segments().put(name, content));
         stored.whenComplete((done, failure) -> call.readBody(true));
@@ -203,7 +203,7 @@
             digest.update((request.model() + "\n").getBytes(StandardCharsets.UTF_8));
             return digest;
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("digest algorithm SHA-256 is not available", e);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
+++ b/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
@@ -9,10 +9,11 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Cuts a job's body into items, one JSON object a line, and collects what is wrong with its line. Used by one thread.
+ * Splits a job's body into items, one JSON object per line, and collects the errors with their line numbers. Not
+ * thread-safe.
  *
- * <p>Blank lines are passed over but counted. After the first mistake no item is handed on, only further mistakes are
- * collected, up to a number.
+ * <p>Blank lines are skipped but counted in line numbers. After the first error no item is returned; further errors are
+ * collected up to a maximum number.
  */
 final class JobLineSplitter {
     private static final int MAX_FINDINGS = 20;
@@ -30,7 +31,7 @@
         this.maxItemBytes = maxItemBytes;
     }
 
-    /** Takes in bytes; returns the whole items in them. */
+    /** Reads the next bytes of the body and returns the items that they complete. */
     List<String> read(byte[] bytes) {
         List<String> whole = new ArrayList<>();
         for (byte next : bytes) {
@@ -45,7 +46,7 @@
         return whole;
     }
 
-    /** The body is whole; returns the item of an unended last line, if there is one. */
+    /** Ends the body and returns the item of an unterminated last line, if there is one. */
     List<String> end() {
         List<String> whole = new ArrayList<>();
         if (line.size() > 0) {
@@ -54,7 +55,7 @@
         return whole;
     }
 
-    /** What is wrong, with the lines; empty if nothing is. */
+    /** Returns the errors with their line numbers; empty if there are none. */
     List<String> findings() {
         return findings;
     }
--- a/src/main/java/org/gooseberryhill/entry/JobNotices.java
+++ b/src/main/java/org/gooseberryhill/entry/JobNotices.java
@@ -8,7 +8,7 @@
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.process.HostProcess;
 
-/** Tells a job's owner at once what it would find out by itself later. For the control thread. */
+/** Notifies a job's owner of a change at once, which the owner would otherwise detect later. For the control thread. */
 final class JobNotices {
     private JobNotices() {}
 
--- a/src/main/java/org/gooseberryhill/entry/JobQueries.java
+++ b/src/main/java/org/gooseberryhill/entry/JobQueries.java
@@ -24,7 +24,7 @@
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Status, list, results and cancel of jobs. Thread-safe, keeps no state. */
+/** Handles the calls for status, list, results and cancellation of jobs. Thread-safe and stateless. */
 final class JobQueries {
     private static final int MAX_CHUNKS = 10_000;
     private static final int MAX_JOBS = 1000;
@@ -38,7 +38,7 @@
         this.context = context;
     }
 
-    /** Answers with a job's state and progress. */
+    /** Replies with a job's state and progress. */
     void status(HttpCall call, String requestId, JobKey key) {
         withJob(
                 call,
@@ -53,7 +53,7 @@
                 }));
     }
 
-    /** Streams the results in the order of the items, from an offset up to the first item without one. */
+    /** Streams the results in item order, from an offset up to the first chunk that is not committed. */
     void results(HttpCall call, String requestId, JobKey key, int offset) {
         withJob(call, requestId, key, (entry, record) -> {
             int firstChunk = offset / record.chunkItems();
@@ -67,12 +67,12 @@
         });
     }
 
-    /** Cancels a job: once answered, no later result appears. */
+    /** Cancels a job; no result appears after the reply. */
     void cancel(HttpCall call, String requestId, JobKey key) {
         cancel(call, requestId, key, MAX_CANCEL_TRIES);
     }
 
-    /** Lists the open jobs of a caller. */
+    /** Replies with the ids of a caller's open jobs. */
     void list(HttpCall call, String requestId, String caller) {
         String prefix = Keys.OPEN_JOBS + caller + "/";
         context.process().keyValue().readPrefix(prefix, prefix, MAX_JOBS).whenComplete((result, failure) -> {
@@ -102,7 +102,7 @@
                 if (failure == null && result.succeeded()) {
                     cancelled(call, key, record.in(JobState.CANCELLED));
                 } else if (triesLeft > 0) {
-                    // Another edit came first, or the answer was lost: read again, which tells.
+                    // The record was changed concurrently or the answer was lost; reading it again shows which.
                     cancel(call, requestId, key, triesLeft - 1);
                 } else {
                     unavailable(call, requestId, Outcome.MAY_HAVE_RUN);
@@ -189,7 +189,7 @@
         ErrorForm.reply(call, requestId, refusal);
     }
 
-    /** What is done with a job that was found. */
+    /** An action on an existing job. */
     @FunctionalInterface
     private interface JobAction {
         void run(Entry entry, JobRecord record);
--- a/src/main/java/org/gooseberryhill/entry/LoadReports.java
+++ b/src/main/java/org/gooseberryhill/entry/LoadReports.java
@@ -17,12 +17,12 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * Tells stewards how many online requests this entry has at their endpoints. Used by the control thread only.
+ * Reports to stewards how many online requests this entry has in flight at their endpoints. For the control thread.
  *
- * <p>Invariant: each change is reported at the latest with the next round, and a report that was not taken is sent again.
- * All that is in flight is repeated each few seconds only: with a hundred requests in flight at as many endpoints, a
- * repetition each round would cost several times what a node may spend on control (docs/CAPACITY.md). The steward drops
- * the counts of a host that is lost by the membership.
+ * <p>Invariant: each change is reported in the next round at the latest, and a report without an answer is sent again.
+ * Unchanged counts are repeated only every few seconds: with a hundred requests in flight at as many endpoints,
+ * repeating them in each round would cost several times what a node may spend on control (docs/CAPACITY.md). The
+ * steward discards the counts of a host that the membership lists as lost.
  */
 final class LoadReports {
     private static final int ROUNDS_PER_REFRESH = 20;
@@ -40,13 +40,15 @@
         this.onLoads = onLoads;
     }
 
-    /** Reports one endpoint at once. */
+    /** Reports the count of one endpoint at once. */
     void reportNow(EndpointSettings endpoint, int inFlight) {
         lastReported.put(endpoint.name(), inFlight);
         steward(endpoint).ifPresent(host -> send(host, Map.of(endpoint.name(), inFlight), List.of()));
     }
 
-    /** Reports the endpoints whose count has changed or that are slow; now and then all with requests in flight. */
+    /**
+     * Reports endpoints that are slow or whose count has changed; in refresh rounds also all with requests in flight.
+     */
     void reportRound(Iterable<EndpointState> endpoints, Set<String> slow) {
         round++;
         boolean refresh = round % ROUNDS_PER_REFRESH == 0;
@@ -77,7 +79,7 @@
                     if (reply instanceof PeerMessage.EndpointLoads loads) {
                         onLoads.accept(asked, loads);
                     } else {
-                        // Not taken, perhaps: a count that no endpoint can have makes the next round report again.
+                        // The report may be lost. A count that no endpoint can have makes the next round report again.
                         asked.forEach(endpoint -> lastReported.put(endpoint, UNKNOWN));
                     }
                 }));
--- a/src/main/java/org/gooseberryhill/entry/ModelCall.java
+++ b/src/main/java/org/gooseberryhill/entry/ModelCall.java
@@ -20,10 +20,11 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * A request to a model. An answer that an endpoint breaks off is continued by another from the last whole token.
+ * An online request to a model. If an endpoint fails during a streamed answer, another endpoint resumes it after the
+ * last complete token.
  *
- * <p>Invariant: a streamed answer ends normally only after the endpoint's end mark; else it ends with an error event
- * and a cut connection, so that the caller can't take a part for the whole.
+ * <p>Invariant: a streamed answer ends normally only after the endpoint's end mark. Otherwise it ends with an error
+ * event and a closed connection, so that the caller can't mistake a truncated answer for a complete one.
  */
 final class ModelCall extends OnlineCall {
     private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
@@ -80,7 +81,7 @@
         return headers;
     }
 
-    /** Follows one attempt; used by one traffic thread. */
+    /** Handles the answer to one attempt. Used by one traffic thread. */
     private final class Attempt implements ExchangeListener {
         private final EndpointSettings endpoint;
         private final long number;
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -23,10 +23,10 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * One online request on its way through this host. Decisions run on the control thread, answers on traffic threads.
+ * Processes one online request on this host. Decisions run on the control thread, answers on traffic threads.
  *
- * <p>Invariant: the caller gets one final answer; a caller that goes away or a deadline that passes cancels the
- * attempt, so that no late answer is waited for.
+ * <p>Invariant: the caller gets exactly one final answer. If the caller disconnects or the deadline passes, the attempt
+ * in progress is cancelled and its answer is not awaited.
  */
 abstract class OnlineCall {
     private static final Logger LOG = LogManager.getLogger(OnlineCall.class);
@@ -47,18 +47,21 @@
         this.startNanos = process().loop().nowNanos();
     }
 
-    /** Starts the exchange with an endpoint; its end must be told to one of the attempt methods below. */
+    /**
+     * Starts the exchange with an endpoint. Its end must be reported to {@link #attemptSucceeded} or
+     * {@link #attemptFailed}.
+     */
     abstract Exchange startExchange(EndpointSettings endpoint, long attempt);
 
-    /** Gives the caller its refusal. */
+    /** Sends the refusal to the caller. */
     abstract void refuse(Refusal refusal);
 
-    /** Runs before the first attempt; calls {@link #proceed} or {@link #giveUp}. */
+    /** Prepares the first attempt; calls {@link #proceed} or {@link #giveUp} when done. */
     void prepare() {
         proceed();
     }
 
-    /** Takes the request in; from any thread. */
+    /** Starts processing the request. May be called from any thread. */
     final void begin() {
         process().loop().execute(this::admit);
     }
@@ -67,14 +70,14 @@
         return context.process();
     }
 
-    /** Goes on with the first attempt. Control thread. */
+    /** Requests the next decision and performs it. For the control thread. */
     final void proceed() {
         if (!finished) {
             follow(context.traffic().core().next(request, nowNanos()));
         }
     }
 
-    /** An attempt brought the whole answer; the action gives it to the caller. From any thread. */
+    /** Ends an attempt with a complete answer, which the action sends to the caller. May be called from any thread. */
     final void attemptSucceeded(long attempt, Runnable action) {
         process().loop().execute(() -> {
             if (finished || attempt != attemptNumber) {
@@ -87,7 +90,7 @@
         });
     }
 
-    /** The request was answered without an attempt, from what an earlier call left. Control thread. */
+    /** Answers the request with the stored answer of an earlier call, without an attempt. For the control thread. */
     final void attemptReplayed(Runnable action) {
         if (!finished) {
             action.run();
@@ -95,7 +98,7 @@
         }
     }
 
-    /** An attempt failed. From any thread. */
+    /** Ends an attempt with a failure. May be called from any thread. */
     final void attemptFailed(long attempt, ExchangeFailure failure) {
         process().loop().execute(() -> {
             if (finished || attempt != attemptNumber) {
@@ -126,12 +129,15 @@
         });
     }
 
-    /** The caller has a part of the answer that no other endpoint can continue. From any thread. */
+    /**
+     * Records that the caller has a part of an answer that no other endpoint can continue. May be called from any
+     * thread.
+     */
     final void answerStarted() {
         process().loop().execute(() -> request.answerStarted());
     }
 
-    /** Gives the request up. Control thread. */
+    /** Ends the request with a refusal. For the control thread. */
     final void giveUp(Refusal refusal) {
         if (finished) {
             return;
--- a/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
@@ -18,11 +18,11 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * What an entry host shares with the others about online work: loads, crashes, leaving endpoints. Used by the control
- * thread only.
+ * Exchanges the state of online requests with other hosts: loads, crashes and leaving endpoints. For the control
+ * thread.
  *
- * <p>The start of a request is told to the endpoint's steward at once, since batch has to yield to it; its end may
- * wait for the next round.
+ * <p>The start of a request is reported to the endpoint's steward at once, since batch items have to yield to it; its
+ * end may wait for the next reporting round.
  */
 final class OnlineTraffic {
     private static final long SUSPECT_MEMORY_MILLIS = TimeUnit.MINUTES.toMillis(10);
@@ -71,12 +71,12 @@
         inProgress--;
     }
 
-    /** An attempt starts: the endpoint's steward has to know before the endpoint slows down. */
+    /** Reports the start of an attempt; the steward has to know of it before the endpoint slows down. */
     void attemptStarted(String endpoint) {
         core.endpoints().find(endpoint).ifPresent(state -> reports.reportNow(state.settings(), state.ownInFlight()));
     }
 
-    /** An endpoint broke off requests: all hosts have to know before the caller sends them again elsewhere. */
+    /** Handles a crash at an endpoint. All hosts have to know of it before the caller resends the request elsewhere. */
     void crashed(String endpoint, Fingerprint fingerprint) {
         core.suspects().crashed(endpoint, List.of(fingerprint), process.loop().nowNanos());
         process.timeline()
@@ -91,20 +91,20 @@
         process.present(Role.STEWARD).forEach(host -> process.tell(host, notice));
     }
 
-    /** Another host tells of a crash. */
+    /** Handles another host's notice of a crash. */
     void heardCrash(PeerMessage.CrashNotice notice) {
         List<Fingerprint> fingerprints =
                 notice.fingerprints().stream().map(Fingerprint::new).toList();
         core.suspects().crashed(notice.endpoint(), fingerprints, process.loop().nowNanos());
     }
 
-    /** A steward tells of one of its endpoints. */
+    /** Handles a steward's notice that one of its endpoints is leaving, or no longer is. */
     void heardLeaving(PeerMessage.LeavingNotice notice) {
         leaving.update(LeavingSource.PEER, notice.endpoint(), notice.leaving());
         core.endpoints().leaving(leaving.all());
     }
 
-    /** The host that arbitrates the suspects of a service. */
+    /** Returns the host that arbitrates the suspects of a service. */
     Optional<Host> arbiter(String service) {
         return Ownership.ownerOfSuspects(service, process.present(Role.STEWARD));
     }
--- a/src/main/java/org/gooseberryhill/entry/PlainCall.java
+++ b/src/main/java/org/gooseberryhill/entry/PlainCall.java
@@ -20,13 +20,14 @@
 import org.gooseberryhill.http.HttpCall;
 
 /**
- * A call of a plain service: method, headers, body and status are passed through whole.
+ * An online request to a plain service: method, headers, body and status are forwarded unchanged, except for headers
+ * that belong to one connection.
  *
- * <p>Invariant: a call that may not be repeated and carries an idempotency key is sent only under its claim, and its
- * answer is kept before the caller gets it.
+ * <p>Invariant: a non-idempotent call with an idempotency key is sent only under its claim, and its answer is stored
+ * before it is sent to the caller.
  */
 final class PlainCall extends OnlineCall {
-    /** Headers that belong to one connection and are not passed on (RFC 9110, section 7.6.1). */
+    /** Headers that belong to one connection and are not forwarded (RFC 9110, section 7.6.1). */
     private static final Set<String> CONNECTION_HEADERS = Set.of(
             "connection",
             "keep-alive",
@@ -41,7 +42,7 @@
 
     private static final int MAX_WAITING_BYTES = 1024 * 1024;
 
-    /** The largest answer of a call with an idempotency key, which is collected before it is passed on. */
+    /** The largest answer of a call with an idempotency key, which is buffered before it is forwarded. */
     private static final int MAX_KEPT_ANSWER_BYTES = 8 * 1024 * 1024;
 
     private final byte[] body;
@@ -119,7 +120,7 @@
         return passed;
     }
 
-    /** An attempt whose answer is passed on as it comes. Used by one traffic thread. */
+    /** An attempt whose answer is forwarded as it is received. Used by one traffic thread. */
     private final class StreamedAttempt implements ExchangeListener {
         private final EndpointSettings endpoint;
         private final long number;
@@ -133,7 +134,7 @@
 
         @Override
         public void onHead(int status, HttpHeaders headers) {
-            // From here on the answer is the caller's: another endpoint's may differ and can't continue it.
+            // The caller now has a part of this answer. Another endpoint's answer may differ and can't continue it.
             answerStarted();
             streamBegun = true;
             Map<String, String> passed = passedOn(headers);
@@ -165,7 +166,7 @@
         }
     }
 
-    /** An attempt whose answer is kept before the caller gets it. Used by one traffic thread. */
+    /** An attempt whose answer is buffered and stored before it is forwarded. Used by one traffic thread. */
     private final class KeptAttempt implements ExchangeListener {
         private final long number;
         private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
--- a/src/main/java/org/gooseberryhill/entry/ResultStream.java
+++ b/src/main/java/org/gooseberryhill/entry/ResultStream.java
@@ -12,11 +12,11 @@
 import org.gooseberryhill.http.HttpCall;
 
 /**
- * Streams a job's results chunk by chunk. One chunk is in memory at a time: the next is fetched when the caller's
- * connection has taken the one before.
+ * Streams a job's results chunk by chunk. One chunk is in memory at a time: the next is fetched once the previous one
+ * is written to the caller's connection.
  *
- * <p>Invariant: lines come in the order of the items without a gap; if a chunk can't be fetched the stream is cut, and
- * the caller goes on from the offset that it has reached.
+ * <p>Invariant: lines are in item order without gaps. If a chunk can't be fetched, the stream is aborted, and the
+ * caller can resume from the offset that it has reached.
  */
 final class ResultStream {
     private static final long RETRY_AFTER_MILLIS = 2000;
@@ -55,7 +55,9 @@
         });
     }
 
-    /** Writes a chunk in pieces, each when the one before is taken: a whole one may be more than may wait. */
+    /**
+     * Writes a chunk in pieces, each after the previous one, since a whole chunk may exceed the write buffer's limit.
+     */
     private void write(int chunk, byte[] lines) {
         byte[] piece = Arrays.copyOfRange(lines, 0, Math.min(PIECE_BYTES, lines.length));
         call.write(piece).whenComplete((done, failure) -> {
--- a/src/main/java/org/gooseberryhill/entry/package-info.java
+++ b/src/main/java/org/gooseberryhill/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The program that takes callers' requests: online work straight to the endpoints, jobs into the stores. */
+/** The program that accepts callers' requests: it forwards online requests to endpoints and stores jobs. */
 package org.gooseberryhill.entry;
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -29,10 +29,10 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * The batch work of the endpoints that this host stewards. For the control thread.
+ * Runs batch items at the endpoints that this host stewards. For the control thread.
  *
- * <p>Invariant: this host starts items only at endpoints that its view of the membership gives it. Two stewards of an
- * endpoint for a moment cost throughput, never correctness: an item's completion is decided by its owner.
+ * <p>Invariant: this host starts items only at endpoints that its view of the membership assigns to it. If an endpoint
+ * temporarily has two stewards, this costs throughput but not correctness: an item's owner decides on its completion.
  */
 final class BatchDriver {
     private static final long PULL_PERIOD_MILLIS = 100;
@@ -66,22 +66,22 @@
         process.loop().every(settings.statusPeriodMillis(), () -> statusReader.read(stewarded()));
     }
 
-    /** Follows the statuses that endpoints give. */
+    /** Adds a listener for the statuses read from endpoints. */
     void onStatus(BiConsumer<EndpointSettings, EndpointStatus> listener) {
         statusReader.onStatus(listener);
     }
 
-    /** Items in flight, and ends of items that their owners have not taken yet. */
+    /** Returns the number of items in flight and of item reports that their owners have not acknowledged yet. */
     int inProgress() {
         return unsettled.size();
     }
 
-    /** The owner has taken the end of a run, or will not any more. */
+    /** Removes a run whose report the owner has acknowledged, or for which no report will be sent any more. */
     void settled(ItemRun run) {
         unsettled.remove(run);
     }
 
-    /** The hand-outs of an owner's claim that are not settled here. */
+    /** Returns the hand-outs of a job's items under a claim that are not settled on this host. */
     List<Long> held(String job, long fence) {
         return unsettled.stream()
                 .map(ItemRun::item)
@@ -99,7 +99,7 @@
         pull();
     }
 
-    /** An entry's report; batch items yield at once where it leaves them no room. */
+    /** Handles an entry's load report; batch items yield at once where it leaves them no slot. */
     PeerMessage.EndpointLoads onlineReported(HostId entry, PeerMessage.OnlineLoad load) {
         long now = process.loop().nowNanos();
         Map<String, Integer> online = new HashMap<>();
@@ -119,12 +119,12 @@
                 leavingThere.add(name);
             }
         });
-        // Slots that online work has just left are filled at once; the timer is only the net below.
+        // Fills slots that online requests have just freed; the timer is only a fallback.
         pull();
         return new PeerMessage.EndpointLoads(online, batch, leavingThere);
     }
 
-    /** A job was stopped by its owner: its items end at once and report nothing. */
+    /** Discards the items of a job that its owner stopped; they end at once without a report. */
     void cancel(String job, long fence) {
         List<ItemRun> stopped = runs.values().stream()
                 .filter(run -> run.item().job().equals(job) && run.item().fence() == fence)
@@ -132,12 +132,12 @@
         stopped.forEach(ItemRun::discard);
     }
 
-    /** All items go back to their owners with what they have so far. */
+    /** Returns all items to their owners with the partial results so far. */
     void yieldAll() {
         List.copyOf(runs.values()).forEach(ItemRun::yield);
     }
 
-    /** A run is over, in whatever way; an endpoint that can't be reached gets no item for a while. */
+    /** Handles the end of a run. An unreachable endpoint gets no items for {@link #UNREACHABLE_PAUSE_MILLIS}. */
     void ended(ItemRun run, boolean unreachable) {
         runs.remove(run.number());
         EndpointBatch endpoint = endpoints.get(run.endpoint().name());
@@ -261,7 +261,7 @@
         }
     }
 
-    /** Starts a run at an endpoint. */
+    /** Starts a run at an endpoint, or refuses the item if this host no longer stewards the endpoint. */
     void start(ItemRun run, EndpointSettings endpoint) {
         EndpointBatch batch = endpoints.get(endpoint.name());
         if (batch == null) {
--- a/src/main/java/org/gooseberryhill/steward/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/steward/ItemRun.java
@@ -26,10 +26,10 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * One run of one item at one endpoint. Its methods are for the control thread; the answer comes on a traffic thread.
+ * One run of one item at one endpoint. Methods are for the control thread; the answer is received on a traffic thread.
  *
- * <p>Invariant: a run reports its end to the item's owner once, unless it is discarded; the owner takes an item back
- * whose report is lost.
+ * <p>Invariant: a run reports its end to the item's owner once, unless it is discarded. If the report is lost, the
+ * owner reclaims the item.
  */
 final class ItemRun {
     private static final int REPORT_TRIES = 5;
@@ -75,13 +75,13 @@
         return endpoint;
     }
 
-    /** There is no room for the item after all. */
+    /** Returns the item to its owner without running it, since no endpoint is available. */
     void refuse() {
         ended = true;
         report(ItemEnd.NOT_RUN, "", 0);
     }
 
-    /** Asks where the item may run apart from other suspects. */
+    /** Requests an endpoint where the item may run isolated from other suspects. */
     void askPermit(List<EndpointSettings> candidates) {
         Optional<Host> arbiter = Ownership.ownerOfSuspects(service, process.present(Role.STEWARD));
         if (arbiter.isEmpty()) {
@@ -121,7 +121,7 @@
         exchange = process.http().start(request, new Answer());
     }
 
-    /** Gives the slot back to online work; what was generated so far goes to the owner. */
+    /** Frees the slot for online requests and reports the partial result to the owner. */
     void yield() {
         if (end(false)) {
             exchange.cancel();
@@ -129,7 +129,7 @@
         }
     }
 
-    /** The job is stopped: nothing is reported. */
+    /** Ends the run without a report, since the job is stopped. */
     void discard() {
         if (end(false)) {
             exchange.cancel();
@@ -186,7 +186,7 @@
                 .getOrElse(new byte[0]);
     }
 
-    /** Follows the answer; used by one traffic thread. */
+    /** Handles the answer of the endpoint. Used by one traffic thread. */
     private final class Answer implements ExchangeListener {
         private final EventStreamReader events = new EventStreamReader();
         private int status;
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -34,10 +34,11 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * The jobs that this host owns: claims them, hands out their items, commits their chunks. For the control thread.
+ * Manages the jobs that this host owns: claims them, hands out their items and commits their chunks. For the control
+ * thread.
  *
- * <p>Invariant: what is committed carries the claim as its fence; when the lease is gone all jobs are dropped at once,
- * and whoever claims them next goes on from the committed chunks.
+ * <p>Invariant: each commit carries the claim as its fence. When the lease is lost, all jobs are stopped at once, and
+ * the next owner continues from the committed chunks.
  */
 final class JobOwner {
     private static final Logger LOG = LogManager.getLogger(JobOwner.class);
@@ -46,7 +47,7 @@
     private static final int MAX_CHUNKS = 10_000;
     private static final long HOLDER_CHECK_MILLIS = 1000;
 
-    /** Longer than a question and its answer may be on their way. */
+    /** Longer than a request and its reply can be in transit. */
     private static final long MISSING_AGE_MILLIS = 2 * HostProcess.ASK_TIMEOUT_MILLIS;
 
     private final HostProcess process;
@@ -123,7 +124,7 @@
         });
     }
 
-    /** Claims a job, unless this host has it or is about to. */
+    /** Claims a job, unless this host already owns it or is claiming it. */
     void claim(JobKey key) {
         Optional<Long> usable = lease.usable();
         if (handingOver || usable.isEmpty() || owns(key) || !claiming.add(key)) {
@@ -144,7 +145,7 @@
                 }));
     }
 
-    /** Gives all jobs up at a planned stop; true once nothing is being committed. */
+    /** Gives up all jobs at a planned stop. Returns false, and keeps the jobs, while chunks are being committed. */
     boolean handOver() {
         handingOver = true;
         if (segments.committing() > 0) {
@@ -155,8 +156,9 @@
     }
 
     /**
-     * The claim was refused or not answered. It may stand all the same, since an answer can be lost, also that of an
-     * earlier try; a claim that its holder does not know of would keep the job from everyone while its lease lives.
+     * Checks whether this host holds the claim although its creation was refused or not answered: the answer, also that
+     * of an earlier try, may have been lost. A claim unknown to its holder would block the job for all hosts until the
+     * lease ends.
      */
     private void findOwnClaim(JobKey key) {
         process.keyValue()
@@ -205,7 +207,7 @@
     private void begin(OwnedJob job) {
         try (CloseableThreadContext.Instance ignored =
                 CloseableThreadContext.put("job", job.key().path())) {
-            LOG.info("owns the job with fence {}", job.fence());
+            LOG.info("claimed the job with fence {}", job.fence());
         }
         process.timeline()
                 .event(EventKind.JOB_OWNED)
@@ -233,7 +235,7 @@
 
     private void jobRefused(OwnedJob job) {
         stop(job.key(), "its record or claim has changed");
-        // A cancelled job stays stopped when its record is read again; another claim may go on with it.
+        // Claiming reads the record again: a cancelled job stays stopped, a running one continues under a new claim.
         claim(job.key());
     }
 
@@ -297,7 +299,7 @@
         handOverForeign();
     }
 
-    /** A job belongs to the host that all hosts' views name; a new host takes its share over in time. */
+    /** Releases jobs that the membership assigns to another host, so that a new host takes over its share over time. */
     private void handOverForeign() {
         List<Host> stewards = process.present(Role.STEWARD);
         for (OwnedJob job : board.jobs()) {
@@ -310,7 +312,10 @@
         }
     }
 
-    /** Messages with items or their ends may be lost: the holders tell what they have. */
+    /**
+     * Queries the stewards for the hand-outs they hold and reclaims missing ones: items or reports may be lost in
+     * transit.
+     */
     private void askHolders() {
         for (OwnedJob job : board.jobs()) {
             for (HostId holder : job.holders()) {
@@ -335,7 +340,10 @@
                 .findFirst();
     }
 
-    /** A cancel's notice may be lost: the record tells, at the latest when the next chunk is committed. */
+    /**
+     * Detects changed job records, since the notice of a cancellation may be lost. Without this check, the commit of
+     * the next chunk would detect the change.
+     */
     private void checkRecords() {
         for (OwnedJob job : board.jobs()) {
             process.keyValue()
--- a/src/main/java/org/gooseberryhill/steward/JobSegments.java
+++ b/src/main/java/org/gooseberryhill/steward/JobSegments.java
@@ -33,12 +33,12 @@
         this.onAdvanced = onAdvanced;
     }
 
-    /** How many chunks are being committed. */
+    /** Returns the number of chunks being committed. */
     int committing() {
         return committing;
     }
 
-    /** Loads chunks while the job's window has room. */
+    /** Loads chunks until the job's window is full. */
     void loadMore(OwnedJob job) {
         Optional<Integer> chunk = job.nextChunkToLoad();
         while (chunk.isPresent()) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Stores a chunk's results in two zones, then commits them; tries again while the platform is out. */
+    /** Stores a chunk's results in two zones, then commits them; retries while the platform is unavailable. */
     void commit(OwnedJob job, ChunkResult result) {
         committing++;
         byte[] content = (String.join("\n", result.lines()) + "\n").getBytes(StandardCharsets.UTF_8);
@@ -56,7 +56,7 @@
         store(job, new Commit(result.chunk(), record, content));
     }
 
-    /** Marks a job whose chunks are all committed as done. */
+    /** Marks a job as done once all its chunks are committed. */
     void finish(OwnedJob job) {
         Transaction write = Transaction.builder()
                 .ifCreatedAt(Keys.owner(job.key()), job.fence())
@@ -68,7 +68,8 @@
         process.keyValue()
                 .write(write)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
-                    // Without an answer the open job is found again by the scan, complete, and finished then.
+                    // If the write gets no answer, the scan finds the job open with all chunks committed, and it is
+                    // finished then.
                     if (failure == null && result.succeeded()) {
                         process.timeline()
                                 .event(EventKind.JOB_DONE)
@@ -170,6 +171,6 @@
                 .flatMap(entry -> Json.read(entry.value(), ChunkRecord.class).toJavaOptional());
     }
 
-    /** A chunk on its way. */
+    /** A chunk being committed, with its record and results. */
     private record Commit(int chunk, ChunkRecord record, byte[] content) {}
 }
--- a/src/main/java/org/gooseberryhill/steward/LoadPlaces.java
+++ b/src/main/java/org/gooseberryhill/steward/LoadPlaces.java
@@ -8,10 +8,10 @@
 import org.gooseberryhill.process.LeaseKeeper;
 
 /**
- * Bounds how many endpoints load a model at once over all hosts. For the control thread.
+ * Limits how many endpoints load a model at once, across all hosts. For the control thread.
  *
- * <p>The weight store is rate-limited: an order to many endpoints at once would make most of their loads fail. A place
- * is a key under the holder's lease, so a lost holder frees it. One load at a time per host.
+ * <p>The weight store is rate-limited: if many endpoints loaded at once, most of the loads would fail. A slot is a key
+ * under its holder's lease, so a lost holder's slot becomes free. Each host performs one load at a time.
  */
 final class LoadPlaces {
     private final HostProcess process;
@@ -25,7 +25,7 @@
         this.places = places;
     }
 
-    /** Runs the action under a place, or the other if there is none now. */
+    /** Runs the action while holding a slot, or the alternative if no slot could be acquired. */
     void withPlace(LeaseKeeper lease, Runnable action, Runnable without) {
         Optional<Long> usable = lease.usable();
         if (busy || usable.isEmpty()) {
@@ -53,7 +53,7 @@
                 }));
     }
 
-    /** The load is over. */
+    /** Releases the slot after the load has ended. */
     void release() {
         busy = false;
         held.ifPresent(key ->
--- a/src/main/java/org/gooseberryhill/steward/OrderDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/OrderDriver.java
@@ -20,7 +20,7 @@
 import org.gooseberryhill.process.LeaseKeeper;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Gives the endpoints that this host stewards their model orders, under claims. For the control thread. */
+/** Sends model orders, under claims, to the endpoints that this host stewards. For the control thread. */
 final class OrderDriver {
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
 
@@ -102,7 +102,10 @@
                 }));
     }
 
-    /** The claim was refused or not answered; it may stand all the same, from this try or an earlier one. */
+    /**
+     * Checks whether this host holds the claim, from this try or an earlier one, although its creation was not
+     * confirmed.
+     */
     private void findOwnClaim(String key, EndpointOrders decision) {
         process.keyValue()
                 .read(key)
--- a/src/main/java/org/gooseberryhill/steward/StewardProcess.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardProcess.java
@@ -16,7 +16,7 @@
 import org.gooseberryhill.process.LeaseKeeper;
 import org.gooseberryhill.process.MessageHandler;
 
-/** The program {@code gooseberry-steward}. Thread-safe. */
+/** Runs the program {@code gooseberry-steward}. Thread-safe. */
 public final class StewardProcess implements Closeable {
     private static final long STOP_CHECK_MILLIS = 200;
     private static final long SUSPECT_GRANT_MILLIS = 30_000;
@@ -31,7 +31,7 @@
     private boolean releasing;
     private boolean released;
 
-    /** A process that is not started yet. */
+    /** Creates a process without starting it. */
     public StewardProcess(HostSettings hostSettings, StewardSettings settings, long seed) {
         process = new HostProcess(hostSettings, seed);
         lease = new LeaseKeeper(process);
@@ -43,9 +43,9 @@
         process.heartbeatWork(jobs::waitingWork, batch::heardWork);
     }
 
-    /** Starts working. */
+    /** Starts the process and its parts. */
     public void start() {
-        // Before the process: its first changes of membership and configuration must find the listeners there.
+        // The listeners must be registered before the process reports its first membership and configuration changes.
         process.loop().execute(() -> {
             lease.start();
             jobs.start();
@@ -57,12 +57,15 @@
         process.loop().every(STOP_CHECK_MILLIS, this::advanceStop);
     }
 
-    /** The common part of the process. */
+    /** Returns the part of the process that all roles have in common. */
     public HostProcess process() {
         return process;
     }
 
-    /** Items in flight at endpoints, and ends of items that their owners have not taken yet; from any thread. */
+    /**
+     * Returns the number of items in flight at endpoints and of item reports that their owners have not acknowledged
+     * yet. May be called from any thread but the control thread, since it waits for that one.
+     */
     public int inProgress() {
         CompletableFuture<Integer> answer = new CompletableFuture<>();
         process.loop().execute(() -> answer.complete(batch.inProgress()));
@@ -78,7 +81,7 @@
         if (process.stop().phase() == PlannedStop.Phase.SERVING) {
             return;
         }
-        // Batch items go on elsewhere from where they were, so a stop needs not wait for them to end here.
+        // Batch items resume elsewhere from their partial results, so the stop need not wait for them to complete here.
         batch.yieldAll();
         if (!releasing && jobs.handOver()) {
             releasing = true;
@@ -126,7 +129,7 @@
     private void released(PeerMessage.SuspectRelease release) {
         arbiter(release.service()).release(new Fingerprint(release.fingerprint()));
         if (release.completed()) {
-            // A suspect that completed crashes nothing: the other entries need not run it apart any more.
+            // A completed suspect did not cause the crash, so the other entries need not isolate it any more.
             process.present(Role.ENTRY).forEach(host -> process.tell(host, release));
         }
     }
--- a/src/main/java/org/gooseberryhill/steward/StewardSettings.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardSettings.java
@@ -6,14 +6,14 @@
 /**
  * Settings of the steward program. Immutable.
  *
- * @param slotPolicy how many batch items an endpoint runs beside its online requests
- * @param dispatchOrder which job's item runs next
- * @param statusPeriodMillis how often an endpoint's status is read
- * @param endpointSilenceMillis how long an endpoint may be silent inside an answer
- * @param maxHandoutMillis after which an item without a report waits again
- * @param jobScanPeriodMillis how often open jobs without an owner are looked for
- * @param longestOrderMillis how long an order to an endpoint may take
- * @param maxLoads how many endpoints may load a model at once: the weight store is rate-limited
+ * @param slotPolicy decides how many batch items an endpoint runs besides its online requests
+ * @param dispatchOrder decides which job's items are handed out next
+ * @param statusPeriodMillis the period at which each endpoint's status is read
+ * @param endpointSilenceMillis the maximum time without a byte from an endpoint during an exchange
+ * @param maxHandoutMillis the time after which a handed-out item without a report is reclaimed
+ * @param jobScanPeriodMillis the period at which open jobs without an owner are searched for
+ * @param longestOrderMillis the maximum duration of an order to an endpoint
+ * @param maxLoads how many endpoints may load a model at once, since the weight store is rate-limited
  */
 public record StewardSettings(
         BatchSlotPolicy slotPolicy,
--- a/src/main/java/org/gooseberryhill/steward/package-info.java
+++ b/src/main/java/org/gooseberryhill/steward/package-info.java
@@ -1,2 +1,2 @@
-/** The program that sends batch items and model orders to endpoints, and owns jobs. */
+/** The program that owns jobs and sends batch items and model orders to endpoints. */
 package org.gooseberryhill.steward;
