--- a/src/main/java/org/gooseberryhill/entry/AccessControl.java
+++ b/src/main/java/org/gooseberryhill/entry/AccessControl.java
@@ -30,15 +30,15 @@
     }
 
     /** Returns the caller whose key the request carries. Only hashes are compared, so no key is stored. */
-    Optional<CallerSettings> caller(HttpCall call) {
+    Optional<CallerSettings> authenticate(HttpCall call) {
         String header = call.headers().get("authorization");
         if (header == null || !header.startsWith(BEARER)) {
             return Optional.empty();
         }
         byte[] key = header.substring(BEARER.length()).trim().getBytes(StandardCharsets.UTF_8);
-        return Optional.ofNullable(snapshot.byHash.get(Fingerprint.sha256Hex(key)));
+        return Optional.ofNullable(snapshot.callersByKeyHash.get(Fingerprint.sha256Hex(key)));
     }
 
     /** A configuration with the index of its callers by the SHA-256 hash of their keys. */
-    private record Snapshot(Configuration configuration, Map<String, CallerSettings> byHash) {}
+    private record Snapshot(Configuration configuration, Map<String, CallerSettings> callersByKeyHash) {}
 }
--- a/src/main/java/org/gooseberryhill/entry/CallRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/CallRouter.java
@@ -31,17 +31,17 @@
     private static final String SERVICES = "/services/";
     private static final String DEADLINE_HEADER = "x-deadline-millis";
     private static final String IDEMPOTENCY_HEADER = "idempotency-key";
-    private static final int PREFIX_CHARACTERS = 64;
+    private static final int PROMPT_PREFIX_CHARACTERS = 64;
     private static final int MAX_IDEMPOTENCY_KEY_CHARACTERS = 255;
-    private static final int MAX_DROPPED_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_IGNORED_BODY_BYTES = 1024 * 1024;
     private static final Map<String, String> JSON = Map.of("content-type", "application/json");
 
     private final EntryContext context;
-    private final JobCalls jobs;
+    private final JobRouter jobRouter;
 
     CallRouter(EntryContext context) {
         this.context = context;
-        this.jobs = new JobCalls(context);
+        this.jobRouter = new JobRouter(context);
     }
 
     /** Routes a call by its head and returns the handler of its body. */
@@ -49,40 +49,41 @@
         String path = call.path();
         switch (path) {
             case "/healthz":
-                return afterBody(call, () -> call.reply(200, JSON, Json.bytes(Map.of("alive", true))));
+                return runAfterBody(call, () -> call.reply(200, JSON, Json.bytes(Map.of("alive", true))));
             case "/readyz":
-                return afterBody(call, () -> ready(call));
+                return runAfterBody(call, () -> replyReadiness(call));
             case "/metrics":
-                return afterBody(call, () -> metrics(call));
+                return runAfterBody(call, () -> replyMetrics(call));
             default:
-                return authenticated(call);
+                return routeAuthenticated(call);
         }
     }
 
-    private HttpBody authenticated(HttpCall call) {
+    private HttpBody routeAuthenticated(HttpCall call) {
         String requestId = requestId(call);
-        Optional<CallerSettings> caller = context.access().caller(call);
+        Optional<CallerSettings> caller = context.access().authenticate(call);
         if (caller.isEmpty()) {
-            return refusing(call, requestId, ErrorCode.UNAUTHENTICATED, "the bearer key is missing or not known");
+            return refuseAfterBody(
+                    call, requestId, ErrorCode.UNAUTHENTICATED, "the bearer key is missing or not known");
         }
         String path = call.path();
         boolean post = call.method().equals("POST");
         if (post && (path.equals("/v1/chat/completions") || path.equals("/v1/completions"))) {
-            return whole(call, requestId, body -> modelCall(call, requestId, caller.get(), body));
+            return collectBody(call, requestId, body -> startModelCall(call, requestId, caller.get(), body));
         }
         if (path.equals("/v1/models") && call.method().equals("GET")) {
-            return afterBody(call, () -> models(call, caller.get()));
+            return runAfterBody(call, () -> replyModels(call, caller.get()));
         }
         if (path.startsWith(SERVICES)) {
-            return whole(call, requestId, body -> plainCall(call, requestId, caller.get(), body));
+            return collectBody(call, requestId, body -> startPlainCall(call, requestId, caller.get(), body));
         }
-        if (path.equals(JobCalls.PATH) || path.startsWith(JobCalls.PATH + "/")) {
-            return jobs.route(call, requestId, caller.get());
+        if (path.equals(JobRouter.PATH) || path.startsWith(JobRouter.PATH + "/")) {
+            return jobRouter.route(call, requestId, caller.get());
         }
-        return refusing(call, requestId, ErrorCode.NOT_FOUND, "there is no " + call.method() + " " + path);
+        return refuseAfterBody(call, requestId, ErrorCode.NOT_FOUND, "there is no " + call.method() + " " + path);
     }
 
-    private void modelCall(HttpCall call, String requestId, CallerSettings caller, byte[] body) {
+    private void startModelCall(HttpCall call, String requestId, CallerSettings caller, byte[] body) {
         Try<JsonNode> json = Json.tree(body);
         if (json.isFailure() || !json.get().isObject()) {
             refuse(call, requestId, ErrorCode.INVALID_REQUEST, "the body is not a JSON object");
@@ -103,18 +104,19 @@
                 caller.name(),
                 service.get().name(),
                 Fingerprint.of(service.get().name(), body),
-                prefixHash(json.get()),
+                promptPrefixHash(json.get()),
                 true,
                 deadlineNanos(call));
         new ModelCall(context, call, intake, service.get(), body).begin();
     }
 
-    private void plainCall(HttpCall call, String requestId, CallerSettings caller, byte[] body) {
-        String rest = call.target().substring(SERVICES.length());
-        int end = indexOfAny(rest);
-        String name = rest.substring(0, end);
-        String target =
-                rest.length() == end || rest.charAt(end) == '?' ? "/" + rest.substring(end) : rest.substring(end);
+    private void startPlainCall(HttpCall call, String requestId, CallerSettings caller, byte[] body) {
+        String pathFromName = call.target().substring(SERVICES.length());
+        int nameEnd = indexOfPathOrQuery(pathFromName);
+        String name = pathFromName.substring(0, nameEnd);
+        String target = pathFromName.length() == nameEnd || pathFromName.charAt(nameEnd) == '?'
+                ? "/" + pathFromName.substring(nameEnd)
+                : pathFromName.substring(nameEnd);
         Configuration configuration = context.access().configuration();
         Optional<ServiceSettings> service = Optional.ofNullable(
                         configuration.services().get(name))
@@ -125,12 +127,13 @@
         }
         boolean idempotent = !service.get().isNonIdempotent(call.method(), target);
         Fingerprint fingerprint = Fingerprint.of(name + " " + call.method() + " " + target, body);
-        Optional<String> key = Optional.ofNullable(call.headers().get(IDEMPOTENCY_HEADER));
-        if (key.isPresent() && key.get().length() > MAX_IDEMPOTENCY_KEY_CHARACTERS) {
+        Optional<String> idempotencyKey = Optional.ofNullable(call.headers().get(IDEMPOTENCY_HEADER));
+        if (idempotencyKey.isPresent() && idempotencyKey.get().length() > MAX_IDEMPOTENCY_KEY_CHARACTERS) {
             refuse(call, requestId, ErrorCode.INVALID_REQUEST, "the idempotency key is too long");
             return;
         }
-        Optional<ClaimDriver> claim = key.filter(found -> !idempotent)
+        Optional<ClaimDriver> claim = idempotencyKey
+                .filter(found -> !idempotent)
                 .map(found ->
                         new ClaimDriver(context.process(), caller.name(), name + "\n" + found, fingerprint.value()));
         OnlineIntake intake =
@@ -145,7 +148,7 @@
                 .filter(service -> caller.services().contains(service.name()));
     }
 
-    private void models(HttpCall call, CallerSettings caller) {
+    private void replyModels(HttpCall call, CallerSettings caller) {
         ObjectNode answer = Json.object().put("object", "list");
         ArrayNode data = answer.putArray("data");
         for (ServiceSettings service :
@@ -158,7 +161,7 @@
         call.reply(200, JSON, Json.bytes(answer));
     }
 
-    private void ready(HttpCall call) {
+    private void replyReadiness(HttpCall call) {
         context.process().loop().execute(() -> {
             boolean serving = context.process().stop().phase() == PlannedStop.Phase.SERVING;
             long revision = context.process().configuration().revision();
@@ -173,7 +176,7 @@
         });
     }
 
-    private void metrics(HttpCall call) {
+    private void replyMetrics(HttpCall call) {
         context.process()
                 .loop()
                 .execute(() -> AdminServer.replyMetrics(call, context.metrics().registry()));
@@ -185,24 +188,24 @@
         return context.process().loop().nowNanos() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    private HttpBody whole(HttpCall call, String requestId, Consumer<byte[]> onWhole) {
+    private HttpBody collectBody(HttpCall call, String requestId, Consumer<byte[]> onBody) {
         int maxBytes = context.settings().maxBodyBytes();
         return new WholeBody(
                 maxBytes,
-                onWhole,
+                onBody,
                 () -> refuse(call, requestId, ErrorCode.TOO_LARGE, "the body has more than " + maxBytes + " bytes"));
     }
 
-    private static HttpBody afterBody(HttpCall call, Runnable action) {
-        return new WholeBody(MAX_DROPPED_BODY_BYTES, body -> action.run(), () -> call.reply(413, JSON, new byte[0]));
+    private static HttpBody runAfterBody(HttpCall call, Runnable action) {
+        return new WholeBody(MAX_IGNORED_BODY_BYTES, body -> action.run(), () -> call.reply(413, JSON, new byte[0]));
     }
 
-    private static HttpBody refusing(HttpCall call, String requestId, ErrorCode code, String message) {
-        return afterBody(call, () -> refuse(call, requestId, code, message));
+    private static HttpBody refuseAfterBody(HttpCall call, String requestId, ErrorCode code, String message) {
+        return runAfterBody(call, () -> refuse(call, requestId, code, message));
     }
 
     private static void refuse(HttpCall call, String requestId, ErrorCode code, String message) {
-        ErrorForm.reply(call, requestId, Refusal.notRun(code, message));
+        ErrorResponse.reply(call, requestId, Refusal.notRun(code, message));
     }
 
     private static String requestId(HttpCall call) {
@@ -211,20 +214,20 @@
                 .orElseGet(() -> UUID.randomUUID().toString());
     }
 
-    private static int indexOfAny(String rest) {
-        for (int i = 0; i < rest.length(); i++) {
-            if (rest.charAt(i) == '/' || rest.charAt(i) == '?') {
+    private static int indexOfPathOrQuery(String text) {
+        for (int i = 0; i < text.length(); i++) {
+            if (text.charAt(i) == '/' || text.charAt(i) == '?') {
                 return i;
             }
         }
-        return rest.length();
+        return text.length();
     }
 
-    private static long prefixHash(JsonNode request) {
+    private static long promptPrefixHash(JsonNode request) {
         String prompt = request.has("prompt")
                 ? request.path("prompt").asText()
                 : request.path("messages").path(0).path("content").asText();
-        String prefix = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length()));
+        String prefix = prompt.substring(0, Math.min(PROMPT_PREFIX_CHARACTERS, prompt.length()));
         return prefix.isEmpty() ? 0 : Hashing.komihash5_0().hashBytesToLong(prefix.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
+++ b/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
@@ -20,16 +20,16 @@
 /** Performs the steps of a {@link Claim} at the key-value service. For the control thread, except where noted. */
 final class ClaimDriver {
     /** The largest answer body stored for a resent call; values of the key-value service are small. */
-    private static final int MAX_KEPT_BYTES = 64 * 1024;
+    private static final int MAX_STORED_BODY_BYTES = 64 * 1024;
 
     private static final int MAX_CLEANUP_TRIES = 20;
     private static final long CLEANUP_RETRY_MILLIS = 3000;
 
     private final HostProcess process;
     private final String key;
-    private final ClaimRecord own;
+    private final ClaimRecord ownRecord;
     private final Claim claim;
-    private volatile boolean answerKept;
+    private volatile boolean answerStored;
     private Runnable onSend;
     private Consumer<ClaimRecord> onReplay;
     private Consumer<Refusal> onRefuse;
@@ -40,8 +40,8 @@
                 caller,
                 Fingerprint.of("key", idempotencyKey.getBytes(StandardCharsets.UTF_8))
                         .value());
-        this.own = ClaimRecord.claimed(UUID.randomUUID().toString(), requestHash, System.currentTimeMillis());
-        this.claim = new Claim(own);
+        this.ownRecord = ClaimRecord.claimed(UUID.randomUUID().toString(), requestHash, System.currentTimeMillis());
+        this.claim = new Claim(ownRecord);
     }
 
     /** Claims the call, then runs exactly one of the three callbacks on the control thread. */
@@ -49,18 +49,20 @@
         onSend = send;
         onReplay = replay;
         onRefuse = refuse;
-        follow(claim.begin());
+        perform(claim.begin());
     }
 
     /** Stores the call's answer, then runs the action, even if the write fails. May be called from any thread. */
-    void answered(int status, Map<String, String> headers, byte[] body, Runnable then) {
-        answerKept = true;
-        ClaimRecord record = body.length <= MAX_KEPT_BYTES ? own.answered(status, headers, body) : own.answerLost();
+    void storeAnswer(int status, Map<String, String> headers, byte[] body, Runnable onStored) {
+        answerStored = true;
+        ClaimRecord record = body.length <= MAX_STORED_BODY_BYTES
+                ? ownRecord.answered(status, headers, body)
+                : ownRecord.answerLost();
         Transaction write = Transaction.builder().put(key, Json.bytes(record)).build();
         process.keyValue().write(write).whenComplete((result, failure) -> {
-            then.run();
+            onStored.run();
             if (failure != null) {
-                process.loop().execute(() -> cleanUp(write, MAX_CLEANUP_TRIES));
+                process.loop().execute(() -> writeWithRetries(write, MAX_CLEANUP_TRIES));
             }
         });
     }
@@ -69,41 +71,41 @@
      * Ends the claim of a call that is given up. The key becomes free if the call did not run; if it may have run, the
      * record is marked as having lost its answer.
      */
-    void gaveUp(Refusal refusal) {
-        if (answerKept) {
+    void abandon(Refusal refusal) {
+        if (answerStored) {
             return;
         }
         if (!claim.isSent()) {
-            withdrawUnsent(MAX_CLEANUP_TRIES);
+            deleteUnsentClaim(MAX_CLEANUP_TRIES);
             return;
         }
         Transaction.Builder write = Transaction.builder();
         if (refusal.outcome() == Outcome.NOT_RUN) {
             write.delete(key);
         } else {
-            write.put(key, Json.bytes(own.answerLost()));
+            write.put(key, Json.bytes(ownRecord.answerLost()));
         }
-        cleanUp(write.build(), MAX_CLEANUP_TRIES);
+        writeWithRetries(write.build(), MAX_CLEANUP_TRIES);
     }
 
-    private void follow(ClaimStep step) {
+    private void perform(ClaimStep step) {
         if (step instanceof ClaimStep.Create) {
             Transaction create = Transaction.builder()
                     .ifAbsent(key)
-                    .put(key, Json.bytes(own))
+                    .put(key, Json.bytes(ownRecord))
                     .build();
             process.keyValue()
                     .write(create)
                     .whenComplete((result, failure) -> process.loop()
                             .execute(() ->
-                                    follow(failure == null ? claim.created(result.succeeded()) : claim.unanswered())));
+                                    perform(failure == null ? claim.created(result.succeeded()) : claim.unanswered())));
         } else if (step instanceof ClaimStep.Read) {
             process.keyValue()
                     .read(key)
                     .whenComplete((result, failure) -> process.loop()
-                            .execute(() -> follow(
+                            .execute(() -> perform(
                                     failure == null
-                                            ? claim.read(record(result.first()), System.currentTimeMillis())
+                                            ? claim.read(parseRecord(result.first()), System.currentTimeMillis())
                                             : claim.unanswered())));
         } else if (step instanceof ClaimStep.Send) {
             onSend.run();
@@ -118,7 +120,7 @@
      * Deletes the claim of a call that was never sent. A claim whose creation was not answered may exist; left in
      * place, it would cause every resend to be refused. It is deleted only if the record is this call's own.
      */
-    private void withdrawUnsent(int triesLeft) {
+    private void deleteUnsentClaim(int triesLeft) {
         if (!claim.isUncertain() || triesLeft == 0) {
             return;
         }
@@ -126,15 +128,15 @@
                 .read(key)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
                     if (failure != null) {
-                        process.loop().after(CLEANUP_RETRY_MILLIS, () -> withdrawUnsent(triesLeft - 1));
+                        process.loop().after(CLEANUP_RETRY_MILLIS, () -> deleteUnsentClaim(triesLeft - 1));
                         return;
                     }
                     Optional<KeyValueStore.Entry> entry = result.first();
-                    boolean isOwn = record(entry)
-                            .filter(record -> record.claimId().equals(own.claimId()))
+                    boolean isOwn = parseRecord(entry)
+                            .filter(record -> record.claimId().equals(ownRecord.claimId()))
                             .isPresent();
                     if (isOwn) {
-                        cleanUp(
+                        writeWithRetries(
                                 Transaction.builder()
                                         .ifWrittenAt(key, entry.orElseThrow().modRevision())
                                         .delete(key)
@@ -144,15 +146,15 @@
                 }));
     }
 
-    private void cleanUp(Transaction write, int triesLeft) {
+    private void writeWithRetries(Transaction write, int triesLeft) {
         process.keyValue().write(write).whenComplete((result, failure) -> {
             if (failure != null && triesLeft > 0) {
-                process.loop().after(CLEANUP_RETRY_MILLIS, () -> cleanUp(write, triesLeft - 1));
+                process.loop().after(CLEANUP_RETRY_MILLIS, () -> writeWithRetries(write, triesLeft - 1));
             }
         });
     }
 
-    private static Optional<ClaimRecord> record(Optional<KeyValueStore.Entry> entry) {
+    private static Optional<ClaimRecord> parseRecord(Optional<KeyValueStore.Entry> entry) {
         return entry.flatMap(
                 found -> Json.read(found.value(), ClaimRecord.class).toJavaOptional());
     }
--- a/src/main/java/org/gooseberryhill/entry/EntryMetrics.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryMetrics.java
@@ -18,7 +18,7 @@
             .help("Attempts at endpoints")
             .labelNames("endpoint")
             .register(registry);
-    private final Histogram firstToken = Histogram.builder()
+    private final Histogram firstByteSeconds = Histogram.builder()
             .name("gooseberry_first_byte_seconds")
             .help("From the request's arrival to the first byte of its answer")
             .labelNames("service")
@@ -32,24 +32,24 @@
         return registry;
     }
 
-    void started() {
+    void requestStarted() {
         inFlight.inc();
     }
 
-    void ended(String service, String end) {
+    void requestEnded(String service, String end) {
         inFlight.dec();
         requests.labelValues(service, end).inc();
     }
 
-    void refused(String service, String end) {
+    void requestRefused(String service, String end) {
         requests.labelValues(service, end).inc();
     }
 
-    void attempt(String endpoint) {
+    void attemptStarted(String endpoint) {
         attempts.labelValues(endpoint).inc();
     }
 
-    void firstByte(String service, double seconds) {
-        firstToken.labelValues(service).observe(seconds);
+    void firstByteReceived(String service, double seconds) {
+        firstByteSeconds.labelValues(service).observe(seconds);
     }
 }
--- a/src/main/java/org/gooseberryhill/entry/EntryProcess.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryProcess.java
@@ -32,7 +32,7 @@
         EntryMetrics metrics = new EntryMetrics();
         AdminServer.registerMetrics(process, metrics.registry());
         this.context = new EntryContext(process, settings, traffic, access, metrics);
-        process.roleHandler(this::handle);
+        process.roleHandler(this::handleMessage);
     }
 
     /** Starts the process and its HTTP server. */
@@ -70,15 +70,15 @@
 
     /** Advances the planned stop. A request refused during the stop never runs, but the stop waits for its response. */
     private void advanceStop() {
-        int unanswered = server.map(HttpServer::unanswered).orElse(0);
-        process.advanceStop(Math.max(context.traffic().inProgress(), unanswered), false);
+        int openResponses = server.map(HttpServer::unanswered).orElse(0);
+        process.advanceStop(Math.max(context.traffic().requestsInProgress(), openResponses), false);
     }
 
-    private CompletableFuture<PeerMessage> handle(HostId from, PeerMessage message) {
+    private CompletableFuture<PeerMessage> handleMessage(HostId from, PeerMessage message) {
         if (message instanceof PeerMessage.CrashNotice notice) {
-            context.traffic().heardCrash(notice);
+            context.traffic().onCrashNotice(notice);
         } else if (message instanceof PeerMessage.LeavingNotice notice) {
-            context.traffic().heardLeaving(notice);
+            context.traffic().onLeavingNotice(notice);
         } else if (message instanceof PeerMessage.SuspectRelease release && release.completed()) {
             context.traffic().core().suspects().completed(new Fingerprint(release.fingerprint()));
         }
--- a/src/main/java/org/gooseberryhill/entry/ErrorForm.java
+++ b/src/main/java/org/gooseberryhill/entry/ErrorResponse.java
@@ -8,8 +8,8 @@
 import org.gooseberryhill.link.Json;
 
 /** Formats all error responses to callers as JSON. Stateless. */
-final class ErrorForm {
-    private ErrorForm() {}
+final class ErrorResponse {
+    private ErrorResponse() {}
 
     /** Replies to a call with a refusal: code, outcome, message, and Retry-After if the refusal has a retry time. */
     static void reply(HttpCall call, String requestId, Refusal refusal) {
@@ -23,13 +23,13 @@
 
     /** Returns the JSON body of the response. */
     static ObjectNode body(String requestId, Refusal refusal) {
-        ObjectNode form = Json.object();
-        ObjectNode error = form.putObject("error");
+        ObjectNode response = Json.object();
+        ObjectNode error = response.putObject("error");
         error.put("code", refusal.code().wireName())
                 .put("outcome", refusal.outcome().wireName())
                 .put("message", refusal.message())
                 .put("request_id", requestId);
         refusal.retryAfterMillis().ifPresent(millis -> error.put("retry_after_millis", millis));
-        return form;
+        return response;
     }
 }
--- a/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
+++ b/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
@@ -33,26 +33,26 @@
 
     /** Reads the next bytes of the body and returns the items that they complete. */
     List<String> read(byte[] bytes) {
-        List<String> whole = new ArrayList<>();
-        for (byte next : bytes) {
-            if (next == '\n') {
-                endLine(whole);
+        List<String> completed = new ArrayList<>();
+        for (byte value : bytes) {
+            if (value == '\n') {
+                endLine(completed);
             } else if (line.size() < maxItemBytes) {
-                line.write(next);
+                line.write(value);
             } else {
                 lineTooLong = true;
             }
         }
-        return whole;
+        return completed;
     }
 
     /** Ends the body and returns the item of an unterminated last line, if there is one. */
     List<String> end() {
-        List<String> whole = new ArrayList<>();
+        List<String> completed = new ArrayList<>();
         if (line.size() > 0) {
-            endLine(whole);
+            endLine(completed);
         }
-        return whole;
+        return completed;
     }
 
     /** Returns the errors with their line numbers; empty if there are none. */
@@ -64,14 +64,14 @@
         return items;
     }
 
-    private void endLine(List<String> whole) {
+    private void endLine(List<String> completed) {
         lineNumber++;
         byte[] bytes = line.toByteArray();
         boolean tooLong = lineTooLong;
         line.reset();
         lineTooLong = false;
         if (tooLong) {
-            found("longer than " + maxItemBytes + " bytes");
+            addFinding("longer than " + maxItemBytes + " bytes");
             return;
         }
         String text = new String(bytes, StandardCharsets.UTF_8).strip();
@@ -80,29 +80,29 @@
         }
         items++;
         if (items > maxItems) {
-            found("more than " + maxItems + " items");
+            addFinding("more than " + maxItems + " items");
             return;
         }
-        check(bytes);
+        validate(bytes);
         if (findings.isEmpty()) {
-            whole.add(text);
+            completed.add(text);
         }
     }
 
-    private void check(byte[] bytes) {
+    private void validate(byte[] bytes) {
         Try<JsonNode> json = Json.tree(bytes);
         if (json.isFailure()) {
-            found("not valid JSON: " + firstLine(json.getCause().getMessage()));
+            addFinding("not valid JSON: " + firstLine(json.getCause().getMessage()));
         } else if (!json.get().isObject()) {
-            found("a JSON object is expected");
+            addFinding("a JSON object is expected");
         } else if (!json.get().has("messages") && !json.get().has("prompt")) {
-            found("neither \"messages\" nor \"prompt\" is there");
+            addFinding("neither \"messages\" nor \"prompt\" is there");
         }
     }
 
-    private void found(String what) {
+    private void addFinding(String problem) {
         if (findings.size() < MAX_FINDINGS) {
-            findings.add("line " + lineNumber + ": " + what);
+            findings.add("line " + lineNumber + ": " + problem);
         }
     }
 
--- a/src/main/java/org/gooseberryhill/entry/JobQueries.java
+++ b/src/main/java/org/gooseberryhill/entry/JobOperations.java
@@ -25,7 +25,7 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /** Handles the calls for status, list, results and cancellation of jobs. Thread-safe and stateless. */
-final class JobQueries {
+final class JobOperations {
     private static final int MAX_CHUNKS = 10_000;
     private static final int MAX_JOBS = 1000;
     private static final int MAX_CANCEL_TRIES = 5;
@@ -34,32 +34,32 @@
 
     private final EntryContext context;
 
-    JobQueries(EntryContext context) {
+    JobOperations(EntryContext context) {
         this.context = context;
     }
 
     /** Replies with a job's state and progress. */
-    void status(HttpCall call, String requestId, JobKey key) {
+    void replyStatus(HttpCall call, String requestId, JobKey key) {
         withJob(
                 call,
                 requestId,
                 key,
                 (entry, record) -> readChunks(key, 0).whenComplete((chunks, failure) -> {
                     if (failure != null) {
-                        unavailable(call, requestId, Outcome.NOT_RUN);
+                        replyUnavailable(call, requestId, Outcome.NOT_RUN);
                     } else {
-                        call.reply(200, JSON, Json.bytes(status(key, record, chunks)));
+                        call.reply(200, JSON, Json.bytes(statusJson(key, record, chunks)));
                     }
                 }));
     }
 
     /** Streams the results in item order, from an offset up to the first chunk that is not committed. */
-    void results(HttpCall call, String requestId, JobKey key, int offset) {
+    void streamResults(HttpCall call, String requestId, JobKey key, int offset) {
         withJob(call, requestId, key, (entry, record) -> {
             int firstChunk = offset / record.chunkItems();
             readChunks(key, firstChunk).whenComplete((chunks, failure) -> {
                 if (failure != null) {
-                    unavailable(call, requestId, Outcome.NOT_RUN);
+                    replyUnavailable(call, requestId, Outcome.NOT_RUN);
                     return;
                 }
                 new ResultStream(context, call, record, contiguous(chunks, firstChunk), offset).begin(requestId);
@@ -73,11 +73,11 @@
     }
 
     /** Replies with the ids of a caller's open jobs. */
-    void list(HttpCall call, String requestId, String caller) {
+    void listOpen(HttpCall call, String requestId, String caller) {
         String prefix = Keys.OPEN_JOBS + caller + "/";
         context.process().keyValue().readPrefix(prefix, prefix, MAX_JOBS).whenComplete((result, failure) -> {
             if (failure != null) {
-                unavailable(call, requestId, Outcome.NOT_RUN);
+                replyUnavailable(call, requestId, Outcome.NOT_RUN);
                 return;
             }
             List<String> ids = result.entries().stream()
@@ -90,7 +90,7 @@
     private void cancel(HttpCall call, String requestId, JobKey key, int triesLeft) {
         withJob(call, requestId, key, (entry, record) -> {
             if (record.state() != JobState.RUNNING) {
-                call.reply(200, JSON, Json.bytes(state(key, record)));
+                call.reply(200, JSON, Json.bytes(stateJson(key, record)));
                 return;
             }
             Transaction write = Transaction.builder()
@@ -100,40 +100,40 @@
                     .build();
             context.process().keyValue().write(write).whenComplete((result, failure) -> {
                 if (failure == null && result.succeeded()) {
-                    cancelled(call, key, record.in(JobState.CANCELLED));
+                    replyCancelled(call, key, record.in(JobState.CANCELLED));
                 } else if (triesLeft > 0) {
                     // The record was changed concurrently or the answer was lost; reading it again shows which.
                     cancel(call, requestId, key, triesLeft - 1);
                 } else {
-                    unavailable(call, requestId, Outcome.MAY_HAVE_RUN);
+                    replyUnavailable(call, requestId, Outcome.MAY_HAVE_RUN);
                 }
             });
         });
     }
 
-    private void cancelled(HttpCall call, JobKey key, JobRecord record) {
-        call.reply(200, JSON, Json.bytes(state(key, record)));
+    private void replyCancelled(HttpCall call, JobKey key, JobRecord record) {
+        call.reply(200, JSON, Json.bytes(stateJson(key, record)));
         context.process().loop().execute(() -> {
             context.process()
                     .timeline()
                     .event(EventKind.JOB_CANCELLED)
                     .job(key.path())
                     .write();
-            JobNotices.tellOwner(context.process(), key, true);
+            JobOwnerNotifier.notifyOwner(context.process(), key, true);
         });
     }
 
     private void withJob(HttpCall call, String requestId, JobKey key, JobAction action) {
         context.process().keyValue().read(Keys.job(key)).whenComplete((result, failure) -> {
             if (failure != null) {
-                unavailable(call, requestId, Outcome.NOT_RUN);
+                replyUnavailable(call, requestId, Outcome.NOT_RUN);
                 return;
             }
             Optional<Entry> entry = result.first();
             Optional<JobRecord> record = entry.flatMap(
                     found -> Json.read(found.value(), JobRecord.class).toJavaOptional());
             if (record.isEmpty()) {
-                ErrorForm.reply(call, requestId, Refusal.notRun(ErrorCode.NOT_FOUND, "no such job"));
+                ErrorResponse.reply(call, requestId, Refusal.notRun(ErrorCode.NOT_FOUND, "no such job"));
                 return;
             }
             action.run(entry.orElseThrow(), record.get());
@@ -145,10 +145,10 @@
         return context.process()
                 .keyValue()
                 .readPrefix(prefix, Keys.chunk(key, fromChunk), MAX_CHUNKS)
-                .thenApply(result -> chunks(prefix, result));
+                .thenApply(result -> parseChunks(prefix, result));
     }
 
-    private static Map<Integer, ChunkRecord> chunks(String prefix, KeyValueStore.ReadResult result) {
+    private static Map<Integer, ChunkRecord> parseChunks(String prefix, KeyValueStore.ReadResult result) {
         Map<Integer, ChunkRecord> chunks = new TreeMap<>();
         for (Entry entry : result.entries()) {
             int number = Integer.parseInt(entry.key().substring(prefix.length()));
@@ -158,14 +158,14 @@
     }
 
     private static List<ChunkRecord> contiguous(Map<Integer, ChunkRecord> chunks, int first) {
-        List<ChunkRecord> run = new ArrayList<>();
+        List<ChunkRecord> contiguousChunks = new ArrayList<>();
         for (int number = first; chunks.containsKey(number); number++) {
-            run.add(chunks.get(number));
+            contiguousChunks.add(chunks.get(number));
         }
-        return run;
+        return contiguousChunks;
     }
 
-    private static ObjectNode state(JobKey key, JobRecord record) {
+    private static ObjectNode stateJson(JobKey key, JobRecord record) {
         return Json.object()
                 .put("id", key.id())
                 .put("state", record.state().name().toLowerCase(Locale.ROOT))
@@ -174,19 +174,19 @@
                 .put("items", record.items());
     }
 
-    private static ObjectNode status(JobKey key, JobRecord record, Map<Integer, ChunkRecord> chunks) {
+    private static ObjectNode statusJson(JobKey key, JobRecord record, Map<Integer, ChunkRecord> chunks) {
         int completed = chunks.values().stream().mapToInt(ChunkRecord::items).sum();
         int failed = chunks.values().stream().mapToInt(ChunkRecord::failed).sum();
-        return state(key, record).put("completed", completed).put("failed", failed);
+        return stateJson(key, record).put("completed", completed).put("failed", failed);
     }
 
-    private static void unavailable(HttpCall call, String requestId, Outcome outcome) {
+    private static void replyUnavailable(HttpCall call, String requestId, Outcome outcome) {
         Refusal refusal = new Refusal(
                 ErrorCode.PLATFORM_UNAVAILABLE,
                 outcome,
                 "the key-value service does not answer",
                 Optional.of(RETRY_AFTER_MILLIS));
-        ErrorForm.reply(call, requestId, refusal);
+        ErrorResponse.reply(call, requestId, refusal);
     }
 
     /** An action on an existing job. */
--- a/src/main/java/org/gooseberryhill/entry/JobNotices.java
+++ b/src/main/java/org/gooseberryhill/entry/JobOwnerNotifier.java
@@ -9,10 +9,10 @@
 import org.gooseberryhill.process.HostProcess;
 
 /** Notifies a job's owner of a change at once, which the owner would otherwise detect later. For the control thread. */
-final class JobNotices {
-    private JobNotices() {}
+final class JobOwnerNotifier {
+    private JobOwnerNotifier() {}
 
-    static void tellOwner(HostProcess process, JobKey job, boolean cancelled) {
+    static void notifyOwner(HostProcess process, JobKey job, boolean cancelled) {
         Optional<Host> owner = Ownership.ownerOfJob(job, process.present(Role.STEWARD));
         owner.ifPresent(host -> process.tell(host, new PeerMessage.JobNotice(job.path(), cancelled)));
     }
--- a/src/main/java/org/gooseberryhill/entry/JobCalls.java
+++ b/src/main/java/org/gooseberryhill/entry/JobRouter.java
@@ -14,48 +14,49 @@
 import org.gooseberryhill.http.WholeBody;
 
 /** Routes the calls below {@code /v1/jobs}. A caller can reach only its own jobs, since job keys contain its name. */
-final class JobCalls {
+final class JobRouter {
     static final String PATH = "/v1/jobs";
 
     private static final String RESULTS = "/results";
-    private static final int MAX_DROPPED_BODY_BYTES = 1024 * 1024;
+    private static final int MAX_IGNORED_BODY_BYTES = 1024 * 1024;
     private static final long DEFAULT_DUE_MILLIS = TimeUnit.HOURS.toMillis(24);
 
     private final EntryContext context;
-    private final JobQueries queries;
+    private final JobOperations operations;
 
-    JobCalls(EntryContext context) {
+    JobRouter(EntryContext context) {
         this.context = context;
-        this.queries = new JobQueries(context);
+        this.operations = new JobOperations(context);
     }
 
     HttpBody route(HttpCall call, String requestId, CallerSettings caller) {
         if (!caller.maySubmitJobs()) {
-            return refusing(call, requestId, ErrorCode.NOT_FOUND, "this caller may not submit jobs");
+            return refuseAfterBody(call, requestId, ErrorCode.NOT_FOUND, "this caller may not submit jobs");
         }
-        String rest = call.path().substring(PATH.length());
-        if (rest.isEmpty() || rest.equals("/")) {
-            return afterBody(call, () -> queries.list(call, requestId, caller.name()));
+        String subpath = call.path().substring(PATH.length());
+        if (subpath.isEmpty() || subpath.equals("/")) {
+            return runAfterBody(call, () -> operations.listOpen(call, requestId, caller.name()));
         }
-        boolean results = rest.endsWith(RESULTS);
-        String id = results ? rest.substring(1, rest.length() - RESULTS.length()) : rest.substring(1);
+        boolean forResults = subpath.endsWith(RESULTS);
+        String id = forResults ? subpath.substring(1, subpath.length() - RESULTS.length()) : subpath.substring(1);
         if (!JobKey.isValidId(id)) {
-            return refusing(call, requestId, ErrorCode.INVALID_REQUEST, "a job's id must fit " + JobKey.ID_PATTERN);
+            return refuseAfterBody(
+                    call, requestId, ErrorCode.INVALID_REQUEST, "a job's id must fit " + JobKey.ID_PATTERN);
         }
         JobKey key = new JobKey(caller.name(), id);
-        String action = call.method() + (results ? RESULTS : "");
+        String action = call.method() + (forResults ? RESULTS : "");
         return switch (action) {
             case "PUT" -> submit(call, requestId, caller, key);
-            case "GET" -> afterBody(call, () -> queries.status(call, requestId, key));
-            case "GET" + RESULTS -> afterBody(call, () -> results(call, requestId, key));
-            case "DELETE" -> afterBody(call, () -> queries.cancel(call, requestId, key));
-            default -> refusing(call, requestId, ErrorCode.NOT_FOUND, "a job takes PUT, GET and DELETE");
+            case "GET" -> runAfterBody(call, () -> operations.replyStatus(call, requestId, key));
+            case "GET" + RESULTS -> runAfterBody(call, () -> streamResults(call, requestId, key));
+            case "DELETE" -> runAfterBody(call, () -> operations.cancel(call, requestId, key));
+            default -> refuseAfterBody(call, requestId, ErrorCode.NOT_FOUND, "a job takes PUT, GET and DELETE");
         };
     }
 
     private HttpBody submit(HttpCall call, String requestId, CallerSettings caller, JobKey key) {
         if (!context.process().stop().takesAll()) {
-            return refusing(call, requestId, ErrorCode.STOPPING, "this host is stopping");
+            return refuseAfterBody(call, requestId, ErrorCode.STOPPING, "this host is stopping");
         }
         String model = call.parameter("model").orElse("");
         Optional<ServiceSettings> service = context.access()
@@ -63,31 +64,31 @@
                 .serviceOfModel(model)
                 .filter(found -> caller.services().contains(found.name()));
         if (service.isEmpty()) {
-            return refusing(
+            return refuseAfterBody(
                     call, requestId, ErrorCode.NOT_FOUND, "there is no model \"" + model + "\" for this caller");
         }
         Optional<Long> due = dueMillis(call);
         if (due.isEmpty()) {
-            return refusing(
+            return refuseAfterBody(
                     call, requestId, ErrorCode.INVALID_REQUEST, "due must be a time such as 2026-12-03T18:00:00Z");
         }
         JobRequest request = new JobRequest(requestId, key, service.get().name(), model, due.get());
-        context.process().loop().execute(context.traffic()::requestBegan);
-        return new JobIntakeBody(
+        context.process().loop().execute(context.traffic()::requestStarted);
+        return new JobSubmissionHandler(
                 context, call, request, () -> context.process().loop().execute(context.traffic()::requestEnded));
     }
 
-    private void results(HttpCall call, String requestId, JobKey key) {
+    private void streamResults(HttpCall call, String requestId, JobKey key) {
         int offset = Try.of(() -> Integer.parseInt(call.parameter("offset").orElse("0")))
                 .getOrElse(-1);
         if (offset < 0) {
-            ErrorForm.reply(
+            ErrorResponse.reply(
                     call,
                     requestId,
                     Refusal.notRun(ErrorCode.INVALID_REQUEST, "offset must be a whole number from 0 on"));
             return;
         }
-        queries.results(call, requestId, key, offset);
+        operations.streamResults(call, requestId, key, offset);
     }
 
     private static Optional<Long> dueMillis(HttpCall call) {
@@ -98,15 +99,15 @@
         return Try.of(() -> Instant.parse(due.get()).toEpochMilli()).toJavaOptional();
     }
 
-    private static HttpBody afterBody(HttpCall call, Runnable action) {
+    private static HttpBody runAfterBody(HttpCall call, Runnable action) {
         return new WholeBody(
-                MAX_DROPPED_BODY_BYTES,
+                MAX_IGNORED_BODY_BYTES,
                 body -> action.run(),
-                () -> ErrorForm.reply(
+                () -> ErrorResponse.reply(
                         call, "", Refusal.notRun(ErrorCode.TOO_LARGE, "the call takes no body of this size")));
     }
 
-    private static HttpBody refusing(HttpCall call, String requestId, ErrorCode code, String message) {
-        return afterBody(call, () -> ErrorForm.reply(call, requestId, Refusal.notRun(code, message)));
+    private static HttpBody refuseAfterBody(HttpCall call, String requestId, ErrorCode code, String message) {
+        return runAfterBody(call, () -> ErrorResponse.reply(call, requestId, Refusal.notRun(code, message)));
     }
 }
--- a/src/main/java/org/gooseberryhill/entry/JobIntakeBody.java
+++ b/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
@@ -32,7 +32,7 @@
  * <p>Invariant: the caller receives a success only once all items are on the disks of two zones and the job's record is
  * in the key-value service. If any item is invalid, no record is written and none of the items is accepted.
  */
-final class JobIntakeBody implements HttpBody {
+final class JobSubmissionHandler implements HttpBody {
     /** Items per chunk, the unit of storing and committing (docs/CAPACITY.md). */
     static final int CHUNK_ITEMS = 256;
 
@@ -46,10 +46,10 @@
     private final MessageDigest digest;
     private final List<String> chunk = new ArrayList<>();
     private final List<String> segmentNames = new ArrayList<>();
-    private CompletableFuture<Void> stored = CompletableFuture.completedFuture(null);
-    private boolean rejected;
+    private CompletableFuture<Void> chunksStored = CompletableFuture.completedFuture(null);
+    private boolean rejectedOrAborted;
 
-    JobIntakeBody(EntryContext context, HttpCall call, JobRequest request, Runnable onEnded) {
+    JobSubmissionHandler(EntryContext context, HttpCall call, JobRequest request, Runnable onEnded) {
         this.context = context;
         this.call = call;
         this.request = request;
@@ -61,12 +61,12 @@
 
     @Override
     public void onBytes(byte[] bytes) {
-        take(splitter.read(bytes));
+        addItems(splitter.read(bytes));
     }
 
     @Override
     public void onEnd() {
-        take(splitter.end());
+        addItems(splitter.end());
         if (!splitter.findings().isEmpty()) {
             rejectFindings();
             return;
@@ -75,10 +75,10 @@
             reject(Refusal.notRun(ErrorCode.INVALID_REQUEST, "the job has no items"));
             return;
         }
-        closeChunk();
-        stored.whenComplete((done, failure) -> {
+        storeChunk();
+        chunksStored.whenComplete((done, failure) -> {
             if (failure == null) {
-                record();
+                createRecord();
             } else {
                 reject(Refusal.notRun(
                         ErrorCode.PLATFORM_UNAVAILABLE, "too few stores answer to keep the job", RETRY_AFTER_MILLIS));
@@ -88,22 +88,22 @@
 
     @Override
     public void onAborted() {
-        rejected = true;
+        rejectedOrAborted = true;
         onEnded.run();
     }
 
-    private void take(List<String> items) {
+    private void addItems(List<String> items) {
         for (String item : items) {
             digest.update(item.getBytes(StandardCharsets.UTF_8));
             digest.update((byte) '\n');
             chunk.add(item);
             if (chunk.size() == CHUNK_ITEMS) {
-                closeChunk();
+                storeChunk();
             }
         }
     }
 
-    private void closeChunk() {
+    private void storeChunk() {
         if (chunk.isEmpty()) {
             return;
         }
@@ -113,11 +113,12 @@
         segmentNames.add(name);
         // Reading pauses while a chunk is stored, so that a fast sender can't fill this host's memory.
         call.readBody(false);
-        stored = stored.thenCompose(done -> context.process().segments().put(name, content));
-        stored.whenComplete((done, failure) -> call.readBody(true));
+        chunksStored =
+                chunksStored.thenCompose(done -> context.process().segments().put(name, content));
+        chunksStored.whenComplete((done, failure) -> call.readBody(true));
     }
 
-    private void record() {
+    private void createRecord() {
         JobRecord record = new JobRecord(
                 JobState.RUNNING,
                 HexFormat.of().formatHex(digest.digest()),
@@ -129,28 +130,30 @@
                 CHUNK_ITEMS,
                 List.copyOf(segmentNames));
         Intake intake = new Intake(record.bodyHash());
-        follow(intake, intake.begin(), record);
+        perform(intake, intake.begin(), record);
     }
 
-    private void follow(Intake intake, Intake.Step step, JobRecord record) {
+    private void perform(Intake intake, Intake.Step step, JobRecord record) {
         KeyValueStore keyValue = context.process().keyValue();
         switch (step) {
             case CREATE ->
-                keyValue.write(creation(record))
-                        .whenComplete((result, failure) -> follow(
+                keyValue.write(creationTransaction(record))
+                        .whenComplete((result, failure) -> perform(
                                 intake,
                                 failure == null ? intake.created(result.succeeded()) : intake.unanswered(),
                                 record));
             case READ ->
                 keyValue.read(Keys.job(request.key()))
-                        .whenComplete((result, failure) -> follow(
-                                intake, failure == null ? intake.read(found(result)) : intake.unanswered(), record));
-            case ACCEPTED, SAME_JOB -> accept(step == Intake.Step.ACCEPTED, record);
+                        .whenComplete((result, failure) -> perform(
+                                intake,
+                                failure == null ? intake.read(parseRecord(result)) : intake.unanswered(),
+                                record));
+            case ACCEPTED, SAME_JOB -> replyAccepted(step == Intake.Step.ACCEPTED, record);
             default -> reject(Intake.refusal(step).orElseThrow());
         }
     }
 
-    private Transaction creation(JobRecord record) {
+    private Transaction creationTransaction(JobRecord record) {
         return Transaction.builder()
                 .ifAbsent(Keys.job(request.key()))
                 .put(Keys.job(request.key()), Json.bytes(record))
@@ -158,12 +161,12 @@
                 .build();
     }
 
-    private static Optional<JobRecord> found(KeyValueStore.ReadResult result) {
+    private static Optional<JobRecord> parseRecord(KeyValueStore.ReadResult result) {
         return result.first()
                 .flatMap(entry -> Json.read(entry.value(), JobRecord.class).toJavaOptional());
     }
 
-    private void accept(boolean created, JobRecord record) {
+    private void replyAccepted(boolean created, JobRecord record) {
         ObjectNode answer = Json.object()
                 .put("id", request.key().id())
                 .put("items", record.items())
@@ -178,7 +181,7 @@
                     .job(request.key().path())
                     .with("items", record.items())
                     .write();
-            JobNotices.tellOwner(process, request.key(), false);
+            JobOwnerNotifier.notifyOwner(process, request.key(), false);
             onEnded.run();
         });
     }
@@ -189,11 +192,11 @@
     }
 
     private void reject(Refusal refusal) {
-        if (rejected) {
+        if (rejectedOrAborted) {
             return;
         }
-        rejected = true;
-        ErrorForm.reply(call, request.requestId(), refusal);
+        rejectedOrAborted = true;
+        ErrorResponse.reply(call, request.requestId(), refusal);
         context.process().loop().execute(onEnded);
     }
 
--- a/src/main/java/org/gooseberryhill/entry/LoadReports.java
+++ b/src/main/java/org/gooseberryhill/entry/LoadReporter.java
@@ -24,18 +24,18 @@
  * repeating them in each round would cost several times what a node may spend on control (docs/CAPACITY.md). The
  * steward discards the counts of a host that the membership lists as lost.
  */
-final class LoadReports {
+final class LoadReporter {
     private static final int ROUNDS_PER_REFRESH = 20;
-    private static final int UNKNOWN = Integer.MAX_VALUE;
+    private static final int UNCONFIRMED = Integer.MAX_VALUE;
 
     private final HostProcess process;
     private final BiConsumer<Set<String>, PeerMessage.EndpointLoads> onLoads;
     private final Map<String, Integer> lastReported = new HashMap<>();
-    private final Map<String, Host> stewards = new HashMap<>();
+    private final Map<String, Host> stewardByEndpoint = new HashMap<>();
     private long round;
-    private long stewardsVersion = -1;
+    private long membershipVersion = -1;
 
-    LoadReports(HostProcess process, BiConsumer<Set<String>, PeerMessage.EndpointLoads> onLoads) {
+    LoadReporter(HostProcess process, BiConsumer<Set<String>, PeerMessage.EndpointLoads> onLoads) {
         this.process = process;
         this.onLoads = onLoads;
     }
@@ -43,57 +43,57 @@
     /** Reports the count of one endpoint at once. */
     void reportNow(EndpointSettings endpoint, int inFlight) {
         lastReported.put(endpoint.name(), inFlight);
-        steward(endpoint).ifPresent(host -> send(host, Map.of(endpoint.name(), inFlight), List.of()));
+        stewardOf(endpoint).ifPresent(host -> send(host, Map.of(endpoint.name(), inFlight), List.of()));
     }
 
     /**
      * Reports endpoints that are slow or whose count has changed; in refresh rounds also all with requests in flight.
      */
-    void reportRound(Iterable<EndpointState> endpoints, Set<String> slow) {
+    void reportChanges(Iterable<EndpointState> endpoints, Set<String> slow) {
         round++;
         boolean refresh = round % ROUNDS_PER_REFRESH == 0;
         Map<Host, Map<String, Integer>> bySteward = new HashMap<>();
         for (EndpointState state : endpoints) {
-            int last = lastReported.getOrDefault(state.name(), 0);
-            boolean due = state.ownInFlight() != last || refresh && last > 0 || slow.contains(state.name());
+            int lastCount = lastReported.getOrDefault(state.name(), 0);
+            boolean due = state.ownInFlight() != lastCount || refresh && lastCount > 0 || slow.contains(state.name());
             if (!due) {
                 continue;
             }
             lastReported.put(state.name(), state.ownInFlight());
-            steward(state.settings())
+            stewardOf(state.settings())
                     .ifPresent(host -> bySteward
                             .computeIfAbsent(host, key -> new HashMap<>())
                             .put(state.name(), state.ownInFlight()));
         }
         bySteward.forEach((host, inFlight) -> {
-            List<String> slowThere = new ArrayList<>(inFlight.keySet());
-            slowThere.retainAll(slow);
-            send(host, inFlight, slowThere);
+            List<String> slowEndpoints = new ArrayList<>(inFlight.keySet());
+            slowEndpoints.retainAll(slow);
+            send(host, inFlight, slowEndpoints);
         });
     }
 
     private void send(Host steward, Map<String, Integer> inFlight, List<String> slow) {
-        Set<String> asked = new HashSet<>(inFlight.keySet());
+        Set<String> reported = new HashSet<>(inFlight.keySet());
         process.ask(steward, new PeerMessage.OnlineLoad(inFlight, slow))
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     if (reply instanceof PeerMessage.EndpointLoads loads) {
-                        onLoads.accept(asked, loads);
+                        onLoads.accept(reported, loads);
                     } else {
                         // The report may be lost. A count that no endpoint can have makes the next round report again.
-                        asked.forEach(endpoint -> lastReported.put(endpoint, UNKNOWN));
+                        reported.forEach(endpoint -> lastReported.put(endpoint, UNCONFIRMED));
                     }
                 }));
     }
 
-    private Optional<Host> steward(EndpointSettings endpoint) {
-        if (stewardsVersion != process.membership().version()) {
-            stewardsVersion = process.membership().version();
-            stewards.clear();
+    private Optional<Host> stewardOf(EndpointSettings endpoint) {
+        if (membershipVersion != process.membership().version()) {
+            membershipVersion = process.membership().version();
+            stewardByEndpoint.clear();
         }
-        Host known = stewards.computeIfAbsent(
+        Host steward = stewardByEndpoint.computeIfAbsent(
                 endpoint.name(),
                 name -> Ownership.ownerOfEndpoint(name, endpoint.zone(), process.present(Role.STEWARD))
                         .orElse(null));
-        return Optional.ofNullable(known);
+        return Optional.ofNullable(steward);
     }
 }
--- a/src/main/java/org/gooseberryhill/entry/ModelCall.java
+++ b/src/main/java/org/gooseberryhill/entry/ModelCall.java
@@ -33,8 +33,8 @@
 
     private final byte[] body;
     private final ServiceSettings service;
-    private volatile boolean streamBegun;
-    private volatile int tokensPassedOn;
+    private volatile boolean streamStarted;
+    private volatile int tokensForwarded;
     private volatile long lastTokenNanos;
 
     ModelCall(EntryContext context, HttpCall call, OnlineIntake intake, ServiceSettings service, byte[] body) {
@@ -49,8 +49,8 @@
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("content-type", "application/json");
         headers.put("x-request-id", intake.id());
-        if (tokensPassedOn > 0) {
-            headers.put("x-resume-from", Integer.toString(tokensPassedOn));
+        if (tokensForwarded > 0) {
+            headers.put("x-resume-from", Integer.toString(tokensForwarded));
         }
         ExchangeRequest request = new ExchangeRequest(
                 endpoint.address(),
@@ -65,11 +65,11 @@
 
     @Override
     void refuse(Refusal refusal) {
-        if (!streamBegun) {
-            ErrorForm.reply(call, intake.id(), refusal);
+        if (!streamStarted) {
+            ErrorResponse.reply(call, intake.id(), refusal);
             return;
         }
-        String event = "data: " + Json.text(ErrorForm.body(intake.id(), refusal)) + "\n\n";
+        String event = "data: " + Json.text(ErrorResponse.body(intake.id(), refusal)) + "\n\n";
         call.write(event.getBytes(StandardCharsets.UTF_8)).whenComplete((done, failure) -> call.abortStream());
     }
 
@@ -94,7 +94,7 @@
         private boolean tooLarge;
         private byte[] doneEvent = new byte[0];
         private int samples;
-        private int samplesBeyond;
+        private int samplesBeyondTarget;
 
         Attempt(EndpointSettings endpoint, long number) {
             this.endpoint = endpoint;
@@ -111,7 +111,7 @@
         @Override
         public void onBytes(byte[] bytes) {
             if (streamed) {
-                events.read(bytes, this::passOn);
+                events.read(bytes, this::forward);
             } else if (buffer.size() + bytes.length <= MAX_BUFFERED_BYTES) {
                 buffer.writeBytes(bytes);
             } else {
@@ -129,7 +129,7 @@
                 });
                 return;
             }
-            boolean unusable = tooLarge || streamed || status >= FIRST_SERVER_ERROR || streamBegun;
+            boolean unusable = tooLarge || streamed || status >= FIRST_SERVER_ERROR || streamStarted;
             if (unusable) {
                 String detail = streamed ? "the stream ended without its end mark" : "status " + status;
                 ExchangeFailure.Kind kind = ExchangeFailure.Kind.MALFORMED;
@@ -146,12 +146,13 @@
             attemptFailed(number, failure);
         }
 
-        private void passOn(byte[] event, String token, boolean done) {
-            if (!streamBegun) {
-                streamBegun = true;
+        private void forward(byte[] event, String token, boolean done) {
+            if (!streamStarted) {
+                streamStarted = true;
                 call.beginStream(OK, answerHeaders(contentType, endpoint.name()));
                 context.metrics()
-                        .firstByte(intake.service(), (nowNanos() - startNanos) / (double) TimeUnit.SECONDS.toNanos(1));
+                        .firstByteReceived(
+                                intake.service(), (nowNanos() - startNanos) / (double) TimeUnit.SECONDS.toNanos(1));
             }
             if (done) {
                 doneSeen = true;
@@ -160,29 +161,32 @@
             }
             call.write(event);
             if (!token.isEmpty()) {
-                sample();
-                tokensPassedOn++;
+                recordSample();
+                tokensForwarded++;
             }
         }
 
-        private void sample() {
+        private void recordSample() {
             long now = nowNanos();
             long targetMillis =
-                    tokensPassedOn == 0 ? service.firstTokenTargetMillis() : service.betweenTokensTargetMillis();
+                    tokensForwarded == 0 ? service.firstTokenTargetMillis() : service.betweenTokensTargetMillis();
             samples++;
             if (now - lastTokenNanos > TimeUnit.MILLISECONDS.toNanos(targetMillis)) {
-                samplesBeyond++;
+                samplesBeyondTarget++;
             }
             lastTokenNanos = now;
         }
 
         private void flushSamples() {
-            int taken = samples;
-            int beyond = samplesBeyond;
+            int count = samples;
+            int countBeyondTarget = samplesBeyondTarget;
             samples = 0;
-            samplesBeyond = 0;
-            if (taken > 0) {
-                process().loop().execute(() -> context.traffic().tail().samples(endpoint.name(), taken, beyond));
+            samplesBeyondTarget = 0;
+            if (count > 0) {
+                process()
+                        .loop()
+                        .execute(() ->
+                                context.traffic().tailLatency().samples(endpoint.name(), count, countBeyondTarget));
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -73,7 +73,7 @@
     /** Requests the next decision and performs it. For the control thread. */
     final void proceed() {
         if (!finished) {
-            follow(context.traffic().core().next(request, nowNanos()));
+            perform(context.traffic().core().next(request, nowNanos()));
         }
     }
 
@@ -91,7 +91,7 @@
     }
 
     /** Answers the request with the stored answer of an earlier call, without an attempt. For the control thread. */
-    final void attemptReplayed(Runnable action) {
+    final void replayAnswer(Runnable action) {
         if (!finished) {
             action.run();
             finish("replayed");
@@ -104,7 +104,7 @@
             if (finished || attempt != attemptNumber) {
                 return;
             }
-            boolean cut =
+            boolean connectionCut =
                     failure.kind() == ExchangeFailure.Kind.CONNECTION_LOST && failure.outcome() == Outcome.MAY_HAVE_RUN;
             String endpoint = request.endpoint().orElse("");
             process()
@@ -120,12 +120,12 @@
                     CloseableThreadContext.put("request", intake.id()).put("endpoint", endpoint)) {
                 LOG.warn("attempt {} failed, {}: {}", attempt, failure.outcome().wireName(), failure.detail());
             }
-            if (cut) {
-                context.traffic().crashed(endpoint, intake.fingerprint());
+            if (connectionCut) {
+                context.traffic().onEndpointCrashed(endpoint, intake.fingerprint());
             }
             releasePermit(false);
-            AttemptFailure attemptFailure = new AttemptFailure(failure.outcome(), cut, failure.detail());
-            follow(context.traffic().core().attemptFailed(request, attemptFailure, nowNanos()));
+            AttemptFailure attemptFailure = new AttemptFailure(failure.outcome(), connectionCut, failure.detail());
+            perform(context.traffic().core().attemptFailed(request, attemptFailure, nowNanos()));
         });
     }
 
@@ -133,7 +133,7 @@
      * Records that the caller has a part of an answer that no other endpoint can continue. May be called from any
      * thread.
      */
-    final void answerStarted() {
+    final void markAnswerStarted() {
         process().loop().execute(() -> request.answerStarted());
     }
 
@@ -161,17 +161,17 @@
             return;
         }
         request = admitted.get();
-        context.traffic().requestBegan();
-        context.metrics().started();
-        call.onDisconnect(() -> process().loop().execute(this::callerGone));
-        long leftMillis = TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos());
-        process().loop().after(leftMillis, this::deadlinePassed);
+        context.traffic().requestStarted();
+        context.metrics().requestStarted();
+        call.onDisconnect(() -> process().loop().execute(this::onCallerDisconnected));
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos());
+        process().loop().after(remainingMillis, this::onDeadlinePassed);
         prepare();
     }
 
     private void reject(Refusal refusal) {
         finished = true;
-        context.metrics().refused(intake.service(), refusal.code().wireName());
+        context.metrics().requestRefused(intake.service(), refusal.code().wireName());
         process()
                 .timeline()
                 .event(EventKind.REQUEST_REFUSED)
@@ -182,11 +182,11 @@
         refuse(refusal);
     }
 
-    private void follow(OnlineDecision decision) {
+    private void perform(OnlineDecision decision) {
         if (decision instanceof OnlineDecision.Send send) {
             send(send.endpoint());
-        } else if (decision instanceof OnlineDecision.AskPermit question) {
-            askPermit(question);
+        } else if (decision instanceof OnlineDecision.AskPermit ask) {
+            requestPermit(ask);
         } else if (decision instanceof OnlineDecision.Wait wait) {
             process().loop().after(wait.delayMillis(), this::proceed);
         } else if (decision instanceof OnlineDecision.Refuse refuse) {
@@ -196,7 +196,7 @@
 
     private void send(EndpointSettings endpoint) {
         attemptNumber++;
-        context.metrics().attempt(endpoint.name());
+        context.metrics().attemptStarted(endpoint.name());
         context.traffic().attemptStarted(endpoint.name());
         process()
                 .timeline()
@@ -208,30 +208,30 @@
         exchange = startExchange(endpoint, attemptNumber);
     }
 
-    private void askPermit(OnlineDecision.AskPermit question) {
-        Optional<Host> arbiter = context.traffic().arbiter(intake.service());
+    private void requestPermit(OnlineDecision.AskPermit ask) {
+        Optional<Host> arbiter = context.traffic().suspectArbiter(intake.service());
         if (arbiter.isEmpty()) {
-            permitAnswered(Optional.empty());
+            onPermitAnswer(Optional.empty());
             return;
         }
         PeerMessage message = new PeerMessage.SuspectPermitAsk(
-                intake.service(), intake.fingerprint().value(), question.endpoints());
+                intake.service(), intake.fingerprint().value(), ask.endpoints());
         process()
                 .ask(arbiter.get(), message)
                 .whenComplete((reply, failure) -> process()
                         .loop()
-                        .execute(() -> permitAnswered(
+                        .execute(() -> onPermitAnswer(
                                 reply instanceof PeerMessage.SuspectPermit permit
                                         ? permit.endpoint()
                                         : Optional.empty())));
     }
 
-    private void permitAnswered(Optional<String> endpoint) {
+    private void onPermitAnswer(Optional<String> endpoint) {
         if (finished) {
             endpoint.ifPresent(name -> sendRelease(false));
             return;
         }
-        follow(context.traffic().core().permitted(request, endpoint, nowNanos()));
+        perform(context.traffic().core().permitted(request, endpoint, nowNanos()));
     }
 
     private void releasePermit(boolean completed) {
@@ -243,26 +243,28 @@
     private void sendRelease(boolean completed) {
         PeerMessage release = new PeerMessage.SuspectRelease(
                 intake.service(), intake.fingerprint().value(), completed);
-        context.traffic().arbiter(intake.service()).ifPresent(host -> process().tell(host, release));
+        context.traffic()
+                .suspectArbiter(intake.service())
+                .ifPresent(host -> process().tell(host, release));
     }
 
-    private void callerGone() {
+    private void onCallerDisconnected() {
         if (!finished) {
-            abandon();
+            cancelAttempt();
             finish("caller-gone");
         }
     }
 
-    private void deadlinePassed() {
+    private void onDeadlinePassed() {
         if (!finished) {
             Outcome outcome = request.endpoint().isPresent() ? Outcome.MAY_HAVE_RUN : request.outcome();
-            abandon();
+            cancelAttempt();
             giveUp(new Refusal(
                     ErrorCode.DEADLINE_EXCEEDED, outcome, "the deadline passed before the answer", Optional.empty()));
         }
     }
 
-    private void abandon() {
+    private void cancelAttempt() {
         if (exchange != null) {
             exchange.cancel();
         }
@@ -274,7 +276,7 @@
         finished = true;
         context.traffic().core().finished(request);
         context.traffic().requestEnded();
-        context.metrics().ended(intake.service(), end);
+        context.metrics().requestEnded(intake.service(), end);
         process()
                 .timeline()
                 .event(EventKind.REQUEST_ENDED)
--- a/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
@@ -25,24 +25,24 @@
  * end may wait for the next reporting round.
  */
 final class OnlineTraffic {
-    private static final long SUSPECT_MEMORY_MILLIS = TimeUnit.MINUTES.toMillis(10);
+    private static final long SUSPECT_RETENTION_MILLIS = TimeUnit.MINUTES.toMillis(10);
     private static final int MAX_SUSPECTS = 10_000;
     private static final long REPORT_PERIOD_MILLIS = 250;
 
     private final HostProcess process;
     private final OnlineCore core;
-    private final TailWatch tail = new TailWatch();
+    private final TailWatch tailLatency = new TailWatch();
     private final LeavingEndpoints leaving = new LeavingEndpoints();
-    private final LoadReports reports;
-    private int inProgress;
+    private final LoadReporter loadReporter;
+    private int requestsInProgress;
 
     OnlineTraffic(HostProcess process, EntrySettings settings) {
         this.process = process;
         this.core = new OnlineCore(
                 process.settings().self().zone(),
                 settings.policies(),
-                new CrashSuspects(SUSPECT_MEMORY_MILLIS, MAX_SUSPECTS));
-        this.reports = new LoadReports(process, this::takeLoads);
+                new CrashSuspects(SUSPECT_RETENTION_MILLIS, MAX_SUSPECTS));
+        this.loadReporter = new LoadReporter(process, this::onEndpointLoads);
         process.configuration().onChange(core::configure);
         process.onHostList(listing -> {
             leaving.replace(LeavingSource.HOST_LIST, listing.leavingEndpoints());
@@ -55,29 +55,31 @@
         return core;
     }
 
-    TailWatch tail() {
-        return tail;
+    TailWatch tailLatency() {
+        return tailLatency;
     }
 
-    int inProgress() {
-        return inProgress;
+    int requestsInProgress() {
+        return requestsInProgress;
     }
 
-    void requestBegan() {
-        inProgress++;
+    void requestStarted() {
+        requestsInProgress++;
     }
 
     void requestEnded() {
-        inProgress--;
+        requestsInProgress--;
     }
 
     /** Reports the start of an attempt; the steward has to know of it before the endpoint slows down. */
     void attemptStarted(String endpoint) {
-        core.endpoints().find(endpoint).ifPresent(state -> reports.reportNow(state.settings(), state.ownInFlight()));
+        core.endpoints()
+                .find(endpoint)
+                .ifPresent(state -> loadReporter.reportNow(state.settings(), state.ownInFlight()));
     }
 
     /** Handles a crash at an endpoint. All hosts have to know of it before the caller resends the request elsewhere. */
-    void crashed(String endpoint, Fingerprint fingerprint) {
+    void onEndpointCrashed(String endpoint, Fingerprint fingerprint) {
         core.suspects().crashed(endpoint, List.of(fingerprint), process.loop().nowNanos());
         process.timeline()
                 .event(EventKind.ENDPOINT_CRASHED)
@@ -92,29 +94,29 @@
     }
 
     /** Handles another host's notice of a crash. */
-    void heardCrash(PeerMessage.CrashNotice notice) {
+    void onCrashNotice(PeerMessage.CrashNotice notice) {
         List<Fingerprint> fingerprints =
                 notice.fingerprints().stream().map(Fingerprint::new).toList();
         core.suspects().crashed(notice.endpoint(), fingerprints, process.loop().nowNanos());
     }
 
     /** Handles a steward's notice that one of its endpoints is leaving, or no longer is. */
-    void heardLeaving(PeerMessage.LeavingNotice notice) {
+    void onLeavingNotice(PeerMessage.LeavingNotice notice) {
         leaving.update(LeavingSource.PEER, notice.endpoint(), notice.leaving());
         core.endpoints().leaving(leaving.all());
     }
 
     /** Returns the host that arbitrates the suspects of a service. */
-    Optional<Host> arbiter(String service) {
+    Optional<Host> suspectArbiter(String service) {
         return Ownership.ownerOfSuspects(service, process.present(Role.STEWARD));
     }
 
     private void reportLoads() {
-        reports.reportRound(core.endpoints().all(), tail.takeSlow());
+        loadReporter.reportChanges(core.endpoints().all(), tailLatency.takeSlow());
     }
 
-    private void takeLoads(Set<String> asked, PeerMessage.EndpointLoads loads) {
-        for (String endpoint : asked) {
+    private void onEndpointLoads(Set<String> reported, PeerMessage.EndpointLoads loads) {
+        for (String endpoint : reported) {
             int online = loads.online().getOrDefault(endpoint, 0);
             int batch = loads.batch().getOrDefault(endpoint, 0);
             core.endpoints().reported(endpoint, online, batch);
--- a/src/main/java/org/gooseberryhill/entry/PlainCall.java
+++ b/src/main/java/org/gooseberryhill/entry/PlainCall.java
@@ -40,15 +40,15 @@
             "authorization",
             "expect");
 
-    private static final int MAX_WAITING_BYTES = 1024 * 1024;
+    private static final int MAX_PENDING_BYTES = 1024 * 1024;
 
     /** The largest answer of a call with an idempotency key, which is buffered before it is forwarded. */
-    private static final int MAX_KEPT_ANSWER_BYTES = 8 * 1024 * 1024;
+    private static final int MAX_BUFFERED_ANSWER_BYTES = 8 * 1024 * 1024;
 
     private final byte[] body;
     private final String target;
     private final Optional<ClaimDriver> claim;
-    private volatile boolean streamBegun;
+    private volatile boolean streamStarted;
 
     PlainCall(
             EntryContext context,
@@ -74,7 +74,7 @@
 
     @Override
     Exchange startExchange(EndpointSettings endpoint, long attempt) {
-        Map<String, String> headers = passedOn(call.headers());
+        Map<String, String> headers = forwardedHeaders(call.headers());
         headers.put("x-request-id", intake.id());
         ExchangeRequest request = new ExchangeRequest(
                 endpoint.address(),
@@ -85,7 +85,7 @@
                 context.settings().endpointSilenceMillis(),
                 !intake.idempotent());
         ExchangeListener listener =
-                claim.isPresent() ? new KeptAttempt(attempt) : new StreamedAttempt(endpoint, attempt);
+                claim.isPresent() ? new BufferedAttempt(attempt) : new StreamedAttempt(endpoint, attempt);
         Exchange exchange = process().http().start(request, listener);
         if (listener instanceof StreamedAttempt streamed) {
             streamed.exchange = exchange;
@@ -95,36 +95,36 @@
 
     @Override
     void refuse(Refusal refusal) {
-        claim.ifPresent(driver -> driver.gaveUp(refusal));
-        if (streamBegun) {
+        claim.ifPresent(driver -> driver.abandon(refusal));
+        if (streamStarted) {
             call.abortStream();
         } else {
-            ErrorForm.reply(call, intake.id(), refusal);
+            ErrorResponse.reply(call, intake.id(), refusal);
         }
     }
 
     private void replay(ClaimRecord record) {
         Map<String, String> headers = new LinkedHashMap<>(record.headers());
         headers.put("x-replayed", "true");
-        attemptReplayed(() -> call.reply(record.status(), headers, record.body()));
+        replayAnswer(() -> call.reply(record.status(), headers, record.body()));
     }
 
-    private static Map<String, String> passedOn(HttpHeaders headers) {
-        Map<String, String> passed = new LinkedHashMap<>();
+    private static Map<String, String> forwardedHeaders(HttpHeaders headers) {
+        Map<String, String> forwarded = new LinkedHashMap<>();
         headers.forEach(entry -> {
             String name = entry.getKey().toLowerCase(Locale.ROOT);
             if (!CONNECTION_HEADERS.contains(name)) {
-                passed.merge(name, entry.getValue(), (one, other) -> one + ", " + other);
+                forwarded.merge(name, entry.getValue(), (one, other) -> one + ", " + other);
             }
         });
-        return passed;
+        return forwarded;
     }
 
     /** An attempt whose answer is forwarded as it is received. Used by one traffic thread. */
     private final class StreamedAttempt implements ExchangeListener {
         private final EndpointSettings endpoint;
         private final long number;
-        private final AtomicLong waitingBytes = new AtomicLong();
+        private final AtomicLong pendingBytes = new AtomicLong();
         private volatile Exchange exchange;
 
         StreamedAttempt(EndpointSettings endpoint, long number) {
@@ -135,21 +135,21 @@
         @Override
         public void onHead(int status, HttpHeaders headers) {
             // The caller now has a part of this answer. Another endpoint's answer may differ and can't continue it.
-            answerStarted();
-            streamBegun = true;
-            Map<String, String> passed = passedOn(headers);
-            passed.put("x-request-id", intake.id());
-            passed.put("x-endpoint", endpoint.name());
-            call.beginStream(status, passed);
+            markAnswerStarted();
+            streamStarted = true;
+            Map<String, String> forwarded = forwardedHeaders(headers);
+            forwarded.put("x-request-id", intake.id());
+            forwarded.put("x-endpoint", endpoint.name());
+            call.beginStream(status, forwarded);
         }
 
         @Override
         public void onBytes(byte[] bytes) {
-            if (waitingBytes.addAndGet(bytes.length) > MAX_WAITING_BYTES && exchange != null) {
+            if (pendingBytes.addAndGet(bytes.length) > MAX_PENDING_BYTES && exchange != null) {
                 exchange.readAnswer(false);
             }
             call.write(bytes).whenComplete((done, failure) -> {
-                if (waitingBytes.addAndGet(-bytes.length) <= MAX_WAITING_BYTES / 2 && exchange != null) {
+                if (pendingBytes.addAndGet(-bytes.length) <= MAX_PENDING_BYTES / 2 && exchange != null) {
                     exchange.readAnswer(true);
                 }
             });
@@ -167,28 +167,28 @@
     }
 
     /** An attempt whose answer is buffered and stored before it is forwarded. Used by one traffic thread. */
-    private final class KeptAttempt implements ExchangeListener {
+    private final class BufferedAttempt implements ExchangeListener {
         private final long number;
         private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         private int status;
         private boolean tooLarge;
         private Map<String, String> headers = Map.of();
 
-        KeptAttempt(long number) {
+        BufferedAttempt(long number) {
             this.number = number;
         }
 
         @Override
         public void onHead(int newStatus, HttpHeaders newHeaders) {
             status = newStatus;
-            headers = passedOn(newHeaders);
+            headers = forwardedHeaders(newHeaders);
             headers.remove("content-length");
             headers.put("x-request-id", intake.id());
         }
 
         @Override
         public void onBytes(byte[] bytes) {
-            if (buffer.size() + bytes.length <= MAX_KEPT_ANSWER_BYTES) {
+            if (buffer.size() + bytes.length <= MAX_BUFFERED_ANSWER_BYTES) {
                 buffer.writeBytes(bytes);
             } else {
                 tooLarge = true;
@@ -206,7 +206,7 @@
             }
             byte[] answer = buffer.toByteArray();
             claim.orElseThrow()
-                    .answered(
+                    .storeAnswer(
                             status,
                             headers,
                             answer,
--- a/src/main/java/org/gooseberryhill/entry/ResultStream.java
+++ b/src/main/java/org/gooseberryhill/entry/ResultStream.java
@@ -20,7 +20,7 @@
  */
 final class ResultStream {
     private static final long RETRY_AFTER_MILLIS = 2000;
-    private static final int PIECE_BYTES = 1024 * 1024;
+    private static final int MAX_WRITE_BYTES = 1024 * 1024;
 
     private final EntryContext context;
     private final HttpCall call;
@@ -47,11 +47,11 @@
             if (failure != null || content.isEmpty()) {
                 Refusal refusal = Refusal.notRun(
                         ErrorCode.PLATFORM_UNAVAILABLE, "no store that answers has the results", RETRY_AFTER_MILLIS);
-                ErrorForm.reply(call, requestId, refusal);
+                ErrorResponse.reply(call, requestId, refusal);
                 return;
             }
             call.beginStream(200, headers);
-            write(0, fromOffset(content.get()));
+            write(0, skipToOffset(content.get()));
         });
     }
 
@@ -59,7 +59,7 @@
      * Writes a chunk in pieces, each after the previous one, since a whole chunk may exceed the write buffer's limit.
      */
     private void write(int chunk, byte[] lines) {
-        byte[] piece = Arrays.copyOfRange(lines, 0, Math.min(PIECE_BYTES, lines.length));
+        byte[] piece = Arrays.copyOfRange(lines, 0, Math.min(MAX_WRITE_BYTES, lines.length));
         call.write(piece).whenComplete((done, failure) -> {
             if (failure != null) {
                 return;
@@ -84,10 +84,10 @@
         return context.process().segments().get(chunks.get(chunk).segment());
     }
 
-    private byte[] fromOffset(byte[] content) {
-        int skip = offset % job.chunkItems();
+    private byte[] skipToOffset(byte[] content) {
+        int linesToSkip = offset % job.chunkItems();
         int start = 0;
-        for (int line = 0; line < skip && start < content.length; start++) {
+        for (int line = 0; line < linesToSkip && start < content.length; start++) {
             if (content[start] == '\n') {
                 line++;
             }
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -35,97 +35,97 @@
  * temporarily has two stewards, this costs throughput but not correctness: an item's owner decides on its completion.
  */
 final class BatchDriver {
-    private static final long PULL_PERIOD_MILLIS = 100;
-    private static final int MAX_ITEMS_PER_ASK = 32;
+    private static final long ITEM_REQUEST_PERIOD_MILLIS = 100;
+    private static final int MAX_ITEMS_PER_REQUEST = 32;
     private static final long UNREACHABLE_PAUSE_MILLIS = 1000;
 
     private final HostProcess process;
     private final StewardSettings settings;
     private final Map<String, EndpointBatch> endpoints = new LinkedHashMap<>();
     private final Map<Long, ItemRun> runs = new HashMap<>();
-    private final Set<ItemRun> unsettled = new HashSet<>();
+    private final Set<ItemRun> unsettledRuns = new HashSet<>();
     private final WorkSources sources = new WorkSources();
     private final LeavingEndpoints leaving = new LeavingEndpoints();
     private final EndpointStatusReader statusReader;
-    private long nextRun;
+    private long lastRunNumber;
 
     BatchDriver(HostProcess process, StewardSettings settings) {
         this.process = process;
         this.settings = settings;
-        this.statusReader = new EndpointStatusReader(process, this::statusRead);
+        this.statusReader = new EndpointStatusReader(process, this::onStatusRead);
     }
 
     void start() {
-        process.configuration().onChange(configuration -> reassign());
-        process.onMembershipChange(this::reassign);
+        process.configuration().onChange(configuration -> updateStewardedEndpoints());
+        process.onMembershipChange(this::updateStewardedEndpoints);
         process.onHostList(listing -> {
             leaving.replace(LeavingSource.HOST_LIST, listing.leavingEndpoints());
-            applyLeaving();
+            updateLeavingEndpoints();
         });
-        process.loop().every(PULL_PERIOD_MILLIS, this::pull);
-        process.loop().every(settings.statusPeriodMillis(), () -> statusReader.read(stewarded()));
+        process.loop().every(ITEM_REQUEST_PERIOD_MILLIS, this::requestItems);
+        process.loop().every(settings.statusPeriodMillis(), () -> statusReader.read(stewardedEndpoints()));
     }
 
     /** Adds a listener for the statuses read from endpoints. */
-    void onStatus(BiConsumer<EndpointSettings, EndpointStatus> listener) {
-        statusReader.onStatus(listener);
+    void addStatusListener(BiConsumer<EndpointSettings, EndpointStatus> listener) {
+        statusReader.addListener(listener);
     }
 
     /** Returns the number of items in flight and of item reports that their owners have not acknowledged yet. */
-    int inProgress() {
-        return unsettled.size();
+    int itemsInProgress() {
+        return unsettledRuns.size();
     }
 
     /** Removes a run whose report the owner has acknowledged, or for which no report will be sent any more. */
-    void settled(ItemRun run) {
-        unsettled.remove(run);
+    void onRunSettled(ItemRun run) {
+        unsettledRuns.remove(run);
     }
 
     /** Returns the hand-outs of a job's items under a claim that are not settled on this host. */
-    List<Long> held(String job, long fence) {
-        return unsettled.stream()
+    List<Long> heldHandouts(String job, long fence) {
+        return unsettledRuns.stream()
                 .map(ItemRun::item)
                 .filter(item -> item.job().equals(job) && item.fence() == fence)
                 .map(WorkItem::handout)
                 .toList();
     }
 
-    void heardWork(HostId owner, Map<String, Long> dueByService) {
+    void onHeartbeatWork(HostId owner, Map<String, Long> dueByService) {
         sources.heard(owner, dueByService);
     }
 
-    void noticed(HostId owner, PeerMessage.WorkNotice notice) {
+    void onWorkNotice(HostId owner, PeerMessage.WorkNotice notice) {
         sources.noticed(owner, notice.service(), notice.earliestDueMillis());
-        pull();
+        requestItems();
     }
 
     /** Handles an entry's load report; batch items yield at once where it leaves them no slot. */
-    PeerMessage.EndpointLoads onlineReported(HostId entry, PeerMessage.OnlineLoad load) {
+    PeerMessage.EndpointLoads onOnlineLoad(HostId entry, PeerMessage.OnlineLoad load) {
         long now = process.loop().nowNanos();
         Map<String, Integer> online = new HashMap<>();
         Map<String, Integer> batch = new HashMap<>();
-        List<String> leavingThere = new ArrayList<>();
-        Set<String> allLeaving = leaving.firstHand();
+        List<String> leavingEndpoints = new ArrayList<>();
+        Set<String> leavingFirstHand = leaving.firstHand();
         load.inFlight().forEach((name, inFlight) -> {
             EndpointBatch endpoint = endpoints.get(name);
             if (endpoint == null) {
                 return;
             }
             boolean slow = load.slowEndpoints().contains(name);
-            yieldAll(endpoint.onlineReported(entry, inFlight, slow, now));
+            yieldItems(endpoint.onlineReported(entry, inFlight, slow, now));
             online.put(name, endpoint.online(now));
             batch.put(name, endpoint.running().size());
-            if (allLeaving.contains(name)) {
-                leavingThere.add(name);
+            if (leavingFirstHand.contains(name)) {
+                leavingEndpoints.add(name);
             }
         });
         // Fills slots that online requests have just freed; the timer is only a fallback.
-        pull();
-        return new PeerMessage.EndpointLoads(online, batch, leavingThere);
+        requestItems();
+        return new PeerMessage.EndpointLoads(online, batch, leavingEndpoints);
     }
 
     /** Discards the items of a job that its owner stopped; they end at once without a report. */
-    void cancel(String job, long fence) {
+    void cancelItems(String job, long fence) {
         List<ItemRun> stopped = runs.values().stream()
                 .filter(run -> run.item().job().equals(job) && run.item().fence() == fence)
                 .toList();
@@ -133,12 +133,12 @@
     }
 
     /** Returns all items to their owners with the partial results so far. */
-    void yieldAll() {
+    void yieldAllItems() {
         List.copyOf(runs.values()).forEach(ItemRun::yield);
     }
 
     /** Handles the end of a run. An unreachable endpoint gets no items for {@link #UNREACHABLE_PAUSE_MILLIS}. */
-    void ended(ItemRun run, boolean unreachable) {
+    void onRunEnded(ItemRun run, boolean unreachable) {
         runs.remove(run.number());
         EndpointBatch endpoint = endpoints.get(run.endpoint().name());
         if (endpoint != null) {
@@ -147,17 +147,17 @@
                 endpoint.pause(UNREACHABLE_PAUSE_MILLIS, process.loop().nowNanos());
             }
         }
-        pull();
+        requestItems();
     }
 
-    private void yieldAll(List<RunningItem> items) {
+    private void yieldItems(List<RunningItem> items) {
         items.forEach(item -> Optional.ofNullable(runs.get(item.run())).ifPresent(ItemRun::yield));
     }
 
-    private void reassign() {
+    private void updateStewardedEndpoints() {
         Configuration configuration = process.configuration().current();
         List<Host> stewards = process.present(Role.STEWARD);
-        Set<String> own = new HashSet<>();
+        Set<String> stewardedNames = new HashSet<>();
         for (EndpointSettings endpoint : configuration.endpoints().values()) {
             ServiceSettings service = configuration.services().get(endpoint.service());
             boolean stewarded = service.model().isPresent()
@@ -165,16 +165,16 @@
                             .filter(process::isSelf)
                             .isPresent();
             if (stewarded) {
-                own.add(endpoint.name());
+                stewardedNames.add(endpoint.name());
                 endpoints
                         .computeIfAbsent(endpoint.name(), name -> newEndpoint(endpoint, service))
                         .configure(endpoint, service.batchWeightPercent());
             }
         }
-        endpoints.keySet().retainAll(own);
+        endpoints.keySet().retainAll(stewardedNames);
         Set<HostId> entries = process.present(Role.ENTRY).stream().map(Host::id).collect(Collectors.toSet());
         endpoints.values().forEach(endpoint -> endpoint.entriesPresent(entries));
-        applyLeaving();
+        updateLeavingEndpoints();
     }
 
     private EndpointBatch newEndpoint(EndpointSettings endpoint, ServiceSettings service) {
@@ -182,32 +182,32 @@
                 endpoint, service.batchWeightPercent(), settings.slotPolicy(), new LeastWorkLostOrder());
     }
 
-    private List<EndpointSettings> stewarded() {
+    private List<EndpointSettings> stewardedEndpoints() {
         return endpoints.values().stream().map(EndpointBatch::settings).toList();
     }
 
-    private void statusRead(EndpointSettings settingsOfEndpoint, EndpointStatus status) {
-        EndpointBatch endpoint = endpoints.get(settingsOfEndpoint.name());
+    private void onStatusRead(EndpointSettings endpointSettings, EndpointStatus status) {
+        EndpointBatch endpoint = endpoints.get(endpointSettings.name());
         if (endpoint == null) {
             return;
         }
-        yieldAll(endpoint.engineReported(
+        yieldItems(endpoint.engineReported(
                 status.active() + status.queued(), process.loop().nowNanos()));
-        boolean before = leaving.all().contains(settingsOfEndpoint.name());
-        leaving.update(LeavingSource.ENDPOINT, settingsOfEndpoint.name(), status.draining());
-        if (before != status.draining()) {
-            applyLeaving();
-            PeerMessage notice = new PeerMessage.LeavingNotice(settingsOfEndpoint.name(), status.draining());
+        boolean wasLeaving = leaving.all().contains(endpointSettings.name());
+        leaving.update(LeavingSource.ENDPOINT, endpointSettings.name(), status.draining());
+        if (wasLeaving != status.draining()) {
+            updateLeavingEndpoints();
+            PeerMessage notice = new PeerMessage.LeavingNotice(endpointSettings.name(), status.draining());
             process.present(Role.ENTRY).forEach(host -> process.tell(host, notice));
         }
     }
 
-    private void applyLeaving() {
+    private void updateLeavingEndpoints() {
         Set<String> all = leaving.all();
         endpoints.forEach((name, endpoint) -> endpoint.leaving(all.contains(name)));
     }
 
-    private void pull() {
+    private void requestItems() {
         if (process.stop().phase() != PlannedStop.Phase.SERVING) {
             return;
         }
@@ -219,12 +219,12 @@
                         freeByService.merge(endpoint.settings().service(), endpoint.free(now), Integer::sum));
         freeByService.forEach((service, free) -> {
             if (free > 0) {
-                sources.nextToAsk(service).ifPresent(owner -> ask(owner, service, free));
+                sources.nextToAsk(service).ifPresent(owner -> requestItemsFrom(owner, service, free));
             }
         });
     }
 
-    private void ask(HostId owner, String service, int free) {
+    private void requestItemsFrom(HostId owner, String service, int free) {
         Optional<Host> host = process.present(Role.STEWARD).stream()
                 .filter(present -> present.id().equals(owner))
                 .findFirst();
@@ -232,37 +232,37 @@
             sources.lost(owner);
             return;
         }
-        PeerMessage question = new PeerMessage.ItemsAsk(service, Math.min(free, MAX_ITEMS_PER_ASK));
-        process.ask(host.get(), question)
+        PeerMessage request = new PeerMessage.ItemsAsk(service, Math.min(free, MAX_ITEMS_PER_REQUEST));
+        process.ask(host.get(), request)
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     List<WorkItem> items = reply instanceof PeerMessage.Items found ? found.items() : List.of();
                     sources.answered(owner, service, !items.isEmpty());
-                    items.forEach(item -> run(host.get(), service, item));
+                    items.forEach(item -> startOrRefuse(host.get(), service, item));
                     if (!items.isEmpty()) {
-                        pull();
+                        requestItems();
                     }
                 }));
     }
 
-    private void run(Host owner, String service, WorkItem item) {
+    private void startOrRefuse(Host owner, String service, WorkItem item) {
         long now = process.loop().nowNanos();
-        List<EndpointBatch> free = endpoints.values().stream()
+        List<EndpointBatch> candidates = endpoints.values().stream()
                 .filter(endpoint -> endpoint.settings().service().equals(service) && endpoint.free(now) > 0)
                 .sorted((one, other) -> Integer.compare(other.free(now), one.free(now)))
                 .toList();
-        ItemRun run = new ItemRun(process, this, owner, service, item, ++nextRun);
-        unsettled.add(run);
-        if (free.isEmpty() || process.stop().phase() != PlannedStop.Phase.SERVING) {
+        ItemRun run = new ItemRun(process, this, owner, service, item, ++lastRunNumber);
+        unsettledRuns.add(run);
+        if (candidates.isEmpty() || process.stop().phase() != PlannedStop.Phase.SERVING) {
             run.refuse();
         } else if (item.suspect()) {
-            run.askPermit(free.stream().map(EndpointBatch::settings).toList());
+            run.requestPermit(candidates.stream().map(EndpointBatch::settings).toList());
         } else {
-            start(run, free.get(0).settings());
+            startRun(run, candidates.get(0).settings());
         }
     }
 
     /** Starts a run at an endpoint, or refuses the item if this host no longer stewards the endpoint. */
-    void start(ItemRun run, EndpointSettings endpoint) {
+    void startRun(ItemRun run, EndpointSettings endpoint) {
         EndpointBatch batch = endpoints.get(endpoint.name());
         if (batch == null) {
             run.refuse();
--- a/src/main/java/org/gooseberryhill/steward/EndpointStatusReader.java
+++ b/src/main/java/org/gooseberryhill/steward/EndpointStatusReader.java
@@ -18,14 +18,14 @@
 
     private final HostProcess process;
     private final List<BiConsumer<EndpointSettings, EndpointStatus>> listeners = new ArrayList<>();
-    private final Set<String> reading = new HashSet<>();
+    private final Set<String> endpointsBeingRead = new HashSet<>();
 
     EndpointStatusReader(HostProcess process, BiConsumer<EndpointSettings, EndpointStatus> listener) {
         this.process = process;
         listeners.add(listener);
     }
 
-    void onStatus(BiConsumer<EndpointSettings, EndpointStatus> listener) {
+    void addListener(BiConsumer<EndpointSettings, EndpointStatus> listener) {
         listeners.add(listener);
     }
 
@@ -34,7 +34,7 @@
     }
 
     private void read(EndpointSettings endpoint) {
-        if (!reading.add(endpoint.name())) {
+        if (!endpointsBeingRead.add(endpoint.name())) {
             return;
         }
         ExchangeRequest request =
@@ -42,7 +42,7 @@
         process.http()
                 .call(request, MAX_ANSWER_BYTES)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
-                    reading.remove(endpoint.name());
+                    endpointsBeingRead.remove(endpoint.name());
                     if (failure == null && result.isSuccess()) {
                         Json.read(result.body(), EndpointStatus.class)
                                 .forEach(status -> listeners.forEach(listener -> listener.accept(endpoint, status)));
--- a/src/main/java/org/gooseberryhill/steward/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/steward/ItemRun.java
@@ -32,7 +32,7 @@
  * owner reclaims the item.
  */
 final class ItemRun {
-    private static final int REPORT_TRIES = 5;
+    private static final int MAX_REPORT_TRIES = 5;
     private static final long REPORT_RETRY_MILLIS = 300;
     private static final int FIRST_CLIENT_ERROR = 400;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -44,7 +44,7 @@
     private final String service;
     private final WorkItem item;
     private final long number;
-    private final StringBuffer text;
+    private final StringBuffer generatedText;
     private volatile int tokens;
     private EndpointSettings endpoint;
     private RunningItem running;
@@ -59,7 +59,7 @@
         this.service = service;
         this.item = item;
         this.number = number;
-        this.text = new StringBuffer(item.partial());
+        this.generatedText = new StringBuffer(item.partial());
         this.tokens = item.partialTokens();
     }
 
@@ -82,15 +82,15 @@
     }
 
     /** Requests an endpoint where the item may run isolated from other suspects. */
-    void askPermit(List<EndpointSettings> candidates) {
+    void requestPermit(List<EndpointSettings> candidates) {
         Optional<Host> arbiter = Ownership.ownerOfSuspects(service, process.present(Role.STEWARD));
         if (arbiter.isEmpty()) {
             refuse();
             return;
         }
         List<String> names = candidates.stream().map(EndpointSettings::name).toList();
-        PeerMessage question = new PeerMessage.SuspectPermitAsk(service, fingerprint(), names);
-        process.ask(arbiter.get(), question)
+        PeerMessage request = new PeerMessage.SuspectPermitAsk(service, fingerprint(), names);
+        process.ask(arbiter.get(), request)
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     Optional<EndpointSettings> granted = reply instanceof PeerMessage.SuspectPermit permit
                             ? candidates.stream()
@@ -102,7 +102,7 @@
                         return;
                     }
                     holdsPermit = true;
-                    driver.start(this, granted.get());
+                    driver.startRun(this, granted.get());
                 }));
     }
 
@@ -117,35 +117,35 @@
             headers.put("x-resume-from", Integer.toString(tokens));
         }
         ExchangeRequest request = new ExchangeRequest(
-                target.address(), "POST", "/v1/completions", headers, streamedBody(), silenceMillis, false);
-        exchange = process.http().start(request, new Answer());
+                target.address(), "POST", "/v1/completions", headers, streamingRequestBody(), silenceMillis, false);
+        exchange = process.http().start(request, new AnswerListener());
     }
 
     /** Frees the slot for online requests and reports the partial result to the owner. */
     void yield() {
-        if (end(false)) {
+        if (endOnce(false)) {
             exchange.cancel();
-            report(ItemEnd.YIELDED, text.toString(), tokens);
+            report(ItemEnd.YIELDED, generatedText.toString(), tokens);
         }
     }
 
     /** Ends the run without a report, since the job is stopped. */
     void discard() {
-        if (end(false)) {
+        if (endOnce(false)) {
             exchange.cancel();
-            driver.settled(this);
+            driver.onRunSettled(this);
         }
     }
 
     private void finish(ItemEnd kind, String result, int resultTokens) {
         process.loop().execute(() -> {
-            if (end(kind == ItemEnd.CRASHED || kind == ItemEnd.NOT_RUN)) {
+            if (endOnce(kind == ItemEnd.CRASHED || kind == ItemEnd.NOT_RUN)) {
                 report(kind, result, resultTokens);
             }
         });
     }
 
-    private boolean end(boolean unreachable) {
+    private boolean endOnce(boolean unreachable) {
         if (ended) {
             return false;
         }
@@ -155,23 +155,23 @@
             Ownership.ownerOfSuspects(service, process.present(Role.STEWARD))
                     .ifPresent(arbiter -> process.tell(arbiter, release));
         }
-        driver.ended(this, unreachable);
+        driver.onRunEnded(this, unreachable);
         return true;
     }
 
     private void report(ItemEnd kind, String result, int resultTokens) {
         PeerMessage report = new PeerMessage.ItemReport(
                 item.job(), item.index(), item.fence(), item.handout(), kind, result, resultTokens);
-        send(report, REPORT_TRIES);
+        sendReport(report, MAX_REPORT_TRIES);
     }
 
-    private void send(PeerMessage report, int triesLeft) {
+    private void sendReport(PeerMessage report, int triesLeft) {
         process.ask(owner, report)
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     if (failure == null || triesLeft <= 1) {
-                        driver.settled(this);
+                        driver.onRunSettled(this);
                     } else {
-                        process.loop().after(REPORT_RETRY_MILLIS, () -> send(report, triesLeft - 1));
+                        process.loop().after(REPORT_RETRY_MILLIS, () -> sendReport(report, triesLeft - 1));
                     }
                 }));
     }
@@ -180,14 +180,14 @@
         return Fingerprint.of(item.job() + "#" + item.index(), new byte[0]).value();
     }
 
-    private byte[] streamedBody() {
+    private byte[] streamingRequestBody() {
         return Json.tree(item.body().getBytes(StandardCharsets.UTF_8))
                 .map(json -> Json.bytes(((ObjectNode) json).put("stream", true)))
                 .getOrElse(new byte[0]);
     }
 
     /** Handles the answer of the endpoint. Used by one traffic thread. */
-    private final class Answer implements ExchangeListener {
+    private final class AnswerListener implements ExchangeListener {
         private final EventStreamReader events = new EventStreamReader();
         private int status;
         private boolean doneSeen;
@@ -205,7 +205,7 @@
             events.read(bytes, (event, token, done) -> {
                 doneSeen |= done;
                 if (!token.isEmpty()) {
-                    text.append(token);
+                    generatedText.append(token);
                     tokens++;
                     running.generated(tokens);
                 }
@@ -215,7 +215,7 @@
         @Override
         public void onEnd() {
             if (doneSeen) {
-                finish(ItemEnd.COMPLETED, text.toString(), tokens);
+                finish(ItemEnd.COMPLETED, generatedText.toString(), tokens);
             } else if (status >= FIRST_CLIENT_ERROR && status < FIRST_SERVER_ERROR && status != TOO_MANY_REQUESTS) {
                 finish(ItemEnd.REJECTED, "the endpoint answered with status " + status, 0);
             } else {
@@ -225,9 +225,9 @@
 
         @Override
         public void onFailure(ExchangeFailure failure) {
-            boolean cut =
+            boolean connectionCut =
                     failure.kind() == ExchangeFailure.Kind.CONNECTION_LOST && failure.outcome() == Outcome.MAY_HAVE_RUN;
-            if (cut) {
+            if (connectionCut) {
                 finish(ItemEnd.CRASHED, failure.detail(), 0);
             } else if (failure.outcome() == Outcome.NOT_RUN) {
                 finish(ItemEnd.NOT_RUN, failure.detail(), 0);
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -42,58 +42,59 @@
  */
 final class JobOwner {
     private static final Logger LOG = LogManager.getLogger(JobOwner.class);
-    private static final long HOUSEKEEPING_MILLIS = 250;
-    private static final long RECORD_CHECK_MILLIS = 15_000;
+    private static final long HOUSEKEEPING_PERIOD_MILLIS = 250;
+    private static final long RECORD_CHECK_PERIOD_MILLIS = 15_000;
     private static final int MAX_CHUNKS = 10_000;
-    private static final long HOLDER_CHECK_MILLIS = 1000;
+    private static final long HOLDER_CHECK_PERIOD_MILLIS = 1000;
 
     /** Longer than a request and its reply can be in transit. */
-    private static final long MISSING_AGE_MILLIS = 2 * HostProcess.ASK_TIMEOUT_MILLIS;
+    private static final long MIN_MISSING_AGE_MILLIS = 2 * HostProcess.ASK_TIMEOUT_MILLIS;
 
     private final HostProcess process;
     private final LeaseKeeper lease;
     private final StewardSettings settings;
-    private final JobBoard board;
-    private final WorkOffers offers = new WorkOffers();
+    private final JobBoard ownedJobs;
+    private final WorkOffers workOffers = new WorkOffers();
     private final JobSegments segments;
-    private final Set<JobKey> claiming = new HashSet<>();
+    private final Set<JobKey> pendingClaims = new HashSet<>();
     private boolean handingOver;
 
     JobOwner(HostProcess process, LeaseKeeper lease, StewardSettings settings) {
         this.process = process;
         this.lease = lease;
         this.settings = settings;
-        this.board = new JobBoard(settings.dispatchOrder());
-        this.segments = new JobSegments(process, this::jobRefused, this::jobAdvanced);
+        this.ownedJobs = new JobBoard(settings.dispatchOrder());
+        this.segments = new JobSegments(process, this::onClaimOrRecordChanged, this::onJobAdvanced);
     }
 
     void start() {
-        lease.onLost(this::dropAll);
-        process.onMembershipChange(this::takeBackFromLost);
-        process.loop().every(HOUSEKEEPING_MILLIS, this::keepHouse);
-        process.loop().every(RECORD_CHECK_MILLIS, this::checkRecords);
-        process.loop().every(HOLDER_CHECK_MILLIS, this::askHolders);
+        lease.onLost(this::stopAll);
+        process.onMembershipChange(this::reclaimFromLostStewards);
+        process.loop().every(HOUSEKEEPING_PERIOD_MILLIS, this::runHousekeeping);
+        process.loop().every(RECORD_CHECK_PERIOD_MILLIS, this::checkRecords);
+        process.loop().every(HOLDER_CHECK_PERIOD_MILLIS, this::reclaimMissingItems);
     }
 
     Map<String, Long> waitingWork() {
-        return board.waitingWork(process.loop().nowNanos());
+        return ownedJobs.waitingWork(process.loop().nowNanos());
     }
 
     boolean owns(JobKey key) {
-        return board.find(key).isPresent();
+        return ownedJobs.find(key).isPresent();
     }
 
-    List<WorkItem> take(HostId steward, PeerMessage.ItemsAsk question) {
+    List<WorkItem> handOutItems(HostId steward, PeerMessage.ItemsAsk request) {
         long now = process.loop().nowNanos();
-        List<WorkItem> items = board.take(question.service(), question.max(), steward, now, System.currentTimeMillis());
-        if (!board.waitingWork(now).containsKey(question.service())) {
-            offers.drained(question.service());
+        List<WorkItem> items =
+                ownedJobs.take(request.service(), request.max(), steward, now, System.currentTimeMillis());
+        if (!ownedJobs.waitingWork(now).containsKey(request.service())) {
+            workOffers.drained(request.service());
         }
         return items;
     }
 
-    void report(PeerMessage.ItemReport report) {
-        Optional<OwnedJob> owned = JobKey.parse(report.job()).flatMap(board::find);
+    void onItemReport(PeerMessage.ItemReport report) {
+        Optional<OwnedJob> owned = JobKey.parse(report.job()).flatMap(ownedJobs::find);
         if (owned.isEmpty()) {
             return;
         }
@@ -114,7 +115,7 @@
         }
     }
 
-    void noticed(PeerMessage.JobNotice notice) {
+    void onJobNotice(PeerMessage.JobNotice notice) {
         JobKey.parse(notice.job()).ifPresent(key -> {
             if (notice.cancelled()) {
                 stop(key, "cancelled");
@@ -126,13 +127,13 @@
 
     /** Claims a job, unless this host already owns it or is claiming it. */
     void claim(JobKey key) {
-        Optional<Long> usable = lease.usable();
-        if (handingOver || usable.isEmpty() || owns(key) || !claiming.add(key)) {
+        Optional<Long> leaseId = lease.usable();
+        if (handingOver || leaseId.isEmpty() || owns(key) || !pendingClaims.add(key)) {
             return;
         }
         Transaction write = Transaction.builder()
                 .ifAbsent(Keys.owner(key))
-                .putUnderLease(Keys.owner(key), process.claimValue(), usable.get())
+                .putUnderLease(Keys.owner(key), process.claimValue(), leaseId.get())
                 .build();
         process.keyValue()
                 .write(write)
@@ -148,10 +149,10 @@
     /** Gives up all jobs at a planned stop. Returns false, and keeps the jobs, while chunks are being committed. */
     boolean handOver() {
         handingOver = true;
-        if (segments.committing() > 0) {
+        if (segments.commitsInProgress() > 0) {
             return false;
         }
-        board.jobs().forEach(job -> board.remove(job.key()));
+        ownedJobs.jobs().forEach(job -> ownedJobs.remove(job.key()));
         return true;
     }
 
@@ -170,7 +171,7 @@
                     if (own.isPresent()) {
                         load(key, own.get().createRevision());
                     } else {
-                        claiming.remove(key);
+                        pendingClaims.remove(key);
                     }
                 }));
     }
@@ -180,18 +181,18 @@
                 .read(Keys.job(key))
                 .thenCombine(
                         process.keyValue().readPrefix(Keys.chunks(key), Keys.chunks(key), MAX_CHUNKS),
-                        (record, chunks) -> owned(key, fence, record, chunks))
+                        (record, chunks) -> toOwnedJob(key, fence, record, chunks))
                 .whenComplete((job, failure) -> process.loop().execute(() -> {
-                    claiming.remove(key);
+                    pendingClaims.remove(key);
                     if (failure == null && job.isPresent() && lease.usable().isPresent() && !handingOver) {
-                        begin(job.get());
+                        startOwning(job.get());
                     } else {
                         releaseClaim(key, fence);
                     }
                 }));
     }
 
-    private static Optional<OwnedJob> owned(
+    private static Optional<OwnedJob> toOwnedJob(
             JobKey key, long fence, KeyValueStore.ReadResult record, KeyValueStore.ReadResult chunks) {
         BitSet committed = new BitSet();
         String prefix = Keys.chunks(key);
@@ -204,7 +205,7 @@
                         .map(found -> new OwnedJob(key, found, entry.modRevision(), fence, committed)));
     }
 
-    private void begin(OwnedJob job) {
+    private void startOwning(OwnedJob job) {
         try (CloseableThreadContext.Instance ignored =
                 CloseableThreadContext.put("job", job.key().path())) {
             LOG.info("claimed the job with fence {}", job.fence());
@@ -214,33 +215,33 @@
                 .job(job.key().path())
                 .with("fence", job.fence())
                 .write();
-        board.add(job);
-        jobAdvanced(job);
+        ownedJobs.add(job);
+        onJobAdvanced(job);
     }
 
-    private void jobAdvanced(OwnedJob job) {
+    private void onJobAdvanced(OwnedJob job) {
         if (job.isStopped()) {
             return;
         }
         if (job.isComplete()) {
             segments.finish(job);
-            board.remove(job.key());
+            ownedJobs.remove(job.key());
             return;
         }
-        segments.loadMore(job);
+        segments.loadChunks(job);
         if (job.hasWaiting(process.loop().nowNanos())) {
             offerWork(job);
         }
     }
 
-    private void jobRefused(OwnedJob job) {
+    private void onClaimOrRecordChanged(OwnedJob job) {
         stop(job.key(), "its record or claim has changed");
         // Claiming reads the record again: a cancelled job stays stopped, a running one continues under a new claim.
         claim(job.key());
     }
 
     private void stop(JobKey key, String reason) {
-        board.remove(key).ifPresent(job -> {
+        ownedJobs.remove(key).ifPresent(job -> {
             process.timeline()
                     .event(EventKind.JOB_STOPPED)
                     .job(key.path())
@@ -252,8 +253,8 @@
         });
     }
 
-    private void dropAll() {
-        board.jobs().forEach(job -> stop(job.key(), "the lease is gone"));
+    private void stopAll() {
+        ownedJobs.jobs().forEach(job -> stop(job.key(), "the lease is gone"));
     }
 
     private void releaseClaim(JobKey key, long fence) {
@@ -265,7 +266,7 @@
     }
 
     private void offerWork(OwnedJob job) {
-        if (!offers.waiting(job.record().service(), process.loop().nowNanos())) {
+        if (!workOffers.waiting(job.record().service(), process.loop().nowNanos())) {
             return;
         }
         PeerMessage notice =
@@ -275,9 +276,9 @@
                 .forEach(host -> process.tell(host, notice));
     }
 
-    private void takeBackFromLost() {
-        for (OwnedJob job : board.jobs()) {
-            job.holders().stream().filter(this::isLost).forEach(board::stewardLost);
+    private void reclaimFromLostStewards() {
+        for (OwnedJob job : ownedJobs.jobs()) {
+            job.holders().stream().filter(this::isLost).forEach(ownedJobs::stewardLost);
         }
     }
 
@@ -287,26 +288,26 @@
         return !self && (state.isEmpty() || state.get() == HostState.DEAD);
     }
 
-    private void keepHouse() {
+    private void runHousekeeping() {
         long now = process.loop().nowNanos();
-        for (OwnedJob job : board.jobs()) {
+        for (OwnedJob job : ownedJobs.jobs()) {
             job.takeBackOlderThan(settings.maxHandoutMillis(), now);
-            segments.loadMore(job);
+            segments.loadChunks(job);
             if (job.hasWaiting(now)) {
                 offerWork(job);
             }
         }
-        handOverForeign();
+        releaseForeignJobs();
     }
 
     /** Releases jobs that the membership assigns to another host, so that a new host takes over its share over time. */
-    private void handOverForeign() {
+    private void releaseForeignJobs() {
         List<Host> stewards = process.present(Role.STEWARD);
-        for (OwnedJob job : board.jobs()) {
-            boolean own = Ownership.ownerOfJob(job.key(), stewards)
+        for (OwnedJob job : ownedJobs.jobs()) {
+            boolean isOwner = Ownership.ownerOfJob(job.key(), stewards)
                     .filter(process::isSelf)
                     .isPresent();
-            if (!own && job.running() == 0 && segments.committing() == 0) {
+            if (!isOwner && job.running() == 0 && segments.commitsInProgress() == 0) {
                 stop(job.key(), "another host is its owner now");
             }
         }
@@ -316,10 +317,10 @@
      * Queries the stewards for the hand-outs they hold and reclaims missing ones: items or reports may be lost in
      * transit.
      */
-    private void askHolders() {
-        for (OwnedJob job : board.jobs()) {
+    private void reclaimMissingItems() {
+        for (OwnedJob job : ownedJobs.jobs()) {
             for (HostId holder : job.holders()) {
-                hostOf(holder)
+                presentSteward(holder)
                         .ifPresent(host -> process.ask(
                                         host,
                                         new PeerMessage.ItemsHeldAsk(job.key().path(), job.fence()))
@@ -327,14 +328,14 @@
                                     if (reply instanceof PeerMessage.ItemsHeld held) {
                                         long now = process.loop().nowNanos();
                                         job.takeBackMissing(
-                                                holder, Set.copyOf(held.handouts()), MISSING_AGE_MILLIS, now);
+                                                holder, Set.copyOf(held.handouts()), MIN_MISSING_AGE_MILLIS, now);
                                     }
                                 })));
             }
         }
     }
 
-    private Optional<Host> hostOf(HostId id) {
+    private Optional<Host> presentSteward(HostId id) {
         return process.present(Role.STEWARD).stream()
                 .filter(host -> host.id().equals(id))
                 .findFirst();
@@ -345,13 +346,13 @@
      * the next chunk would detect the change.
      */
     private void checkRecords() {
-        for (OwnedJob job : board.jobs()) {
+        for (OwnedJob job : ownedJobs.jobs()) {
             process.keyValue()
                     .readRevision(Keys.job(job.key()))
                     .whenComplete((revision, failure) -> process.loop().execute(() -> {
                         boolean changed = failure == null && revision != job.recordRevision();
                         if (changed && !job.isStopped()) {
-                            jobRefused(job);
+                            onClaimOrRecordChanged(job);
                         }
                     }));
         }
--- a/src/main/java/org/gooseberryhill/steward/JobSegments.java
+++ b/src/main/java/org/gooseberryhill/steward/JobSegments.java
@@ -25,7 +25,7 @@
     private final HostProcess process;
     private final Consumer<OwnedJob> onRefused;
     private final Consumer<OwnedJob> onAdvanced;
-    private int committing;
+    private int commitsInProgress;
 
     JobSegments(HostProcess process, Consumer<OwnedJob> onRefused, Consumer<OwnedJob> onAdvanced) {
         this.process = process;
@@ -34,12 +34,12 @@
     }
 
     /** Returns the number of chunks being committed. */
-    int committing() {
-        return committing;
+    int commitsInProgress() {
+        return commitsInProgress;
     }
 
     /** Loads chunks until the job's window is full. */
-    void loadMore(OwnedJob job) {
+    void loadChunks(OwnedJob job) {
         Optional<Integer> chunk = job.nextChunkToLoad();
         while (chunk.isPresent()) {
             load(job, chunk.get());
@@ -49,11 +49,11 @@
 
     /** Stores a chunk's results in two zones, then commits them; retries while the platform is unavailable. */
     void commit(OwnedJob job, ChunkResult result) {
-        committing++;
+        commitsInProgress++;
         byte[] content = (String.join("\n", result.lines()) + "\n").getBytes(StandardCharsets.UTF_8);
         String name = SegmentNames.results(job.key(), result.chunk(), job.fence(), content);
         ChunkRecord record = new ChunkRecord(name, result.lines().size(), result.failed(), job.fence());
-        store(job, new Commit(result.chunk(), record, content));
+        store(job, new PendingCommit(result.chunk(), record, content));
     }
 
     /** Marks a job as done once all its chunks are committed. */
@@ -86,7 +86,7 @@
                     if (failure != null || content.isEmpty()) {
                         process.loop().after(RETRY_MILLIS, () -> {
                             job.chunkNotLoaded(chunk);
-                            loadMore(job);
+                            loadChunks(job);
                         });
                         return;
                     }
@@ -96,39 +96,39 @@
                 }));
     }
 
-    private void store(OwnedJob job, Commit commit) {
+    private void store(OwnedJob job, PendingCommit commit) {
         process.segments()
                 .put(commit.record.segment(), commit.content)
                 .whenComplete((done, failure) -> process.loop().execute(() -> {
                     if (job.isStopped()) {
-                        committing--;
+                        commitsInProgress--;
                     } else if (failure != null) {
                         process.loop().after(RETRY_MILLIS, () -> store(job, commit));
                     } else {
                         ChunkCommit decision = new ChunkCommit();
-                        follow(job, commit, decision, decision.begin());
+                        perform(job, commit, decision, decision.begin());
                     }
                 }));
     }
 
-    private void follow(OwnedJob job, Commit commit, ChunkCommit decision, ChunkCommit.Step step) {
+    private void perform(OwnedJob job, PendingCommit commit, ChunkCommit decision, ChunkCommit.Step step) {
         if (job.isStopped()) {
-            committing--;
+            commitsInProgress--;
             return;
         }
         switch (step) {
             case WRITE ->
                 process.keyValue()
-                        .write(write(job, commit))
-                        .whenComplete((result, failure) ->
-                                later(job, commit, decision, failure, () -> decision.written(result.succeeded())));
+                        .write(commitTransaction(job, commit))
+                        .whenComplete((result, failure) -> performNext(
+                                job, commit, decision, failure, () -> decision.written(result.succeeded())));
             case READ ->
                 process.keyValue()
                         .read(Keys.chunk(job.key(), commit.chunk))
                         .whenComplete((result, failure) ->
-                                later(job, commit, decision, failure, () -> decision.read(found(result))));
+                                performNext(job, commit, decision, failure, () -> decision.read(parseRecord(result))));
             case COMMITTED -> {
-                committing--;
+                commitsInProgress--;
                 job.chunkCommitted(commit.chunk);
                 process.timeline()
                         .event(EventKind.CHUNK_COMMITTED)
@@ -138,25 +138,29 @@
                 onAdvanced.accept(job);
             }
             default -> {
-                committing--;
+                commitsInProgress--;
                 onRefused.accept(job);
             }
         }
     }
 
-    private void later(
-            OwnedJob job, Commit commit, ChunkCommit decision, Throwable failure, Supplier<ChunkCommit.Step> answered) {
+    private void performNext(
+            OwnedJob job,
+            PendingCommit commit,
+            ChunkCommit decision,
+            Throwable failure,
+            Supplier<ChunkCommit.Step> onResult) {
         process.loop().execute(() -> {
             if (failure == null) {
-                follow(job, commit, decision, answered.get());
+                perform(job, commit, decision, onResult.get());
                 return;
             }
             ChunkCommit.Step next = decision.unanswered();
-            process.loop().after(RETRY_MILLIS, () -> follow(job, commit, decision, next));
+            process.loop().after(RETRY_MILLIS, () -> perform(job, commit, decision, next));
         });
     }
 
-    private static Transaction write(OwnedJob job, Commit commit) {
+    private static Transaction commitTransaction(OwnedJob job, PendingCommit commit) {
         String key = Keys.chunk(job.key(), commit.chunk);
         return Transaction.builder()
                 .ifCreatedAt(Keys.owner(job.key()), job.fence())
@@ -166,11 +170,11 @@
                 .build();
     }
 
-    private static Optional<ChunkRecord> found(KeyValueStore.ReadResult result) {
+    private static Optional<ChunkRecord> parseRecord(KeyValueStore.ReadResult result) {
         return result.first()
                 .flatMap(entry -> Json.read(entry.value(), ChunkRecord.class).toJavaOptional());
     }
 
     /** A chunk being committed, with its record and results. */
-    private record Commit(int chunk, ChunkRecord record, byte[] content) {}
+    private record PendingCommit(int chunk, ChunkRecord record, byte[] content) {}
 }
--- a/src/main/java/org/gooseberryhill/steward/LoadPlaces.java
+++ b/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
@@ -13,42 +13,42 @@
  * <p>The weight store is rate-limited: if many endpoints loaded at once, most of the loads would fail. A slot is a key
  * under its holder's lease, so a lost holder's slot becomes free. Each host performs one load at a time.
  */
-final class LoadPlaces {
+final class ModelLoadLimiter {
     private final HostProcess process;
-    private final int places;
+    private final int slots;
     private boolean busy;
-    private Optional<String> held = Optional.empty();
-    private int next;
+    private Optional<String> heldKey = Optional.empty();
+    private int nextSlot;
 
-    LoadPlaces(HostProcess process, int places) {
+    ModelLoadLimiter(HostProcess process, int slots) {
         this.process = process;
-        this.places = places;
+        this.slots = slots;
     }
 
     /** Runs the action while holding a slot, or the alternative if no slot could be acquired. */
-    void withPlace(LeaseKeeper lease, Runnable action, Runnable without) {
-        Optional<Long> usable = lease.usable();
-        if (busy || usable.isEmpty()) {
-            without.run();
+    void runWithSlot(LeaseKeeper lease, Runnable action, Runnable alternative) {
+        Optional<Long> leaseId = lease.usable();
+        if (busy || leaseId.isEmpty()) {
+            alternative.run();
             return;
         }
         busy = true;
-        String key = Keys.load(next);
-        next = (next + 1) % places;
+        String key = Keys.load(nextSlot);
+        nextSlot = (nextSlot + 1) % slots;
         byte[] holder = process.settings().self().id().value().getBytes(StandardCharsets.UTF_8);
         Transaction write = Transaction.builder()
                 .ifAbsent(key)
-                .putUnderLease(key, holder, usable.get())
+                .putUnderLease(key, holder, leaseId.get())
                 .build();
         process.keyValue()
                 .write(write)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
                     if (failure == null && result.succeeded()) {
-                        held = Optional.of(key);
+                        heldKey = Optional.of(key);
                         action.run();
                     } else {
                         busy = false;
-                        without.run();
+                        alternative.run();
                     }
                 }));
     }
@@ -56,8 +56,8 @@
     /** Releases the slot after the load has ended. */
     void release() {
         busy = false;
-        held.ifPresent(key ->
+        heldKey.ifPresent(key ->
                 process.keyValue().write(Transaction.builder().delete(key).build()));
-        held = Optional.empty();
+        heldKey = Optional.empty();
     }
 }
--- a/src/main/java/org/gooseberryhill/steward/JobScan.java
+++ b/src/main/java/org/gooseberryhill/steward/OpenJobScanner.java
@@ -17,15 +17,15 @@
  * <p>Two stewards of the whole fleet read the index of open jobs and notify the owner of each job, which claims the job
  * unless it already has.
  */
-final class JobScan {
+final class OpenJobScanner {
     private static final int SCANNERS = 2;
-    private static final int PAGE = 1000;
+    private static final int PAGE_SIZE = 1000;
 
     private final HostProcess process;
     private final StewardSettings settings;
     private final JobOwner jobs;
 
-    JobScan(HostProcess process, StewardSettings settings, JobOwner jobs) {
+    OpenJobScanner(HostProcess process, StewardSettings settings, JobOwner jobs) {
         this.process = process;
         this.settings = settings;
         this.jobs = jobs;
@@ -37,21 +37,21 @@
 
     private void scan() {
         List<Host> stewards = process.present(Role.STEWARD);
-        boolean chosen =
+        boolean isScanner =
                 Ownership.rank("job-scan", stewards).stream().limit(SCANNERS).anyMatch(process::isSelf);
-        if (chosen) {
+        if (isScanner) {
             readPage(Keys.OPEN_JOBS, stewards);
         }
     }
 
     private void readPage(String fromKey, List<Host> stewards) {
         process.keyValue()
-                .readPrefix(Keys.OPEN_JOBS, fromKey, PAGE)
+                .readPrefix(Keys.OPEN_JOBS, fromKey, PAGE_SIZE)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
                     if (failure != null) {
                         return;
                     }
-                    result.entries().forEach(entry -> tellOwner(entry, stewards));
+                    result.entries().forEach(entry -> notifyOwner(entry, stewards));
                     if (result.more()) {
                         String last = result.entries()
                                 .get(result.entries().size() - 1)
@@ -61,7 +61,7 @@
                 }));
     }
 
-    private void tellOwner(KeyValueStore.Entry entry, List<Host> stewards) {
+    private void notifyOwner(KeyValueStore.Entry entry, List<Host> stewards) {
         Optional<JobKey> key = JobKey.parse(entry.key().substring(Keys.OPEN_JOBS.length()));
         Optional<Host> owner = key.flatMap(found -> Ownership.ownerOfJob(found, stewards));
         if (owner.isEmpty()) {
--- a/src/main/java/org/gooseberryhill/steward/OrderDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/OrderDriver.java
@@ -28,28 +28,28 @@
     private final LeaseKeeper lease;
     private final StewardSettings settings;
     private final BatchDriver batch;
-    private final LoadPlaces places;
-    private final Map<String, EndpointOrders> orders = new HashMap<>();
+    private final ModelLoadLimiter loadLimiter;
+    private final Map<String, EndpointOrders> ordersByEndpoint = new HashMap<>();
 
     OrderDriver(HostProcess process, LeaseKeeper lease, StewardSettings settings, BatchDriver batch) {
         this.process = process;
         this.lease = lease;
         this.settings = settings;
         this.batch = batch;
-        this.places = new LoadPlaces(process, settings.maxLoads());
+        this.loadLimiter = new ModelLoadLimiter(process, settings.maxLoads());
     }
 
     void start() {
-        batch.onStatus(this::statusRead);
-        lease.onLost(() -> orders.values().forEach(EndpointOrders::claimLost));
+        batch.addStatusListener(this::onStatusRead);
+        lease.onLost(() -> ordersByEndpoint.values().forEach(EndpointOrders::claimLost));
     }
 
-    private void statusRead(EndpointSettings endpoint, EndpointStatus status) {
-        Optional<ModelHolding> wanted = wanted(endpoint);
-        if (wanted.isEmpty()) {
+    private void onStatusRead(EndpointSettings endpoint, EndpointStatus status) {
+        Optional<ModelHolding> desired = desiredHolding(endpoint);
+        if (desired.isEmpty()) {
             return;
         }
-        EndpointOrders decision = orders.computeIfAbsent(
+        EndpointOrders decision = ordersByEndpoint.computeIfAbsent(
                 endpoint.name(),
                 name -> new EndpointOrders(
                         new OrderSettings(process.settings().leaseMillis(), settings.longestOrderMillis()),
@@ -57,38 +57,38 @@
         boolean leaseUsable = lease.usable().isPresent();
         OrderStep step = decision.next(
                 Optional.of(status.held()),
-                wanted.get(),
+                desired.get(),
                 leaseUsable,
                 process.loop().nowNanos());
         if (step instanceof OrderStep.Claim) {
             claim(endpoint, decision);
         } else if (step instanceof OrderStep.Send send) {
-            places.withPlace(lease, () -> send(endpoint, decision, send), decision::orderEnded);
+            loadLimiter.runWithSlot(lease, () -> send(endpoint, decision, send), decision::orderEnded);
         }
     }
 
-    private Optional<ModelHolding> wanted(EndpointSettings endpoint) {
+    private Optional<ModelHolding> desiredHolding(EndpointSettings endpoint) {
         Configuration configuration = process.configuration().current();
         return Optional.ofNullable(configuration.services().get(endpoint.service()))
                 .flatMap(service -> service.model())
                 .map(configuration.models()::get)
-                .map(OrderDriver::holding);
+                .map(OrderDriver::toHolding);
     }
 
-    private static ModelHolding holding(ModelSettings model) {
+    private static ModelHolding toHolding(ModelSettings model) {
         return new ModelHolding(model.name(), model.version(), model.adapters());
     }
 
     private void claim(EndpointSettings endpoint, EndpointOrders decision) {
-        Optional<Long> usable = lease.usable();
-        if (usable.isEmpty()) {
+        Optional<Long> leaseId = lease.usable();
+        if (leaseId.isEmpty()) {
             decision.claimed(Optional.empty(), process.loop().nowNanos());
             return;
         }
         String key = Keys.endpoint(endpoint.name());
         Transaction write = Transaction.builder()
                 .ifAbsent(key)
-                .putUnderLease(key, process.claimValue(), usable.get())
+                .putUnderLease(key, process.claimValue(), leaseId.get())
                 .build();
         process.keyValue()
                 .write(write)
@@ -122,7 +122,7 @@
     private void send(EndpointSettings endpoint, EndpointOrders decision, OrderStep.Send order) {
         if (lease.usable().isEmpty()) {
             decision.orderEnded();
-            places.release();
+            loadLimiter.release();
             return;
         }
         process.timeline()
@@ -151,7 +151,7 @@
                             .with("end", end)
                             .write();
                     decision.orderEnded();
-                    places.release();
+                    loadLimiter.release();
                 }));
     }
 }
--- a/src/main/java/org/gooseberryhill/steward/StewardProcess.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardProcess.java
@@ -25,11 +25,11 @@
     private final LeaseKeeper lease;
     private final BatchDriver batch;
     private final JobOwner jobs;
-    private final JobScan jobScan;
+    private final OpenJobScanner jobScanner;
     private final OrderDriver orders;
     private final Map<String, SuspectArbiter> arbiters = new HashMap<>();
-    private boolean releasing;
-    private boolean released;
+    private boolean leaseReleaseStarted;
+    private boolean leaseReleased;
 
     /** Creates a process without starting it. */
     public StewardProcess(HostSettings hostSettings, StewardSettings settings, long seed) {
@@ -38,9 +38,9 @@
         jobs = new JobOwner(process, lease, settings);
         batch = new BatchDriver(process, settings);
         orders = new OrderDriver(process, lease, settings, batch);
-        jobScan = new JobScan(process, settings, jobs);
-        process.roleHandler(this::handle);
-        process.heartbeatWork(jobs::waitingWork, batch::heardWork);
+        jobScanner = new OpenJobScanner(process, settings, jobs);
+        process.roleHandler(this::handleMessage);
+        process.heartbeatWork(jobs::waitingWork, batch::onHeartbeatWork);
     }
 
     /** Starts the process and its parts. */
@@ -49,7 +49,7 @@
         process.loop().execute(() -> {
             lease.start();
             jobs.start();
-            jobScan.start();
+            jobScanner.start();
             batch.start();
             orders.start();
         });
@@ -68,7 +68,7 @@
      */
     public int inProgress() {
         CompletableFuture<Integer> answer = new CompletableFuture<>();
-        process.loop().execute(() -> answer.complete(batch.inProgress()));
+        process.loop().execute(() -> answer.complete(batch.itemsInProgress()));
         return answer.join();
     }
 
@@ -82,51 +82,51 @@
             return;
         }
         // Batch items resume elsewhere from their partial results, so the stop need not wait for them to complete here.
-        batch.yieldAll();
-        if (!releasing && jobs.handOver()) {
-            releasing = true;
-            lease.release(() -> released = true);
+        batch.yieldAllItems();
+        if (!leaseReleaseStarted && jobs.handOver()) {
+            leaseReleaseStarted = true;
+            lease.release(() -> leaseReleased = true);
         }
-        process.advanceStop(batch.inProgress() + (released ? 0 : 1), false);
+        process.advanceStop(batch.itemsInProgress() + (leaseReleased ? 0 : 1), false);
     }
 
-    private CompletableFuture<PeerMessage> handle(HostId from, PeerMessage message) {
+    private CompletableFuture<PeerMessage> handleMessage(HostId from, PeerMessage message) {
         if (message instanceof PeerMessage.OnlineLoad load) {
-            return MessageHandler.reply(batch.onlineReported(from, load));
+            return MessageHandler.reply(batch.onOnlineLoad(from, load));
         }
-        if (message instanceof PeerMessage.ItemsAsk question) {
-            return MessageHandler.reply(new PeerMessage.Items(jobs.take(from, question)));
+        if (message instanceof PeerMessage.ItemsAsk request) {
+            return MessageHandler.reply(new PeerMessage.Items(jobs.handOutItems(from, request)));
         }
-        if (message instanceof PeerMessage.SuspectPermitAsk question) {
-            Optional<String> endpoint = arbiter(question.service())
+        if (message instanceof PeerMessage.SuspectPermitAsk request) {
+            Optional<String> endpoint = arbiter(request.service())
                     .ask(
-                            new Fingerprint(question.fingerprint()),
-                            question.endpoints(),
+                            new Fingerprint(request.fingerprint()),
+                            request.endpoints(),
                             process.loop().nowNanos());
             return MessageHandler.reply(new PeerMessage.SuspectPermit(endpoint));
         }
-        if (message instanceof PeerMessage.ItemsHeldAsk question) {
-            return MessageHandler.reply(new PeerMessage.ItemsHeld(batch.held(question.job(), question.fence())));
+        if (message instanceof PeerMessage.ItemsHeldAsk request) {
+            return MessageHandler.reply(new PeerMessage.ItemsHeld(batch.heldHandouts(request.job(), request.fence())));
         }
-        take(from, message);
+        handleNotification(from, message);
         return MessageHandler.reply(new PeerMessage.Ack());
     }
 
-    private void take(HostId from, PeerMessage message) {
+    private void handleNotification(HostId from, PeerMessage message) {
         if (message instanceof PeerMessage.ItemReport report) {
-            jobs.report(report);
+            jobs.onItemReport(report);
         } else if (message instanceof PeerMessage.JobNotice notice) {
-            jobs.noticed(notice);
+            jobs.onJobNotice(notice);
         } else if (message instanceof PeerMessage.WorkNotice notice) {
-            batch.noticed(from, notice);
+            batch.onWorkNotice(from, notice);
         } else if (message instanceof PeerMessage.ItemsCancel cancel) {
-            batch.cancel(cancel.job(), cancel.fence());
+            batch.cancelItems(cancel.job(), cancel.fence());
         } else if (message instanceof PeerMessage.SuspectRelease release) {
-            released(release);
+            onSuspectRelease(release);
         }
     }
 
-    private void released(PeerMessage.SuspectRelease release) {
+    private void onSuspectRelease(PeerMessage.SuspectRelease release) {
         arbiter(release.service()).release(new Fingerprint(release.fingerprint()));
         if (release.completed()) {
             // A completed suspect did not cause the crash, so the other entries need not isolate it any more.
--- a/src/test/java/org/gooseberryhill/entry/JobLineSplitterTest.java
+++ b/src/test/java/org/gooseberryhill/entry/JobLineSplitterTest.java
@@ -12,7 +12,7 @@
     private final JobLineSplitter splitter = new JobLineSplitter(50_000, 100);
 
     @Test
-    void itemsComeOutWhateverThePiecesOfTheBody() {
+    void itemsAreTheSameForAnyPieceSizeOfTheBody() {
         byte[] body = bytes("{\"prompt\":\"é\"}\n\n  {\"prompt\":\"b\"}\r\n{\"messages\":[]}");
         for (int size = 1; size < body.length; size++) {
             JobLineSplitter any = new JobLineSplitter(10, 100);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aMistakeInAFarLineIsNamedWithItsLine() {
+    void anErrorFarIntoTheBodyIsReportedWithItsLineNumber() {
         splitter.read(bytes("{\"prompt\":\"a\"}\n".repeat(39_999)));
         splitter.read(bytes("{\"prompt\":\n"));
 
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void allKindsOfMistakesAreFound() {
+    void allKindsOfErrorsAreReported() {
         splitter.read(bytes("[1]\n{\"x\":1}\n" + "y".repeat(200) + "\n"));
 
         assertThat(splitter.findings())
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void moreItemsThanAllowedAreAMistake() {
+    void moreItemsThanAllowedAreReportedAsAnError() {
         JobLineSplitter small = new JobLineSplitter(2, 100);
         small.read(bytes("{\"prompt\":\"a\"}\n".repeat(3)));
 
