--- a/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
+++ b/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
@@ -9,10 +9,11 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Cuts a job's body into items, one JSON object a line, and collects what is wrong with its line. Used by one thread.
+ * Splits a job's body into items, one JSON object per line, and collects the errors with their line numbers. Not
+ * thread-safe.
  *
- * <p>Blank lines are passed over but counted. After the first mistake no item is handed on, only further mistakes are
- * collected, up to a number.
+ * <p>Blank lines are skipped but counted in line numbers. After the first error no item is returned; further errors are
+ * collected up to a maximum number.
  */
 final class JobLineSplitter {
     private static final int MAX_FINDINGS = 20;
@@ -30,31 +31,31 @@
         this.maxItemBytes = maxItemBytes;
     }
 
-    /** Takes in bytes; returns the whole items in them. */
+    /** Reads the next bytes of the body and returns the items that they complete. */
     List<String> read(byte[] bytes) {
-        List<String> whole = new ArrayList<>();
-        for (byte next : bytes) {
-            if (next == '\n') {
-                endLine(whole);
+        List<String> completed = new ArrayList<>();
+        for (byte value : bytes) {
+            if (value == '\n') {
+                endLine(completed);
             } else if (line.size() < maxItemBytes) {
-                line.write(next);
+                line.write(value);
             } else {
                 lineTooLong = true;
             }
         }
-        return whole;
+        return completed;
     }
 
-    /** The body is whole; returns the item of an unended last line, if there is one. */
+    /** Ends the body and returns the item of an unterminated last line, if there is one. */
     List<String> end() {
-        List<String> whole = new ArrayList<>();
+        List<String> completed = new ArrayList<>();
         if (line.size() > 0) {
-            endLine(whole);
+            endLine(completed);
         }
-        return whole;
+        return completed;
     }
 
-    /** What is wrong, with the lines; empty if nothing is. */
+    /** Returns the errors with their line numbers; empty if there are none. */
     List<String> findings() {
         return findings;
     }
@@ -63,14 +64,14 @@
         return items;
     }
 
-    private void endLine(List<String> whole) {
+    private void endLine(List<String> completed) {
         lineNumber++;
         byte[] bytes = line.toByteArray();
         boolean tooLong = lineTooLong;
         line.reset();
         lineTooLong = false;
         if (tooLong) {
-            found("longer than " + maxItemBytes + " bytes");
+            addFinding("longer than " + maxItemBytes + " bytes");
             return;
         }
         String text = new String(bytes, StandardCharsets.UTF_8).strip();
@@ -79,29 +80,29 @@
         }
         items++;
         if (items > maxItems) {
-            found("more than " + maxItems + " items");
+            addFinding("more than " + maxItems + " items");
             return;
         }
-        check(bytes);
+        validate(bytes);
         if (findings.isEmpty()) {
-            whole.add(text);
+            completed.add(text);
         }
     }
 
-    private void check(byte[] bytes) {
+    private void validate(byte[] bytes) {
         Try<JsonNode> json = Json.tree(bytes);
         if (json.isFailure()) {
-            found("not valid JSON: " + firstLine(json.getCause().getMessage()));
+            addFinding("not valid JSON: " + firstLine(json.getCause().getMessage()));
         } else if (!json.get().isObject()) {
-            found("a JSON object is expected");
+            addFinding("a JSON object is expected");
         } else if (!json.get().has("messages") && !json.get().has("prompt")) {
-            found("neither \"messages\" nor \"prompt\" is there");
+            addFinding("neither \"messages\" nor \"prompt\" is there");
         }
     }
 
-    private void found(String what) {
+    private void addFinding(String problem) {
         if (findings.size() < MAX_FINDINGS) {
-            findings.add("line " + lineNumber + ": " + what);
+            findings.add("line " + lineNumber + ": " + problem);
         }
     }
 
--- a/src/main/java/org/gooseberryhill/entry/JobNotices.java
+++ b/src/main/java/org/gooseberryhill/entry/JobOwnerNotifier.java
@@ -8,11 +8,11 @@
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.process.HostProcess;
 
-/** Tells a job's owner at once what it would find out by itself later. For the control thread. */
-final class JobNotices {
-    private JobNotices() {}
+/** Notifies a job's owner of a change at once, which the owner would otherwise detect later. For the control thread. */
+final class JobOwnerNotifier {
+    private JobOwnerNotifier() {}
 
-    static void tellOwner(HostProcess process, JobKey job, boolean cancelled) {
+    static void notifyOwner(HostProcess process, JobKey job, boolean cancelled) {
         Optional<Host> owner = Ownership.ownerOfJob(job, process.present(Role.STEWARD));
         owner.ifPresent(host -> process.tell(host, new PeerMessage.JobNotice(job.path(), cancelled)));
     }
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -23,10 +23,10 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * One online request on its way through this host. Decisions run on the control thread, answers on traffic threads.
+ * Processes one online request on this host. Decisions run on the control thread, answers on traffic threads.
  *
- * <p>Invariant: the caller gets one final answer; a caller that goes away or a deadline that passes cancels the
- * attempt, so that no late answer is waited for.
+ * <p>Invariant: the caller gets exactly one final answer. If the caller disconnects or the deadline passes, the attempt
+ * in progress is cancelled and its answer is not awaited.
  */
 abstract class OnlineCall {
     private static final Logger LOG = LogManager.getLogger(OnlineCall.class);
@@ -47,18 +47,21 @@
         this.startNanos = process().loop().nowNanos();
     }
 
-    /** Starts the exchange with an endpoint; its end must be told to one of the attempt methods below. */
+    /**
+     * Starts the exchange with an endpoint. Its end must be reported to {@link #attemptSucceeded} or
+     * {@link #attemptFailed}.
+     */
     abstract Exchange startExchange(EndpointSettings endpoint, long attempt);
 
-    /** Gives the caller its refusal. */
+    /** Sends the refusal to the caller. */
     abstract void refuse(Refusal refusal);
 
-    /** Runs before the first attempt; calls {@link #proceed} or {@link #giveUp}. */
+    /** Prepares the first attempt; calls {@link #proceed} or {@link #giveUp} when done. */
     void prepare() {
         proceed();
     }
 
-    /** Takes the request in; from any thread. */
+    /** Starts processing the request. May be called from any thread. */
     final void begin() {
         process().loop().execute(this::admit);
     }
@@ -67,14 +70,14 @@
         return context.process();
     }
 
-    /** Goes on with the first attempt. Control thread. */
+    /** Requests the next decision and performs it. For the control thread. */
     final void proceed() {
         if (!finished) {
-            follow(context.traffic().core().next(request, nowNanos()));
+            perform(context.traffic().core().next(request, nowNanos()));
         }
     }
 
-    /** An attempt brought the whole answer; the action gives it to the caller. From any thread. */
+    /** Ends an attempt with a complete answer, which the action sends to the caller. May be called from any thread. */
     final void attemptSucceeded(long attempt, Runnable action) {
         process().loop().execute(() -> {
             if (finished || attempt != attemptNumber) {
@@ -87,21 +90,21 @@
         });
     }
 
-    /** The request was answered without an attempt, from what an earlier call left. Control thread. */
-    final void attemptReplayed(Runnable action) {
+    /** Answers the request with the stored answer of an earlier call, without an attempt. For the control thread. */
+    final void replayAnswer(Runnable action) {
         if (!finished) {
             action.run();
             finish("replayed");
         }
     }
 
-    /** An attempt failed. From any thread. */
+    /** Ends an attempt with a failure. May be called from any thread. */
     final void attemptFailed(long attempt, ExchangeFailure failure) {
         process().loop().execute(() -> {
             if (finished || attempt != attemptNumber) {
                 return;
             }
-            boolean cut =
+            boolean connectionCut =
                     failure.kind() == ExchangeFailure.Kind.CONNECTION_LOST && failure.outcome() == Outcome.MAY_HAVE_RUN;
             String endpoint = request.endpoint().orElse("");
             process()
@@ -117,21 +120,24 @@
                     CloseableThreadContext.put("request", intake.id()).put("endpoint", endpoint)) {
                 LOG.warn("attempt {} failed, {}: {}", attempt, failure.outcome().wireName(), failure.detail());
             }
-            if (cut) {
-                context.traffic().crashed(endpoint, intake.fingerprint());
+            if (connectionCut) {
+                context.traffic().onEndpointCrashed(endpoint, intake.fingerprint());
             }
             releasePermit(false);
-            AttemptFailure attemptFailure = new AttemptFailure(failure.outcome(), cut, failure.detail());
-            follow(context.traffic().core().attemptFailed(request, attemptFailure, nowNanos()));
+            AttemptFailure attemptFailure = new AttemptFailure(failure.outcome(), connectionCut, failure.detail());
+            perform(context.traffic().core().attemptFailed(request, attemptFailure, nowNanos()));
         });
     }
 
-    /** The caller has a part of the answer that no other endpoint can continue. From any thread. */
-    final void answerStarted() {
+    /**
+     * Records that the caller has a part of an answer that no other endpoint can continue. May be called from any
+     * thread.
+     */
+    final void markAnswerStarted() {
         process().loop().execute(() -> request.answerStarted());
     }
 
-    /** Gives the request up. Control thread. */
+    /** Ends the request with a refusal. For the control thread. */
     final void giveUp(Refusal refusal) {
         if (finished) {
             return;
@@ -155,17 +161,17 @@
             return;
         }
         request = admitted.get();
-        context.traffic().requestBegan();
-        context.metrics().started();
-        call.onDisconnect(() -> process().loop().execute(this::callerGone));
-        long leftMillis = TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos());
-        process().loop().after(leftMillis, this::deadlinePassed);
+        context.traffic().requestStarted();
+        context.metrics().requestStarted();
+        call.onDisconnect(() -> process().loop().execute(this::onCallerDisconnected));
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos());
+        process().loop().after(remainingMillis, this::onDeadlinePassed);
         prepare();
     }
 
     private void reject(Refusal refusal) {
         finished = true;
-        context.metrics().refused(intake.service(), refusal.code().wireName());
+        context.metrics().requestRefused(intake.service(), refusal.code().wireName());
         process()
                 .timeline()
                 .event(EventKind.REQUEST_REFUSED)
@@ -176,11 +182,11 @@
         refuse(refusal);
     }
 
-    private void follow(OnlineDecision decision) {
+    private void perform(OnlineDecision decision) {
         if (decision instanceof OnlineDecision.Send send) {
             send(send.endpoint());
-        } else if (decision instanceof OnlineDecision.AskPermit question) {
-            askPermit(question);
+        } else if (decision instanceof OnlineDecision.AskPermit ask) {
+            requestPermit(ask);
         } else if (decision instanceof OnlineDecision.Wait wait) {
             process().loop().after(wait.delayMillis(), this::proceed);
         } else if (decision instanceof OnlineDecision.Refuse refuse) {
@@ -190,7 +196,7 @@
 
     private void send(EndpointSettings endpoint) {
         attemptNumber++;
-        context.metrics().attempt(endpoint.name());
+        context.metrics().attemptStarted(endpoint.name());
         context.traffic().attemptStarted(endpoint.name());
         process()
                 .timeline()
@@ -202,30 +208,30 @@
         exchange = startExchange(endpoint, attemptNumber);
     }
 
-    private void askPermit(OnlineDecision.AskPermit question) {
-        Optional<Host> arbiter = context.traffic().arbiter(intake.service());
+    private void requestPermit(OnlineDecision.AskPermit ask) {
+        Optional<Host> arbiter = context.traffic().suspectArbiter(intake.service());
         if (arbiter.isEmpty()) {
-            permitAnswered(Optional.empty());
+            onPermitAnswer(Optional.empty());
             return;
         }
         PeerMessage message = new PeerMessage.SuspectPermitAsk(
-                intake.service(), intake.fingerprint().value(), question.endpoints());
+                intake.service(), intake.fingerprint().value(), ask.endpoints());
         process()
                 .ask(arbiter.get(), message)
                 .whenComplete((reply, failure) -> process()
                         .loop()
-                        .execute(() -> permitAnswered(
+                        .execute(() -> onPermitAnswer(
                                 reply instanceof PeerMessage.SuspectPermit permit
                                         ? permit.endpoint()
                                         : Optional.empty())));
     }
 
-    private void permitAnswered(Optional<String> endpoint) {
+    private void onPermitAnswer(Optional<String> endpoint) {
         if (finished) {
             endpoint.ifPresent(name -> sendRelease(false));
             return;
         }
-        follow(context.traffic().core().permitted(request, endpoint, nowNanos()));
+        perform(context.traffic().core().permitted(request, endpoint, nowNanos()));
     }
 
     private void releasePermit(boolean completed) {
@@ -237,26 +243,28 @@
     private void sendRelease(boolean completed) {
         PeerMessage release = new PeerMessage.SuspectRelease(
                 intake.service(), intake.fingerprint().value(), completed);
-        context.traffic().arbiter(intake.service()).ifPresent(host -> process().tell(host, release));
+        context.traffic()
+                .suspectArbiter(intake.service())
+                .ifPresent(host -> process().tell(host, release));
     }
 
-    private void callerGone() {
+    private void onCallerDisconnected() {
         if (!finished) {
-            abandon();
+            cancelAttempt();
             finish("caller-gone");
         }
     }
 
-    private void deadlinePassed() {
+    private void onDeadlinePassed() {
         if (!finished) {
             Outcome outcome = request.endpoint().isPresent() ? Outcome.MAY_HAVE_RUN : request.outcome();
-            abandon();
+            cancelAttempt();
             giveUp(new Refusal(
                     ErrorCode.DEADLINE_EXCEEDED, outcome, "the deadline passed before the answer", Optional.empty()));
         }
     }
 
-    private void abandon() {
+    private void cancelAttempt() {
         if (exchange != null) {
             exchange.cancel();
         }
@@ -268,7 +276,7 @@
         finished = true;
         context.traffic().core().finished(request);
         context.traffic().requestEnded();
-        context.metrics().ended(intake.service(), end);
+        context.metrics().requestEnded(intake.service(), end);
         process()
                 .timeline()
                 .event(EventKind.REQUEST_ENDED)
--- a/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
@@ -18,31 +18,31 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * What an entry host shares with the others about online work: loads, crashes, leaving endpoints. Used by the control
- * thread only.
+ * Exchanges the state of online requests with other hosts: loads, crashes and leaving endpoints. For the control
+ * thread.
  *
- * <p>The start of a request is told to the endpoint's steward at once, since batch has to yield to it; its end may
- * wait for the next round.
+ * <p>The start of a request is reported to the endpoint's steward at once, since batch items have to yield to it; its
+ * end may wait for the next reporting round.
  */
 final class OnlineTraffic {
-    private static final long SUSPECT_MEMORY_MILLIS = TimeUnit.MINUTES.toMillis(10);
+    private static final long SUSPECT_RETENTION_MILLIS = TimeUnit.MINUTES.toMillis(10);
     private static final int MAX_SUSPECTS = 10_000;
     private static final long REPORT_PERIOD_MILLIS = 250;
 
     private final HostProcess process;
     private final OnlineCore core;
-    private final TailWatch tail = new TailWatch();
+    private final TailWatch tailLatency = new TailWatch();
     private final LeavingEndpoints leaving = new LeavingEndpoints();
-    private final LoadReports reports;
-    private int inProgress;
+    private final LoadReporter loadReporter;
+    private int requestsInProgress;
 
     OnlineTraffic(HostProcess process, EntrySettings settings) {
         this.process = process;
         this.core = new OnlineCore(
                 process.settings().self().zone(),
                 settings.policies(),
-                new CrashSuspects(SUSPECT_MEMORY_MILLIS, MAX_SUSPECTS));
-        this.reports = new LoadReports(process, this::takeLoads);
+                new CrashSuspects(SUSPECT_RETENTION_MILLIS, MAX_SUSPECTS));
+        this.loadReporter = new LoadReporter(process, this::onEndpointLoads);
         process.configuration().onChange(core::configure);
         process.onHostList(listing -> {
             leaving.replace(LeavingSource.HOST_LIST, listing.leavingEndpoints());
@@ -55,29 +55,31 @@
         return core;
     }
 
-    TailWatch tail() {
-        return tail;
+    TailWatch tailLatency() {
+        return tailLatency;
     }
 
-    int inProgress() {
-        return inProgress;
+    int requestsInProgress() {
+        return requestsInProgress;
     }
 
-    void requestBegan() {
-        inProgress++;
+    void requestStarted() {
+        requestsInProgress++;
     }
 
     void requestEnded() {
-        inProgress--;
+        requestsInProgress--;
     }
 
-    /** An attempt starts: the endpoint's steward has to know before the endpoint slows down. */
+    /** Reports the start of an attempt; the steward has to know of it before the endpoint slows down. */
     void attemptStarted(String endpoint) {
-        core.endpoints().find(endpoint).ifPresent(state -> reports.reportNow(state.settings(), state.ownInFlight()));
+        core.endpoints()
+                .find(endpoint)
+                .ifPresent(state -> loadReporter.reportNow(state.settings(), state.ownInFlight()));
     }
 
-    /** An endpoint broke off requests: all hosts have to know before the caller sends them again elsewhere. */
-    void crashed(String endpoint, Fingerprint fingerprint) {
+    /** Handles a crash at an endpoint. All hosts have to know of it before the caller resends the request elsewhere. */
+    void onEndpointCrashed(String endpoint, Fingerprint fingerprint) {
         core.suspects().crashed(endpoint, List.of(fingerprint), process.loop().nowNanos());
         process.timeline()
                 .event(EventKind.ENDPOINT_CRASHED)
@@ -91,30 +93,30 @@
         process.present(Role.STEWARD).forEach(host -> process.tell(host, notice));
     }
 
-    /** Another host tells of a crash. */
-    void heardCrash(PeerMessage.CrashNotice notice) {
+    /** Handles another host's notice of a crash. */
+    void onCrashNotice(PeerMessage.CrashNotice notice) {
         List<Fingerprint> fingerprints =
                 notice.fingerprints().stream().map(Fingerprint::new).toList();
         core.suspects().crashed(notice.endpoint(), fingerprints, process.loop().nowNanos());
     }
 
-    /** A steward tells of one of its endpoints. */
-    void heardLeaving(PeerMessage.LeavingNotice notice) {
+    /** Handles a steward's notice that one of its endpoints is leaving, or no longer is. */
+    void onLeavingNotice(PeerMessage.LeavingNotice notice) {
         leaving.update(LeavingSource.PEER, notice.endpoint(), notice.leaving());
         core.endpoints().leaving(leaving.all());
     }
 
-    /** The host that arbitrates the suspects of a service. */
-    Optional<Host> arbiter(String service) {
+    /** Returns the host that arbitrates the suspects of a service. */
+    Optional<Host> suspectArbiter(String service) {
         return Ownership.ownerOfSuspects(service, process.present(Role.STEWARD));
     }
 
     private void reportLoads() {
-        reports.reportRound(core.endpoints().all(), tail.takeSlow());
+        loadReporter.reportChanges(core.endpoints().all(), tailLatency.takeSlow());
     }
 
-    private void takeLoads(Set<String> asked, PeerMessage.EndpointLoads loads) {
-        for (String endpoint : asked) {
+    private void onEndpointLoads(Set<String> reported, PeerMessage.EndpointLoads loads) {
+        for (String endpoint : reported) {
             int online = loads.online().getOrDefault(endpoint, 0);
             int batch = loads.batch().getOrDefault(endpoint, 0);
             core.endpoints().reported(endpoint, online, batch);
