--- a/src/main/java/org/gooseberryhill/program/CheckedStream.java
+++ b/src/main/java/org/gooseberryhill/program/CheckedStream.java
@@ -7,21 +7,21 @@
 import org.gooseberryhill.http.ExchangeListener;
 
 /**
- * Follows a streamed answer as a caller does and checks it whole. Used by one traffic thread.
+ * Reads a streamed answer as a caller does and checks its text against the expected one. Used by one traffic thread.
  *
- * <p>Property: expected text. The result tells times in nanoseconds since the intended sending, so that waiting before
- * the sending counts.
+ * <p>Times are in nanoseconds since the intended time of sending, so that a delay before the request is sent counts as
+ * latency.
  */
 public final class CheckedStream implements ExchangeListener {
-    /** How an answer ended. */
+    /** The outcome of an answer. */
     public enum End {
-        /** Whole and right. */
+        /** Complete, with the expected text. */
         WHOLE,
-        /** Ended as whole, but with another text: must never be. */
+        /** Ended as complete but with another text, which must never happen. */
         WRONG,
-        /** Refused before any part of an answer. */
+        /** Refused with an error status, before any part of an answer. */
         REFUSED,
-        /** Broken off, and shown as such. */
+        /** Cut off in a way that the caller can detect: without the end mark, or by a failed connection. */
         CUT
     }
 
@@ -37,13 +37,18 @@
     private long longestGapNanos;
     private int tokens;
 
-    /** Follows an answer that shall have this text; times count from the intended sending. */
+    /**
+     * Creates a listener for one answer.
+     *
+     * @param expected the expected text
+     * @param intendedNanos the intended time of sending, as of {@link System#nanoTime()}
+     */
     public CheckedStream(String expected, long intendedNanos) {
         this.expected = expected;
         this.intendedNanos = intendedNanos;
     }
 
-    /** Completes when the answer has ended in whatever way. */
+    /** Returns a future that completes when the answer has ended, whatever its outcome. */
     public CompletableFuture<Result> result() {
         return result;
     }
@@ -97,15 +102,15 @@
     }
 
     /**
-     * An answer as its caller saw it.
+     * The result of an answer as its caller observed it.
      *
-     * @param end how it ended
-     * @param status the HTTP status, 0 if none came
-     * @param firstTokenNanos from the intended sending to the first token
+     * @param end the outcome
+     * @param status the HTTP status, 0 if none was received
+     * @param firstTokenNanos time from the intended sending to the first token
      * @param meanGapNanos mean time between tokens
      * @param longestGapNanos longest time between tokens
-     * @param totalNanos from the intended sending to the end
-     * @param tokens how many tokens came
+     * @param totalNanos time from the intended sending to the end
+     * @param tokens number of tokens received
      */
     public record Result(
             End end,
--- a/src/main/java/org/gooseberryhill/program/Commands.java
+++ b/src/main/java/org/gooseberryhill/program/Commands.java
@@ -3,15 +3,15 @@
 import java.util.concurrent.CompletionException;
 import picocli.CommandLine;
 
-/** Runs a program's command line with the exit codes that docs/OPERATIONS.md names. Stateless. */
+/** Runs a program's command line and returns the exit codes documented in docs/OPERATIONS.md. Stateless. */
 final class Commands {
-    /** Everything went well. */
+    /** The command succeeded. */
     static final int OK = 0;
 
-    /** The work could not be done, or findings were reported. */
+    /** The command failed or reported findings. */
     static final int FAILED = 1;
 
-    /** The command line or the settings are wrong. */
+    /** The command line or the settings are invalid. */
     static final int USAGE = 2;
 
     private Commands() {}
--- a/src/main/java/org/gooseberryhill/program/ConfigCommand.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigCommand.java
@@ -23,7 +23,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The commands about the operators' text. */
+/** Checks, applies and shows the operators' configuration. */
 @Command(name = "config", mixinStandardHelpOptions = true, description = "Checks, applies and shows the configuration")
 final class ConfigCommand {
     private static final Pattern REVISION_LINE = Pattern.compile("# revision (\\d+)\\b.*");
--- a/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
@@ -13,33 +13,33 @@
 import org.gooseberryhill.external.Transaction;
 import org.gooseberryhill.process.ConfigurationCodec;
 
-/** Reads and edits the configuration in the key-value service, with its history. Used by one thread; waits. */
+/** Reads and edits the configuration and its history in the key-value service. Used by one thread; calls block. */
 public final class ConfigurationEditor {
-    /** Earlier texts that are kept. */
+    /** Number of latest edits that the history retains. */
     public static final int KEPT_EDITS = 50;
 
     private static final int HISTORY_PAGE = 1000;
 
     private final StreamingKeyValueStore keyValue;
 
-    /** An editor over a key-value service. */
+    /** Creates an editor of the configuration in a key-value service. */
     public ConfigurationEditor(StreamingKeyValueStore keyValue) {
         this.keyValue = keyValue;
     }
 
-    /** The configuration's record with its revision; empty if there is none yet. */
+    /** Returns the current configuration record with its revision; empty if there is none yet. */
     public Optional<Stored> read() {
         return keyValue.read(Keys.CONFIGURATION).join().first().map(ConfigurationEditor::stored);
     }
 
-    /** Earlier records, oldest first. */
+    /** Returns the records in the history, oldest first. */
     public List<Stored> history() {
         return keyValue.readPrefix(Keys.HISTORY, Keys.HISTORY, HISTORY_PAGE).join().entries().stream()
                 .map(ConfigurationEditor::stored)
                 .toList();
     }
 
-    /** Applies a text in place of the one with the base revision; the step is a final one. */
+    /** Replaces the text of the base revision; returns the final step of the edit. */
     public Step apply(String text, String author, long baseRevision) {
         String editId = UUID.randomUUID().toString();
         ConfigurationRecord record = new ConfigurationRecord(editId, author, System.currentTimeMillis(), text);
@@ -90,7 +90,7 @@
                     .forEach(entry -> deletion.delete(entry.key()));
             keyValue.write(deletion.build()).join();
         } catch (CompletionException e) {
-            // The edit itself is accepted; the next one trims.
+            // The edit itself is accepted; the next edit trims the history.
             return;
         }
     }
@@ -100,10 +100,10 @@
     }
 
     /**
-     * A record as it is stored.
+     * A stored record.
      *
      * @param record the record
-     * @param revision the revision that wrote it
+     * @param revision the revision at which it was written
      */
     public record Stored(ConfigurationRecord record, long revision) {}
 }
--- a/src/main/java/org/gooseberryhill/program/CurveCommand.java
+++ b/src/main/java/org/gooseberryhill/program/CurveCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The two measures of the brief as a curve. */
+/** Measures batch throughput against the latency of online requests, for the product and for the baseline. */
 @Command(
         name = "curve",
         mixinStandardHelpOptions = true,
@@ -82,8 +82,8 @@
         long runs = reader.number("--repeats", repeats, 1, MAX_REPEATS);
         int port = (int) reader.number("--base-port", basePort, 1024, MAX_PORT);
         reader.requireNone();
-        Deployment chosen = easel ? new EaselAndOchreDeployment() : new StadsdataDeployment();
-        Experiment experiment = new Experiment(chosen, runSeconds, port);
+        Deployment workload = easel ? new EaselAndOchreDeployment() : new StadsdataDeployment();
+        Experiment experiment = new Experiment(workload, runSeconds, port);
         PrintWriter console = spec.commandLine().getOut();
         List<RunResult> results = new ArrayList<>();
         for (int repeat = 0; repeat < runs; repeat++) {
@@ -94,16 +94,16 @@
                 console.flush();
             }
         }
-        write(chosen, results, console);
+        write(workload, results, console);
         return Commands.OK;
     }
 
-    private void write(Deployment chosen, List<RunResult> results, PrintWriter console) throws IOException {
+    private void write(Deployment workload, List<RunResult> results, PrintWriter console) throws IOException {
         Files.createDirectories(out);
-        Files.writeString(out.resolve(chosen.name() + ".json"), Json.text(results));
-        Files.writeString(out.resolve(chosen.name() + ".svg"), Curve.svg(chosen.name(), results));
+        Files.writeString(out.resolve(workload.name() + ".json"), Json.text(results));
+        Files.writeString(out.resolve(workload.name() + ".svg"), Curve.svg(workload.name(), results));
         String table = Curve.table(results);
-        Files.writeString(out.resolve(chosen.name() + ".md"), table);
+        Files.writeString(out.resolve(workload.name() + ".md"), table);
         console.println(table);
     }
 }
--- a/src/main/java/org/gooseberryhill/program/DemoCommand.java
+++ b/src/main/java/org/gooseberryhill/program/DemoCommand.java
@@ -28,8 +28,9 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs the main job on embedded stand-ins: streams to several callers while a job runs to its end; one runner is
- * killed and one leaves as planned on the way. Exits with 0 only if each claim of its summary was checked.
+ * Demonstrates the system on embedded stand-ins: streams answers to several callers while a job runs to its end.
+ * Meanwhile one runner is killed and another leaves as planned. Exits with 0 only if every check behind the summary
+ * passed.
  */
 @Command(
         name = "demo",
@@ -61,9 +62,10 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Path own = folder.resolve(Long.toString(System.currentTimeMillis()));
-        Files.createDirectories(own);
-        try (SampleSystem system = new SampleSystem(new SampleFleet(basePort, 12), EngineSpeed.SMALL, own, false)) {
+        Path runFolder = folder.resolve(Long.toString(System.currentTimeMillis()));
+        Files.createDirectories(runFolder);
+        try (SampleSystem system =
+                new SampleSystem(new SampleFleet(basePort, 12), EngineSpeed.SMALL, runFolder, false)) {
             awaitReady(system);
             return run(system);
         }
@@ -86,14 +88,14 @@
         }
         check(whole == REQUESTS, (REQUESTS - whole) + " online answers were not whole");
         awaitDone(coordinator);
-        int once = countOnce(coordinator);
-        check(once == ITEMS, once + " of " + ITEMS + " items have their right result once");
+        int correct = countOnce(coordinator);
+        check(correct == ITEMS, correct + " of " + ITEMS + " items have their right result once");
         coordinator.close();
         out.printf("online: %d of %d answers whole and right%n", whole, REQUESTS);
         out.printf(
                 "online first token: p50 %.1f ms, p99 %.1f ms%n",
                 firstToken.getValueAtPercentile(50) / 1000.0, firstToken.getValueAtPercentile(99) / 1000.0);
-        out.printf("job: %d of %d items done once, each result right%n", once, ITEMS);
+        out.printf("job: %d of %d items done once, each result right%n", correct, ITEMS);
         out.printf("runner %s killed, runner %s left as planned, nothing cut%n", engine(1), engine(2));
         out.printf("key-value service calls: %s%n", system.platform().keyValue().meter());
         out.printf("time line: bin/gooseberry timeline %s%n", system.timelineFolder());
@@ -137,7 +139,7 @@
                 }
             }
         }
-        // The first heartbeats and leases.
+        // Leaves time for the first heartbeats and leases.
         Thread.sleep(5 * POLL_MILLIS);
     }
 
@@ -157,7 +159,7 @@
     private int countOnce(EntryClient client) {
         HttpResult results = client.call("GET", "/v1/jobs/" + JOB + "/results", new byte[0]);
         BitSet seen = new BitSet();
-        int once = 0;
+        int correct = 0;
         for (String line : new String(results.body(), StandardCharsets.UTF_8).split("\n")) {
             JsonNode json = Json.tree(line.getBytes(StandardCharsets.UTF_8)).getOrElse(Json.object());
             int index = json.path("index").asInt(-1);
@@ -165,12 +167,12 @@
             boolean right = json.path("text").asText().equals(expected);
             if (index >= 0 && right && !seen.get(index)) {
                 seen.set(index);
-                once++;
+                correct++;
             } else {
                 check(false, "a result is wrong or stands twice: " + line);
             }
         }
-        return once;
+        return correct;
     }
 
     private void check(boolean holds, String failure) {
--- a/src/main/java/org/gooseberryhill/program/EndpointsCommand.java
+++ b/src/main/java/org/gooseberryhill/program/EndpointsCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Shows each endpoint of the configuration in force and what it says of itself. */
+/** Shows each endpoint of the configuration in force and the status that it reports. */
 @Command(
         name = "endpoints",
         mixinStandardHelpOptions = true,
@@ -48,9 +48,9 @@
             Configuration configuration =
                     ConfigurationReader.read("in force", text).getOrElse(Configuration.EMPTY);
             for (EndpointSettings endpoint : configuration.endpoints().values()) {
-                boolean model =
+                boolean servesModel =
                         configuration.services().get(endpoint.service()).model().isPresent();
-                views.add(view(endpoint, model ? status(connection.http(), endpoint) : "plain service"));
+                views.add(view(endpoint, servesModel ? status(connection.http(), endpoint) : "plain service"));
             }
         }
         if (json) {
@@ -93,6 +93,6 @@
                         status.path("draining").asBoolean() ? ", leaving" : "");
     }
 
-    /** One line of the answer. */
+    /** One line of the output. */
     private record EndpointView(String name, String service, String zone, String address, String status) {}
 }
--- a/src/main/java/org/gooseberryhill/program/EntryClient.java
+++ b/src/main/java/org/gooseberryhill/program/EntryClient.java
@@ -13,7 +13,7 @@
 import org.gooseberryhill.http.HttpResult;
 import org.gooseberryhill.link.Address;
 
-/** Speaks to an entry host as a caller does. Thread-safe. */
+/** HTTP client that calls an entry host as a caller does. Thread-safe. */
 public final class EntryClient implements Closeable {
     private static final int SILENCE_MILLIS = 60_000;
     private static final int MAX_ANSWER_BYTES = 64 * 1024 * 1024;
@@ -23,24 +23,24 @@
     private final Address address;
     private final String key;
 
-    /** A client of one entry with a caller's bearer key. */
+    /** Creates a client of one entry host that authenticates with a caller's bearer key. */
     public EntryClient(Address address, String key) {
         this.address = address;
         this.key = key;
     }
 
-    /** Sends a request and waits for its whole answer. */
+    /** Sends a request with additional headers and waits for the complete answer. */
     public HttpResult call(String method, String target, byte[] body, Map<String, String> headers) {
         return http.call(request(method, target, body, headers), MAX_ANSWER_BYTES)
                 .join();
     }
 
-    /** Sends a request and waits for its whole answer. */
+    /** Sends a request and waits for the complete answer. */
     public HttpResult call(String method, String target, byte[] body) {
         return call(method, target, body, Map.of());
     }
 
-    /** Sends a request whose answer the listener follows. */
+    /** Sends a request whose answer is passed to the listener as it arrives. */
     public void start(String method, String target, byte[] body, ExchangeListener listener) {
         http.start(request(method, target, body, Map.of()), listener);
     }
--- a/src/main/java/org/gooseberryhill/program/GooseberryMain.java
+++ b/src/main/java/org/gooseberryhill/program/GooseberryMain.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The operators' command line, {@code gooseberry}. */
+/** The command line for operators, {@code gooseberry}. */
 @Command(
         name = "gooseberry",
         mixinStandardHelpOptions = true,
@@ -22,12 +22,12 @@
     @Spec
     private CommandSpec spec;
 
-    /** Runs the program; exit code 0 if it went well, 1 if not, 2 for a wrong command line. */
+    /** Runs the program; exits with 0 on success, 1 on failure and 2 if the command line or the settings are invalid. */
     public static void main(String... arguments) {
         System.exit(Commands.run(new GooseberryMain(), arguments));
     }
 
-    /** Shows the usage when no subcommand is given. */
+    /** Prints the usage if no subcommand is given. */
     @Override
     public void run() {
         spec.commandLine().usage(spec.commandLine().getOut());
--- a/src/main/java/org/gooseberryhill/program/HostOptions.java
+++ b/src/main/java/org/gooseberryhill/program/HostOptions.java
@@ -8,7 +8,7 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 import picocli.CommandLine.Option;
 
-/** The options that entries, stewards and stores share. Used by one thread. */
+/** The options common to entries, stewards and stores. Used by one thread. */
 final class HostOptions {
     private static final long MAX_MILLIS = 3_600_000;
 
--- a/src/main/java/org/gooseberryhill/program/JobCommand.java
+++ b/src/main/java/org/gooseberryhill/program/JobCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The commands about jobs, spoken to an entry host with a caller's key. */
+/** Submits, follows and cancels jobs through an entry host, with a caller's key. */
 @Command(name = "job", mixinStandardHelpOptions = true, description = "Submits, follows and cancels jobs")
 final class JobCommand {
     private static final String PATH = "/v1/jobs/";
@@ -147,7 +147,7 @@
         return spec.commandLine().getErr();
     }
 
-    /** The options by which a caller's commands reach an entry. */
+    /** The options for the address of an entry host and the caller's key. */
     static final class EntryOptions {
         @Option(
                 names = "--entry",
@@ -164,9 +164,9 @@
         EntryClient connect() {
             SettingsReader reader = new SettingsReader();
             Address address = reader.address("--entry", entry);
-            String found = reader.required("--key", key);
+            String bearerKey = reader.required("--key", key);
             reader.requireNone();
-            return new EntryClient(address, found);
+            return new EntryClient(address, bearerKey);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/program/KeyCommand.java
+++ b/src/main/java/org/gooseberryhill/program/KeyCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The commands about callers' keys. */
+/** Computes the hashes of callers' bearer keys for the configuration. */
 @Command(name = "key", mixinStandardHelpOptions = true, description = "Works with callers' bearer keys")
 final class KeyCommand {
     @Spec
--- a/src/main/java/org/gooseberryhill/program/LoadMain.java
+++ b/src/main/java/org/gooseberryhill/program/LoadMain.java
@@ -20,7 +20,7 @@
         System.exit(Commands.run(new LoadMain(), arguments));
     }
 
-    /** Shows the usage when no subcommand is given. */
+    /** Prints the usage if no subcommand is given. */
     @Override
     public void run() {
         spec.commandLine().usage(spec.commandLine().getOut());
--- a/src/main/java/org/gooseberryhill/program/ProcessLife.java
+++ b/src/main/java/org/gooseberryhill/program/ProcessLife.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.CountDownLatch;
 import org.gooseberryhill.process.HostProcess;
 
-/** The life of a process of the system: it ends by a planned stop on SIGTERM or SIGINT. Stateless. */
+/** Ends a process by a planned stop on SIGTERM or SIGINT. Stateless. */
 final class ProcessLife {
     private ProcessLife() {}
 
-    /** Waits until the process has ended its planned stop. */
+    /** Waits until the planned stop of the process has ended, then closes the program. */
     static void runUntilStopped(HostProcess process, Closeable program) throws IOException {
         CountDownLatch closed = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stopAndWait(process, closed), "stop"));
--- a/src/main/java/org/gooseberryhill/program/SampleSystem.java
+++ b/src/main/java/org/gooseberryhill/program/SampleSystem.java
@@ -27,12 +27,12 @@
 import org.gooseberryhill.store.StoreProcess;
 
 /**
- * A whole small system with its stand-ins in one process, for the demo, experiments and tests. Not thread-safe.
+ * A small but complete system with its stand-ins in one process, for the demo, experiments and tests. Not thread-safe.
  *
- * <p>Three availability zones, one entry, one steward and one store in each.
+ * <p>It has three availability zones with one entry, one steward and one store each.
  */
 public final class SampleSystem implements Closeable {
-    /** Own hosts of each role. */
+    /** Number of hosts of each role. */
     public static final int HOSTS_PER_ROLE = 3;
 
     private static final long LEASE_MILLIS = 3000;
@@ -47,7 +47,14 @@
     private final List<StewardProcess> stewards = new ArrayList<>();
     private final List<StoreProcess> stores = new ArrayList<>();
 
-    /** Starts everything; the folder takes the stores' data and the time line. */
+    /**
+     * Starts the stand-ins and all hosts.
+     *
+     * @param fleet the addresses
+     * @param speed the speed of the engine stand-ins
+     * @param folder where the stores' data and the timeline logs are written
+     * @param baseline whether the baseline's policies are used instead of the product's
+     */
     public SampleSystem(SampleFleet fleet, EngineSpeed speed, Path folder, boolean baseline) {
         this.fleet = fleet;
         this.folder = folder;
@@ -61,7 +68,7 @@
         }
     }
 
-    /** Starts an entry, from 0, as at the beginning or in the place of one that was stopped. */
+    /** Starts an entry by its number, counted from 0; also restarts one that was stopped. */
     public EntryProcess startEntry(int number) {
         EntrySettings settings = new EntrySettings(
                 fleet.entryHttp(number),
@@ -77,7 +84,7 @@
         return entry;
     }
 
-    /** Starts a steward, from 0. */
+    /** Starts a steward by its number, counted from 0. */
     public StewardProcess startSteward(int number) {
         BatchSlotPolicy slots = baseline ? new FixedSlotsPolicy() : new LeftoverSlotsPolicy(StewardMain.RESERVE_SHARE);
         DispatchOrder order = baseline ? new FirstComeOrder() : new EarliestDeadlineFairOrder();
@@ -87,24 +94,24 @@
         return steward;
     }
 
-    /** Starts a store, from 0; its data folder outlives it. */
+    /** Starts a store by its number, counted from 0; its data folder remains after it is closed. */
     public StoreProcess startStore(int number) {
         StoreProcess store = new StoreProcess(host(fleet.store(number)), storeFolder(number), REPAIR_MILLIS, number);
         store.start();
         return store;
     }
 
-    /** Where a store keeps its segments. */
+    /** Returns the folder in which a store keeps its segments. */
     public Path storeFolder(int number) {
         return folder.resolve("store-" + number);
     }
 
-    /** Where the time line is written. */
+    /** Returns the folder to which the timeline logs are written. */
     public Path timelineFolder() {
         return folder.resolve("timeline");
     }
 
-    /** Puts a text into force in place of the one there. */
+    /** Applies a configuration text in place of the current one. */
     public void applyConfiguration(String text) {
         try (PlatformOptions.Connection connection = new PlatformOptions.Connection(fleet.keyValue())) {
             ConfigurationEditor editor = new ConfigurationEditor(connection.keyValue());
@@ -116,32 +123,32 @@
         }
     }
 
-    /** A client of an entry, with a caller's key. */
+    /** Creates a client of an entry that uses a caller's key. */
     public EntryClient client(int entry, String key) {
         return new EntryClient(fleet.entryHttp(entry), key);
     }
 
-    /** The addresses. */
+    /** Returns the addresses of the hosts and stand-ins. */
     public SampleFleet fleet() {
         return fleet;
     }
 
-    /** The stand-ins. */
+    /** Returns the stand-ins of the platform and the endpoints. */
     public SamplePlatform platform() {
         return platform;
     }
 
-    /** The entries. */
+    /** Returns the entries that were started at the beginning. */
     public List<EntryProcess> entries() {
         return entries;
     }
 
-    /** The stewards. */
+    /** Returns the stewards that were started at the beginning. */
     public List<StewardProcess> stewards() {
         return stewards;
     }
 
-    /** The stores. */
+    /** Returns the stores that were started at the beginning. */
     public List<StoreProcess> stores() {
         return stores;
     }
--- a/src/main/java/org/gooseberryhill/program/SettingsException.java
+++ b/src/main/java/org/gooseberryhill/program/SettingsException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Carries everything that is wrong with a program's settings. */
+/** Thrown if a program's settings are invalid; its message lists all findings. */
 final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/gooseberryhill/program/SettingsReader.java
+++ b/src/main/java/org/gooseberryhill/program/SettingsReader.java
@@ -7,15 +7,15 @@
 import org.gooseberryhill.link.Address;
 
 /**
- * Checks the settings of a program and collects what is wrong, so that all of it is reported before anything starts.
- * Not thread-safe. A getter always returns a usable value.
+ * Parses the settings of a program and collects findings on them, so that all are reported before anything starts. A
+ * method that parses a setting always returns a usable value, also if the setting is invalid. Not thread-safe.
  */
 final class SettingsReader {
     private static final Address NO_ADDRESS = new Address("127.0.0.1", 1);
 
     private final List<String> findings = new ArrayList<>();
 
-    /** A text that must be there. */
+    /** Returns a required text. */
     String required(String flag, String value) {
         if (value == null || value.isBlank()) {
             findings.add(flag + " is missing; set it or " + variable(flag));
@@ -24,7 +24,7 @@
         return value;
     }
 
-    /** An IP number and a port that must be there. */
+    /** Parses a required IP address and port. */
     Address address(String flag, String value) {
         String text = required(flag, value);
         Optional<Address> address = Address.parse(text);
@@ -34,12 +34,12 @@
         return address.orElse(NO_ADDRESS);
     }
 
-    /** An IP number and a port that may be left out. */
+    /** Parses an optional IP address and port. */
     Optional<Address> optionalAddress(String flag, String value) {
         return value == null || value.isBlank() ? Optional.empty() : Optional.of(address(flag, value));
     }
 
-    /** A whole number within a range. */
+    /** Parses an integer within a range, both bounds included. */
     long number(String flag, String value, long min, long max) {
         try {
             long number = Long.parseLong(value);
@@ -52,7 +52,7 @@
         return outside(flag, value, min, max);
     }
 
-    /** One of a few words. */
+    /** Returns a text that must be one of the given choices; the first one if it is invalid. */
     String choice(String flag, String value, String... choices) {
         if (!List.of(choices).contains(value)) {
             findings.add(flag + ": \"" + value + "\" is none of " + String.join(", ", choices));
@@ -61,14 +61,14 @@
         return value;
     }
 
-    /** Throws with all findings, if there are any. */
+    /** Throws a {@link SettingsException} with all findings, if there are any. */
     void requireNone() {
         if (!findings.isEmpty()) {
             throw new SettingsException(findings);
         }
     }
 
-    /** The environment variable that stands for a flag. */
+    /** Returns the name of the environment variable for a flag. */
     static String variable(String flag) {
         return "GOOSEBERRY_" + flag.substring(2).replace('-', '_').toUpperCase(Locale.ROOT);
     }
--- a/src/main/java/org/gooseberryhill/program/SlopesCommand.java
+++ b/src/main/java/org/gooseberryhill/program/SlopesCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The slopes that docs/CAPACITY.md stands on. */
+/** Measures how costs grow with sizes; docs/CAPACITY.md is based on the results. */
 @Command(
         name = "slopes",
         mixinStandardHelpOptions = true,
--- a/src/main/java/org/gooseberryhill/program/StewardMain.java
+++ b/src/main/java/org/gooseberryhill/program/StewardMain.java
@@ -27,7 +27,7 @@
         description =
                 "Sends batch items and model orders, owns jobs. Each flag has an environment variable GOOSEBERRY_...")
 public final class StewardMain implements Callable<Integer> {
-    /** The share of an endpoint's slots that batch leaves free for the first requests of a burst. */
+    /** The share of an endpoint's slots that batch items leave free for the first requests of a burst. */
     static final double RESERVE_SHARE = 0.125;
 
     private static final long MAX_MILLIS = 3_600_000;
--- a/src/main/java/org/gooseberryhill/program/TextDiff.java
+++ b/src/main/java/org/gooseberryhill/program/TextDiff.java
@@ -4,7 +4,7 @@
 import com.github.difflib.UnifiedDiffUtils;
 import java.util.List;
 
-/** What changed between two texts, as a unified diff. Stateless. */
+/** Compares two texts in the unified diff format. Stateless. */
 final class TextDiff {
     private static final int CONTEXT_LINES = 2;
 
--- a/src/main/java/org/gooseberryhill/program/TimelineCommand.java
+++ b/src/main/java/org/gooseberryhill/program/TimelineCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Merges the logs of all processes into one time line in causal order. */
+/** Merges the logs of all processes into one timeline in causal order. */
 @Command(
         name = "timeline",
         mixinStandardHelpOptions = true,
@@ -64,7 +64,7 @@
         return Commands.OK;
     }
 
-    /** The events in all logs, causes before effects; lines that are no events are passed over. */
+    /** Returns the events of all logs, causes before effects; skips lines that are not events. */
     static List<TimelineEvent> merge(List<Path> logs) throws IOException {
         List<TimelineEvent> events = new ArrayList<>();
         for (Path log : logs) {
--- a/src/main/java/org/gooseberryhill/program/Version.java
+++ b/src/main/java/org/gooseberryhill/program/Version.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import picocli.CommandLine.IVersionProvider;
 
-/** The version of all programs, from the jar's manifest. Stateless. */
+/** Provides the version of all programs from the manifest of the jar. Stateless. */
 final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/src/main/java/org/gooseberryhill/program/package-info.java
+++ b/src/main/java/org/gooseberryhill/program/package-info.java
@@ -1,2 +1,2 @@
-/** The programs: their command lines, checked settings and life. */
+/** The programs: their command lines, the validation of their settings, and their start and stop. */
 package org.gooseberryhill.program;
--- a/src/main/java/org/gooseberryhill/store/SegmentClient.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentClient.java
@@ -17,8 +17,8 @@
 /**
  * Stores and fetches segments over the peer protocol. Thread-safe.
  *
- * <p>Invariant: a store that is said to have a segment has it on its disk; {@link #put} succeeds only with copies in
- * two availability zones, or on two hosts where all stores are in one zone.
+ * <p>Invariant: a store counts as holding a segment only after it has written the segment to its disk. {@link #put}
+ * succeeds only with copies in two availability zones, or on two hosts if all stores are in one zone.
  */
 public final class SegmentClient {
     private static final long PUT_TIMEOUT_MILLIS = 10_000;
@@ -27,13 +27,18 @@
     private final PeerClient peers;
     private final Supplier<List<Host>> stores;
 
-    /** A client over the stores that are present now, as the supplier says. */
+    /**
+     * Creates a client.
+     *
+     * @param peers sends the messages
+     * @param stores supplies the stores that are present now
+     */
     public SegmentClient(PeerClient peers, Supplier<List<Host>> stores) {
         this.peers = peers;
         this.stores = stores;
     }
 
-    /** Stores a segment durably; fails with {@link PeerException} if too few stores took it. */
+    /** Stores a segment durably; fails with {@link PeerException} if too few stores accepted it. */
     public CompletableFuture<Void> put(String name, byte[] content) {
         List<Host> all = stores.get();
         List<Host> order = new ArrayList<>(SegmentNames.placement(name, all));
@@ -42,32 +47,32 @@
         return putNext(new Put(name, content, order, zones), new ArrayList<>(), 0);
     }
 
-    /** Fetches a segment from whichever store has it; empty if none that answers has. */
+    /** Fetches a segment from the first store that returns it; empty if no store that answers has it. */
     public CompletableFuture<Optional<byte[]>> get(String name) {
         return getNext(name, Ownership.rank(name, stores.get()), 0);
     }
 
-    private CompletableFuture<Void> putNext(Put put, List<Host> taken, int next) {
-        if (put.isDurable(taken)) {
+    private CompletableFuture<Void> putNext(Put put, List<Host> accepted, int next) {
+        if (put.isDurable(accepted)) {
             return CompletableFuture.completedFuture(null);
         }
         if (next >= put.order.size()) {
             return CompletableFuture.failedFuture(
-                    new PeerException("only " + taken.size() + " stores took segment " + put.name));
+                    new PeerException("segment " + put.name + " was accepted by only " + accepted.size() + " stores"));
         }
         Host store = put.order.get(next);
-        boolean wasted = put.zones >= SegmentNames.COPIES
-                && taken.stream().anyMatch(other -> other.zone().equals(store.zone()));
-        if (wasted) {
-            return putNext(put, taken, next + 1);
+        boolean zoneHasCopy = put.zones >= SegmentNames.COPIES
+                && accepted.stream().anyMatch(other -> other.zone().equals(store.zone()));
+        if (zoneHasCopy) {
+            return putNext(put, accepted, next + 1);
         }
         PeerMessage message = new PeerMessage.SegmentPut(put.name, put.content);
         return peers.ask(store.address(), PeerLane.BULK, message, PUT_TIMEOUT_MILLIS)
                 .handle((reply, failure) -> {
                     if (failure == null) {
-                        taken.add(store);
+                        accepted.add(store);
                     }
-                    return putNext(put, taken, next + 1);
+                    return putNext(put, accepted, next + 1);
                 })
                 .thenCompose(result -> result);
     }
@@ -89,13 +94,18 @@
         return Optional.empty();
     }
 
-    /** A segment to store. */
+    /**
+     * A segment to store.
+     *
+     * @param order the stores in the order in which they are tried
+     * @param zones the number of distinct availability zones of all stores
+     */
     private record Put(String name, byte[] content, List<Host> order, long zones) {
-        boolean isDurable(List<Host> taken) {
-            Set<Object> takenZones = new HashSet<>();
-            taken.forEach(host -> takenZones.add(host.zone()));
+        boolean isDurable(List<Host> accepted) {
+            Set<Object> acceptedZones = new HashSet<>();
+            accepted.forEach(host -> acceptedZones.add(host.zone()));
             long needed = SegmentNames.COPIES;
-            return taken.size() >= needed && takenZones.size() >= Math.min(zones, needed);
+            return accepted.size() >= needed && acceptedZones.size() >= Math.min(zones, needed);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/store/SegmentFolder.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentFolder.java
@@ -19,11 +19,18 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The segments under one data folder. Thread-safe.
+ * Stores segments as files in one data folder. Thread-safe.
  *
- * <p>Invariants: a segment that {@link #put} returned for is on the disk; a segment is seen whole or not at all, since
- * it is written beside its place, synced, and moved there in one step; a segment whose checksum does not fit is set
- * aside and counts as missing, so that a copy from another zone replaces it. A name stands for one content for ever.
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li>A segment is on the disk when {@link #put} returns.
+ *   <li>A segment is visible either complete or not at all: it is written to a temporary file, synced, and moved to its
+ *       final name atomically.
+ *   <li>A segment whose checksum does not match is renamed and counts as missing, so that a copy from another
+ *       availability zone can replace it.
+ *   <li>The content of a name never changes.
+ * </ul>
  */
 public final class SegmentFolder {
     private static final Logger LOG = LogManager.getLogger(SegmentFolder.class);
@@ -36,7 +43,7 @@
     private final Path folder;
     private final AtomicLong temporaryNumbers = new AtomicLong();
 
-    /** The segments under a folder, which is created if it is missing. */
+    /** Opens a data folder, creates it if it is missing, and deletes the temporary files in it. */
     public SegmentFolder(Path folder) {
         this.folder = folder;
         try {
@@ -47,12 +54,12 @@
         }
     }
 
-    /** Whether a text may name a segment; it is safe as a file name. */
+    /** Returns whether a text is a valid segment name, which is safe as a file name. */
     public static boolean isValidName(String name) {
         return VALID_NAME.matcher(name).matches();
     }
 
-    /** Stores a segment durably; storing it again changes nothing. */
+    /** Stores a segment durably; does nothing if a segment of this name exists. */
     public void put(String name, byte[] content) throws IOException {
         requireValid(name);
         if (Files.exists(path(name))) {
@@ -71,7 +78,7 @@
         syncNames();
     }
 
-    /** A segment's content; empty if it is missing or damaged. */
+    /** Returns the content of a segment; empty if the segment is missing or damaged. */
     public Optional<byte[]> get(String name) throws IOException {
         requireValid(name);
         byte[] file;
@@ -82,13 +89,13 @@
         }
         Optional<byte[]> content = unframe(file);
         if (content.isEmpty()) {
-            LOG.warn("segment {} is damaged and set aside", name);
+            LOG.warn("segment {} is damaged; its file is renamed to {}.damaged", name, name);
             Files.move(path(name), folder.resolve(name + ".damaged"), StandardCopyOption.REPLACE_EXISTING);
         }
         return content;
     }
 
-    /** Removes a segment durably; one that is not there changes nothing. */
+    /** Deletes a segment durably; does nothing if it does not exist. */
     public void delete(String name) throws IOException {
         requireValid(name);
         if (Files.deleteIfExists(path(name))) {
@@ -96,12 +103,12 @@
         }
     }
 
-    /** Whether a segment's file is there. */
+    /** Returns whether the file of a segment exists; does not verify its checksum. */
     public boolean has(String name) {
         return isValidName(name) && Files.exists(path(name));
     }
 
-    /** The names of all segments. */
+    /** Returns the names of all segments, sorted. */
     public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString())
@@ -112,22 +119,25 @@
         }
     }
 
-    /** Without this a file's name may be lost, or be back, after a loss of power although its content was synced. */
+    /**
+     * Syncs the directory. Otherwise a power loss may undo the creation or deletion of a file although its content was
+     * synced.
+     */
     private void syncNames() throws IOException {
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
         }
     }
 
-    /** What a process that was lost had begun to write; nobody was told that it is there. */
+    /** Deletes files that a crashed process did not finish writing; they were never reported as stored. */
     private void deleteLeftovers() throws IOException {
-        List<Path> leftovers;
+        List<Path> temporaryFiles;
         try (Stream<Path> files = Files.list(folder)) {
-            leftovers = files.filter(file -> file.getFileName().toString().endsWith(TEMPORARY_SUFFIX))
+            temporaryFiles = files.filter(file -> file.getFileName().toString().endsWith(TEMPORARY_SUFFIX))
                     .toList();
         }
-        for (Path leftover : leftovers) {
-            Files.deleteIfExists(leftover);
+        for (Path file : temporaryFiles) {
+            Files.deleteIfExists(file);
         }
     }
 
--- a/src/main/java/org/gooseberryhill/store/SegmentNames.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentNames.java
@@ -6,32 +6,38 @@
 import org.gooseberryhill.decision.ownership.Ownership;
 import org.gooseberryhill.host.Host;
 
-/** Names segments, and says which stores shall hold them. Stateless. */
+/** Builds the names of segments and selects the stores that hold them. Stateless. */
 public final class SegmentNames {
-    /** Copies of each segment, in different availability zones while there are enough of them. */
+    /** Number of copies of each segment, in different availability zones if there are enough of them. */
     public static final int COPIES = 2;
 
     private static final int HASH_CHARACTERS = 32;
 
     private SegmentNames() {}
 
-    /** The segment with the items of a chunk; the content's hash keeps two bodies under one id apart. */
+    /**
+     * Returns the name of the segment that holds the items of a chunk. The hash of the content distinguishes different
+     * bodies submitted under one job id.
+     */
     public static String items(JobKey job, int chunk, byte[] content) {
         return "items." + job.caller() + "." + job.id() + "." + chunk + "." + hash(content);
     }
 
-    /** The segment with the results of a chunk; the fence keeps two owners' results apart. */
+    /**
+     * Returns the name of the segment that holds the results of a chunk. The fencing token distinguishes the results of
+     * different owners.
+     */
     public static String results(JobKey job, int chunk, long fence, byte[] content) {
         return "results." + job.caller() + "." + job.id() + "." + chunk + "." + fence + "." + hash(content);
     }
 
-    /** The stores that shall hold a segment, worked out alike on every host. */
+    /** Returns the stores that should hold a segment; hosts with the same list of stores select the same ones. */
     public static List<Host> placement(String name, List<Host> stores) {
-        List<Host> staying = stores.stream().filter(host -> !host.leaving()).toList();
-        return Ownership.copies(name, COPIES, staying.isEmpty() ? stores : staying);
+        List<Host> remaining = stores.stream().filter(host -> !host.leaving()).toList();
+        return Ownership.copies(name, COPIES, remaining.isEmpty() ? stores : remaining);
     }
 
-    /** Whether a content fits the hash in its segment's name. */
+    /** Returns whether a content matches the hash in the name of its segment. */
     public static boolean fits(String name, byte[] content) {
         return name.substring(name.lastIndexOf('.') + 1).equals(hash(content));
     }
--- a/src/main/java/org/gooseberryhill/store/SegmentRepair.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentRepair.java
@@ -20,10 +20,11 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Restores the copies of segments after a store is lost, damaged or replaced, with nobody's help.
+ * Restores missing copies of segments automatically after a store is lost, damaged or replaced.
  *
- * <p>Each store asks the stores that shall hold what it holds, and sends what they lack. A store that the placement
- * does not name keeps its copy: it costs disk, never a result. Runs on the control thread and the disk threads.
+ * <p>For each segment that it holds, a store asks the other stores that should hold the segment whether they have it,
+ * and sends them those that they lack. A store keeps its copy of a segment that it should not hold; this costs disk
+ * space but never loses a result. Runs on the control thread and the disk threads.
  */
 final class SegmentRepair {
     private static final Logger LOG = LogManager.getLogger(SegmentRepair.class);
@@ -49,7 +50,7 @@
         process.loop().every(periodMillis, this::roundNow);
     }
 
-    /** Looks for missing copies now, unless a round is on its way. */
+    /** Starts a round that looks for missing copies, unless one is in progress. */
     void roundNow() {
         if (running) {
             return;
@@ -66,7 +67,7 @@
                 }));
     }
 
-    /** Whether a round since the planned stop was asked for found no copy missing. */
+    /** Returns whether the latest round, if it began after the planned stop was requested, found no copy missing. */
     boolean isHandedOver() {
         return handedOver;
     }
@@ -82,7 +83,7 @@
                 }
             }
         } catch (IOException e) {
-            LOG.warn("the segments can't be listed: {}", e.toString());
+            LOG.warn("failed to list the segments: {}", e.toString());
         }
         return byStore;
     }
@@ -144,7 +145,7 @@
         try {
             return folder.get(name);
         } catch (IOException e) {
-            LOG.warn("segment {} can't be read: {}", name, e.toString());
+            LOG.warn("failed to read segment {}: {}", name, e.toString());
             return Optional.empty();
         }
     }
--- a/src/main/java/org/gooseberryhill/store/StoreProcess.java
+++ b/src/main/java/org/gooseberryhill/store/StoreProcess.java
@@ -15,7 +15,7 @@
 import org.gooseberryhill.process.HostProcess;
 import org.gooseberryhill.process.HostSettings;
 
-/** The program {@code gooseberry-store}. Thread-safe; the disk is used by threads of its own. */
+/** The process of the program {@code gooseberry-store}. Thread-safe; disk access runs on separate threads. */
 public final class StoreProcess implements Closeable {
     private static final Logger LOG = LogManager.getLogger(StoreProcess.class);
     private static final int DISK_THREADS = 4;
@@ -31,7 +31,7 @@
     });
     private int inProgress;
 
-    /** A process that is not started yet, with its data folder. */
+    /** Creates a process that is not started, and opens its data folder. */
     public StoreProcess(HostSettings settings, Path dataFolder, long repairPeriodMillis, long seed) {
         process = new HostProcess(settings, seed);
         folder = new SegmentFolder(dataFolder);
@@ -39,14 +39,14 @@
         process.roleHandler(this::handle);
     }
 
-    /** Starts serving. */
+    /** Starts serving requests and repairing segments. */
     public void start() {
         process.start();
         repair.start();
         process.loop().every(STOP_CHECK_MILLIS, this::advanceStop);
     }
 
-    /** The common part of the process. */
+    /** Returns the part that all host processes share. */
     public HostProcess process() {
         return process;
     }
@@ -57,7 +57,10 @@
         disk.shutdownNow();
     }
 
-    /** A store that leaves takes its disk with it: it ends only when the others have what it has. */
+    /**
+     * Advances the planned stop. The disk goes away with the store, so the process ends only when the other stores have
+     * copies of its segments.
+     */
     private void advanceStop() {
         if (process.stop().phase() != PlannedStop.Phase.SERVING) {
             repair.roundNow();
@@ -81,18 +84,18 @@
                 folder.put(put.name(), put.bytes());
                 return new PeerMessage.Ack();
             }
-            if (message instanceof PeerMessage.SegmentAsk question) {
-                return new PeerMessage.Segment(folder.get(question.name()));
+            if (message instanceof PeerMessage.SegmentAsk request) {
+                return new PeerMessage.Segment(folder.get(request.name()));
             }
-            if (message instanceof PeerMessage.SegmentHave question) {
-                List<String> lacking = question.names().stream()
+            if (message instanceof PeerMessage.SegmentHave request) {
+                List<String> lacking = request.names().stream()
                         .filter(name -> !folder.has(name))
                         .toList();
                 return new PeerMessage.SegmentHave(lacking);
             }
             return new PeerMessage.Ack();
         } catch (IOException | IllegalArgumentException e) {
-            LOG.warn("a segment could not be served: {}", e.toString());
+            LOG.warn("failed to serve a request for a segment: {}", e.toString());
             return new PeerMessage.Failed(e.toString());
         }
     }
--- a/src/main/java/org/gooseberryhill/store/package-info.java
+++ b/src/main/java/org/gooseberryhill/store/package-info.java
@@ -1,2 +1,2 @@
-/** Segments: immutable pieces of jobs, checksummed and synced on the disks of two availability zones. */
+/** Stores segments: immutable parts of jobs, checksummed and synced to disks in two availability zones. */
 package org.gooseberryhill.store;
--- a/src/test/java/org/gooseberryhill/ArchitectureTest.java
+++ b/src/test/java/org/gooseberryhill/ArchitectureTest.java
@@ -7,7 +7,10 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The decision core has to stay free of everything that a virtual-time test could not control. */
+/**
+ * Checks the dependencies between packages. The decision core must not depend on anything that a test with virtual time
+ * can't control.
+ */
 @AnalyzeClasses(packages = "org.gooseberryhill", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final String DECISION = "org.gooseberryhill.decision..";
@@ -75,7 +78,7 @@
             .dependOnClassesThat()
             .resideInAPackage("org.gooseberryhill.standin..");
 
-    /** The product works without the adapter; whoever replaces the platform replaces one folder. */
+    /** The product works without the adapter, so that replacing the platform means replacing one folder. */
     @ArchTest
     final ArchRule nothingOutsideKnowsThePlatformsAdapter = noClasses()
             .that()
@@ -84,7 +87,7 @@
             .dependOnClassesThat()
             .resideInAPackage("org.gooseberryhill.platform..");
 
-    /** The adapter translates into the product's types; what decides, keeps time or keeps state stays in the product. */
+    /** The adapter only translates to the product's types; decisions, timing and state stay in the product. */
     @ArchTest
     final ArchRule thePlatformsAdapterDecidesNothing = noClasses()
             .that()
--- a/src/test/java/org/gooseberryhill/Loopback.java
+++ b/src/test/java/org/gooseberryhill/Loopback.java
@@ -9,7 +9,7 @@
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.standin.FreePorts;
 
-/** What tests on loopback need: free ports, traffic threads, waiting for an outcome. */
+/** Helper methods of tests on the loopback interface: free ports, traffic threads and waiting for conditions. */
 public final class Loopback {
     private static final long OUTCOME_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(120);
 
@@ -19,22 +19,22 @@
         return new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     }
 
-    /** An address that nothing listened at just now. */
+    /** Returns an address at which nothing listened when it was chosen. */
     public static Address freeAddress() {
         return FreePorts.next();
     }
 
-    /** The first of 100 ports that nothing listened at just now. */
+    /** Returns the first of 100 consecutive ports at which nothing listened when they were chosen. */
     public static int freeBasePort() {
         return FreePorts.block();
     }
 
-    /** Waits until the outcome is there; the time is only for a test that would never end. */
+    /** Waits until the condition holds; the time-out of 120 s only stops a test that would never end. */
     public static void await(String outcome, BooleanSupplier condition) {
         long until = System.nanoTime() + OUTCOME_TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("never came: " + outcome);
+                throw new AssertionError("not observed in time: " + outcome);
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(10));
         }
--- a/src/test/java/org/gooseberryhill/WireNamesTest.java
+++ b/src/test/java/org/gooseberryhill/WireNamesTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The platform's names on the wire stand in the adapter alone: there they are decoded once. */
+/** Checks that only the adapter contains the platform's names on the wire, so that they are decoded in one place. */
 class WireNamesTest {
     private static final Pattern NAMES = Pattern.compile(
             "(?i)x-(server-stamp|expect-instance|instance-id|not-executed|deadline-ms|token-usage|prompt-prefix|wait-ms)"
--- a/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
+++ b/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' text over a whole small system, while its parts fail. */
+/** Tests that edits of the configuration reach all hosts of a small system while parts of it fail. */
 class ConfigurationEverywhereTest {
     @TempDir
     private Path folder;
@@ -42,7 +42,7 @@
         awaitVersion("4", fixture.processes());
     }
 
-    /** Two operators edit the same text at the same moment: one is accepted, the other hears of the conflict. */
+    /** Two operators edit the same revision concurrently: one edit is accepted, the other gets a conflict. */
     @Test
     void oneOfTwoRacingEditsIsAccepted() {
         List<Step> steps = new ArrayList<>();
@@ -59,7 +59,7 @@
         assertThat(steps).containsExactlyInAnyOrder(Step.ACCEPTED, Step.CONFLICT);
     }
 
-    /** The edit takes effect while its answer is lost: its author hears that it was accepted, not that it failed. */
+    /** The edit takes effect but its answer is lost: its author is told that it was accepted, not that it failed. */
     @Test
     void anEditWhoseAnswerIsLostIsKnownToBeAccepted() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 1, 0, false));
@@ -68,7 +68,7 @@
         awaitVersion("7", fixture.processes());
     }
 
-    /** A host starts while the key-value service is out: it gets the text in force from its peers, and serves. */
+    /** A host starts during an outage of the key-value service: it gets the configuration in force from its peers. */
     @Test
     void aHostThatStartsDuringAnOutageGetsTheTextFromItsPeers() {
         fixture.system.applyConfiguration(text("8"));
@@ -81,7 +81,7 @@
         started.close();
     }
 
-    /** The service answers readings from before the latest edit: nobody goes back to the older text. */
+    /** The key-value service answers reads with a state before the latest edit: no host goes back to the older text. */
     @Test
     void staleReadingsDoNotBringAnOlderTextBack() {
         fixture.system.applyConfiguration(text("9"));
@@ -95,7 +95,7 @@
         started.close();
     }
 
-    /** A new version of the model: each engine gets its order, carried out under rising fences, and none is skipped. */
+    /** A new version of the model: every engine gets orders with increasing fencing tokens and loads the version. */
     @Test
     void enginesGetTheOrdersThatBringThemToTheConfiguration() {
         fixture.system.applyConfiguration(text("10"));
--- a/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
+++ b/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The fleet as separate processes, as an operator runs it, with one killed and one frozen by signals. */
+/** Runs the fleet as separate processes, as an operator does, and kills one and suspends another by signals. */
 class FleetProcessesTest {
     private static final int ITEMS = 1500;
     private static final int HOSTS = 3;
@@ -44,8 +44,9 @@
     }
 
     /**
-     * A job runs and tutors stream. One steward is killed, another is frozen past its lease and goes on, so that it
-     * acts on claims that are gone. Each item has its right result once and each stream ends whole.
+     * During a job and online streams, one steward is killed and another is suspended until its lease has expired. When
+     * that one resumes, it acts on claims that it no longer holds. Each item still has its correct result once, and each
+     * stream ends complete.
      */
     @Test
     void aKilledAndAFrozenStewardHarmNeitherStreamsNorTheJob() throws IOException {
@@ -114,7 +115,8 @@
         }
     }
 
-    private void startHost(String id, Class<?> main, int number, Host host, String... more) throws IOException {
+    private void startHost(String id, Class<?> main, int number, Host host, String... roleArguments)
+            throws IOException {
         List<String> arguments = new ArrayList<>(List.of(
                 "--host-id", id,
                 "--zone", SampleFleet.zone(number).name(),
@@ -122,7 +124,7 @@
                 "--key-value-address", fleet.keyValue().toString(),
                 "--host-list-address", fleet.hostList().toString(),
                 "--lease-millis", "2000"));
-        arguments.addAll(List.of(more));
+        arguments.addAll(List.of(roleArguments));
         start(id, main, arguments.toArray(String[]::new));
     }
 
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Jobs over a whole small system, while its parts fail. */
+/** Tests jobs on a small system while parts of it fail. */
 class JobFailuresTest {
     private static final int ITEMS = 600;
 
@@ -51,8 +51,8 @@
     }
 
     /**
-     * The steward that owns the job is lost with items in flight. Its lease lapses, another claims the job and goes on
-     * from the committed chunks: each item has its right result once.
+     * The steward that owns the job is lost with items in flight. Its lease expires, another steward claims the job and
+     * continues after the committed chunks: each item has its correct result once.
      */
     @Test
     void aJobGoesOnWhenItsOwnerIsLost() {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * A whole host is lost at one moment: the steward that owns the job, and the store and the entry beside it. The
-     * other zones have the items, another steward claims the job, and the results are read through an entry that is left.
+     * The steward that owns the job is lost together with the store and the entry of its zone. The other zones have the
+     * items, another steward claims the job, and the results are read through a remaining entry.
      */
     @Test
     void aJobGoesOnWhenAHostWithAllItsProcessesIsLost() {
@@ -83,7 +83,7 @@
         assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** All leases lapse at once while their holders work on: they stop, claim anew, and nothing is done twice. */
+    /** All leases expire at once while their holders work: they stop and claim again, and no result appears twice. */
     @Test
     void aJobGoesOnWhenAllLeasesLapse() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
@@ -94,7 +94,7 @@
         assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** The key-value service goes out in the middle of a job and comes back: the job ends with each item done once. */
+    /** The key-value service fails during a job and recovers: the job ends with one correct result for each item. */
     @Test
     void aJobGoesOnAfterAnOutageOfTheKeyValueService() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
@@ -108,7 +108,7 @@
         assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** The answers to the next writes are lost although they took effect: the claim and the commits still stand. */
+    /** The next writes take effect but their answers are lost: the claim and the commits remain valid. */
     @Test
     void aJobEndsWhenAnswersOfTheKeyValueServiceAreLost() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 3, 0, false));
@@ -120,8 +120,8 @@
     }
 
     /**
-     * The claim of the job takes effect while its answer is lost, and so is the reading that would confirm it. The host
-     * holds the job without knowing: it must find that out, or its live lease would keep the job from everyone.
+     * The claim of the job takes effect but its answer is lost, and the read that would confirm it fails too. The host
+     * holds the job without knowing: unless it finds its claim, its live lease keeps all others from claiming the job.
      */
     @Test
     void aClaimThatItsHolderDoesNotKnowOfIsFound() {
@@ -133,8 +133,8 @@
     }
 
     /**
-     * The entry is lost in the middle of a submission. Nothing of it counts; the caller sends the whole again through
-     * another entry, and that is the job.
+     * The entry is lost during a submission. The partial submission has no effect; the caller resends the whole job
+     * through another entry, where it is accepted.
      */
     @Test
     void aSubmissionThroughALostEntryIsSentAgainAndIsOneJob() throws IOException {
@@ -165,7 +165,7 @@
         }
     }
 
-    /** The caller sends the same job through two hosts at once, then another body under the same id. */
+    /** The caller sends the same job through two hosts concurrently, then a different body under the same id. */
     @Test
     void aResentJobIsTheSameJobAndAnotherBodyIsAConflict() {
         try (EntryClient other = fixture.system.client(1, SampleFleet.COORDINATORS_KEY)) {
@@ -187,7 +187,7 @@
         assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** The caller cancels in the middle: once it has the answer no further result appears, and the work stops. */
+    /** The caller cancels a running job: after the answer no further result appears, and the work stops. */
     @Test
     void aCancelledJobStops() {
         fixture.submit(fixture.coordinator, "lot", 4 * ITEMS);
@@ -205,8 +205,8 @@
     }
 
     /**
-     * The record says cancelled, and the notice to the owner is lost: it works on without knowing. Its next commit must
-     * find the record changed, so that no result appears after the cancel.
+     * The job's record is cancelled but the notice to its owner is lost, so the owner keeps working. Its next commit must
+     * fail because the record has changed, so that no result appears after the cancellation.
      */
     @Test
     void aCancelledJobGetsNoResultAlsoWhenItsOwnerDoesNotHear() {
@@ -240,8 +240,8 @@
     }
 
     /**
-     * A store is lost with its disk after the job was done. The results are read from the other zone, and the missing
-     * copies come back to another store by themselves.
+     * A store and its disk are lost after the job is done. The results are read from the other zones, and the missing
+     * copies are restored on another store automatically.
      */
     @Test
     void resultsOutliveALostStoreAndTheirCopiesAreRestored() throws IOException {
@@ -255,8 +255,8 @@
     }
 
     /**
-     * Two stores are replaced as planned, one after the other, each with its disk. Each hands its copies over before it
-     * ends, so the results outlive both.
+     * Two stores are stopped as planned, one after the other, each with its disk. Each copies its segments to the other
+     * stores before it ends, so that no results are lost.
      */
     @Test
     void resultsOutliveThePlannedStopOfTwoStoresInTurn() {
@@ -272,7 +272,7 @@
         assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** One item crashes each engine that runs it. The job ends, with that item failed and all others right. */
+    /** One item crashes each engine that runs it. The job ends with that item failed and all others correct. */
     @Test
     void anItemThatCrashesEnginesFailsAndTheRestIsDone() {
         for (EngineStandin engine : fixture.system.platform().engines()) {
@@ -290,7 +290,7 @@
         assertThat(fixture.rightResults("lot")).isEqualTo(39);
     }
 
-    /** Line 40,000 is broken: it is named, and nothing of the job is accepted. */
+    /** Line 40,000 is malformed: the answer names it, and no part of the job is accepted. */
     @Test
     void aBodyWithAMistakeIsRefusedWhole() {
         String line = "{\"prompt\":\"x\"}\n";
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -26,11 +26,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Online requests over a whole small system, while its parts fail. */
+/** Tests online requests on a small system while parts of it fail. */
 class OnlineFailuresTest {
     private static final int ENGINES = 6;
 
-    /** What is lost with a runner is run apart, one request at a runner: so few find their turn at once. */
+    /** Requests lost with a runner are repeated in isolation, one per runner, so that only a few get a turn at once. */
     private static final int FEW_STREAMS = 8;
 
     @TempDir
@@ -48,7 +48,7 @@
         fixture.close();
     }
 
-    /** Runners are killed, one after the other, each under streams: each stream goes on elsewhere and ends whole. */
+    /** Runners are killed one after the other while they stream: each stream continues on another one and completes. */
     @Test
     void streamsOutliveKilledRunners() {
         Set<EngineStandin> killed = new HashSet<>();
@@ -58,14 +58,14 @@
             busy.crash();
             killed.add(busy);
 
-            // Before the next is killed: a request that is lost with two counts as what crashes them.
+            // Wait before the next one is killed: a request lost with two runners counts as the cause of their crashes.
             assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
         }
     }
 
     /**
-     * Runners end their streams in the middle as if they were whole, but without the end mark. While one runner is right
-     * the streams go on there and end whole; when none is, the caller sees a cut, never a normal end.
+     * Runners end their streams early as if they were complete, but without the end mark. While other runners work
+     * correctly, the streams continue there and complete; otherwise the caller sees a cut-off stream, never a normal end.
      */
     @Test
     void aStreamWithoutItsEndMarkIsNeverTakenForWhole() {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * A booking takes effect while its answer is lost. The caller hears that it may have run, sends it again through
-     * another host, and hears the same: the seat is booked once.
+     * A booking takes effect but its answer is lost. The caller is told that it may have run, resends it through another
+     * host, and gets the same outcome: the seat is booked once.
      */
     @Test
     void aBookingWhoseAnswerIsLostIsNotRepeated() {
@@ -100,7 +100,7 @@
         assertThat(fixture.bookings("seat-1")).isEqualTo(1);
     }
 
-    /** The same booking without a key: it is sent once and not repeated by the system. */
+    /** The same booking without an idempotency key is sent once and not repeated by the system. */
     @Test
     void aBookingWithoutAKeyIsSentOnce() {
         fixture.system.platform().plainServices().forEach(service -> service.loseAnswers(1));
@@ -123,7 +123,7 @@
         assertThat(fixture.bookings("seat-3")).isEqualTo(1);
     }
 
-    /** The student presses the button again while the first booking is on its way. */
+    /** The student sends the booking again while the first attempt is in progress. */
     @Test
     void aBookingSentTwiceAtOnceRunsOnce() {
         fixture.system.platform().plainServices().forEach(service -> service.holdAnswers(1));
@@ -140,8 +140,8 @@
     }
 
     /**
-     * The entry is lost while the booking that it claimed and sent is on its way. The student sends it again through
-     * another entry and hears that it may have run; the seat is booked once.
+     * The entry is lost while the booking that it claimed and sent is in progress. The student resends it through
+     * another entry and is told that it may have run; the seat is booked once.
      */
     @Test
     void aBookingWhoseEntryIsLostIsNotRepeated() {
@@ -158,7 +158,7 @@
         assertThat(fixture.bookings("seat-7")).isEqualTo(1);
     }
 
-    /** The key-value service is out: the booking can't be claimed and is refused as not run, which is true. */
+    /** During an outage of the key-value service the booking can't be claimed: it is refused as not run and does not run. */
     @Test
     void duringAnOutageABookingIsRefusedAsNotRun() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
@@ -175,7 +175,7 @@
         assertThat(fixture.bookings("seat-5")).isEqualTo(1);
     }
 
-    /** The claim takes effect while its answer is lost: the host finds its own claim and sends the booking once. */
+    /** The claim takes effect but its answer is lost: the host finds its own claim and sends the booking once. */
     @Test
     void aClaimWhoseAnswerIsLostStillLeadsToOneBooking() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 1, 0, false));
@@ -197,8 +197,8 @@
     }
 
     /**
-     * A request crashes each runner that runs it, and its caller sends it again through every host. It takes down two
-     * runners, then it is refused everywhere at once; requests that ran beside it get their answers.
+     * A request crashes each runner that runs it, and its caller resends it through every host. After two crashes every
+     * host refuses it immediately; requests that ran at the same time still get their answers.
      */
     @Test
     void aRequestThatCrashesRunnersTakesDownTwoAndIsRefusedEverywhere() {
@@ -206,9 +206,9 @@
                 .platform()
                 .engines()
                 .forEach(engine -> engine.faults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
-        List<CompletableFuture<CheckedStream.Result>> innocent = new ArrayList<>();
+        List<CompletableFuture<CheckedStream.Result>> others = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            innocent.add(fixture.stream(fixture.tutor, "sketch " + i, 60));
+            others.add(fixture.stream(fixture.tutor, "sketch " + i, 60));
         }
         List<Integer> statuses = new ArrayList<>();
         for (int attempt = 0; attempt < 9; attempt++) {
@@ -220,10 +220,10 @@
 
         assertThat(crashes()).isEqualTo(2);
         assertThat(statuses).containsOnly(422);
-        assertThat(innocent).allMatch(answer -> answer.join().end() == End.WHOLE);
+        assertThat(others).allMatch(answer -> answer.join().end() == End.WHOLE);
     }
 
-    /** The same, sent through all hosts at the same moment: what is on its way before the first crash may add a few. */
+    /** As above but sent through all hosts at once: requests in flight before the first crash may cause one more. */
     @Test
     void aRequestThatCrashesRunnersSentThroughAllHostsAtOnceTakesDownAFew() {
         fixture.system
@@ -244,8 +244,8 @@
     }
 
     /**
-     * An engine says that it is leaving while the host list lags. What it has ends whole; after a few seconds it gets
-     * nothing new, online or batch.
+     * An engine reports that it is leaving while the host list lags. Its running requests complete; within a few seconds
+     * all hosts know, and it gets no new ones, neither online nor batch.
      */
     @Test
     void aLeavingEngineEndsWhatItHasAndGetsNothingNew() {
@@ -273,7 +273,7 @@
         assertThat(engine(0).served()).isEqualTo(served);
     }
 
-    /** An entry is stopped as planned, twice, with streams in progress, and a runner is lost meanwhile. */
+    /** A planned stop of an entry is requested twice while streams are in progress; a runner is lost in between. */
     @Test
     void aPlannedStopOfAnEntryCutsNothingAlsoWhenARunnerIsLost() {
         List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
@@ -294,7 +294,7 @@
         late.close();
     }
 
-    /** A steward is stopped as planned in the middle of a job: its items go on elsewhere from where they were. */
+    /** A steward is stopped as planned during a job: its items continue elsewhere from where they stopped. */
     @Test
     void aPlannedStopOfAStewardLosesNoItem() {
         fixture.submit(fixture.coordinator, "lot", 600);
@@ -337,16 +337,17 @@
         return fixture.system.platform().engines().get(number);
     }
 
-    /** A runner that has streams; a few of them are started whenever all have ended. */
-    private EngineStandin awaitBusy(Set<EngineStandin> without, List<CompletableFuture<CheckedStream.Result>> answers) {
+    /** Returns a runner that has streams in progress; starts new ones whenever all have ended. */
+    private EngineStandin awaitBusy(
+            Set<EngineStandin> excluded, List<CompletableFuture<CheckedStream.Result>> answers) {
         List<EngineStandin> busy = new ArrayList<>();
         Loopback.await("a runner with streams", () -> {
-            boolean noneIsLeft = answers.stream().allMatch(CompletableFuture::isDone);
-            for (int i = 0; noneIsLeft && i < FEW_STREAMS; i++) {
-                answers.add(fixture.stream(fixture.tutor, "sketch " + without.size() + " " + answers.size(), 60));
+            boolean allEnded = answers.stream().allMatch(CompletableFuture::isDone);
+            for (int i = 0; allEnded && i < FEW_STREAMS; i++) {
+                answers.add(fixture.stream(fixture.tutor, "sketch " + excluded.size() + " " + answers.size(), 60));
             }
             fixture.system.platform().engines().stream()
-                    .filter(engine -> !engine.isIdle() && !without.contains(engine))
+                    .filter(engine -> !engine.isIdle() && !excluded.contains(engine))
                     .forEach(busy::add);
             return !busy.isEmpty();
         });
--- a/src/test/java/org/gooseberryhill/program/SystemFixture.java
+++ b/src/test/java/org/gooseberryhill/program/SystemFixture.java
@@ -23,7 +23,7 @@
 import org.gooseberryhill.standin.SampleAnswers;
 import org.gooseberryhill.standin.SampleFleet;
 
-/** A small system with stand-ins, and what callers do with it. */
+/** A small system with stand-ins, and helper methods that act as its callers. */
 final class SystemFixture implements Closeable {
     static final int TOKENS = 12;
     static final EngineSpeed FAST = new EngineSpeed(8, 3, 256, 16);
@@ -41,7 +41,7 @@
         awaitFleet();
     }
 
-    /** Waits until each host knows the others and the configuration is in force everywhere. */
+    /** Waits until each host knows all others and has the configuration in force. */
     void awaitFleet() {
         Loopback.await(
                 "hosts that know each other",
@@ -65,30 +65,30 @@
         return processes;
     }
 
-    static <T> T onLoop(HostProcess process, Supplier<T> question) {
+    static <T> T onLoop(HostProcess process, Supplier<T> query) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        process.loop().execute(() -> answer.complete(question.get()));
+        process.loop().execute(() -> answer.complete(query.get()));
         return answer.join();
     }
 
-    /** Submits a job that has to be accepted. */
+    /** Submits a job and asserts that it is accepted. */
     HttpResult submit(EntryClient client, String id, int items) {
         HttpResult result = client.call("PUT", "/v1/jobs/" + id + "?model=tutor-7b", jobBody(id, items, "portfolio"));
         assertThat(result.status()).as("the submission's status").isIn(200, 201);
         return result;
     }
 
-    static byte[] jobBody(String id, int items, String what) {
+    static byte[] jobBody(String id, int items, String prefix) {
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < items; i++) {
-            lines.append(Json.text(Map.of("prompt", itemPrompt(id, i, what), "max_tokens", TOKENS)))
+            lines.append(Json.text(Map.of("prompt", itemPrompt(id, i, prefix), "max_tokens", TOKENS)))
                     .append('\n');
         }
         return lines.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    static String itemPrompt(String id, int index, String what) {
-        return what + " " + id + " " + index;
+    static String itemPrompt(String id, int index, String prefix) {
+        return prefix + " " + id + " " + index;
     }
 
     JsonNode job(String id) {
@@ -101,7 +101,7 @@
                 "job " + id + " " + state, () -> job(id).path("state").asText().equals(state));
     }
 
-    /** The results' lines, in the order that they come in. */
+    /** Returns the lines of a job's results, in the order received. */
     List<JsonNode> results(String id) {
         HttpResult result = coordinator.call("GET", "/v1/jobs/" + id + "/results", new byte[0]);
         List<JsonNode> lines = new ArrayList<>();
@@ -113,21 +113,21 @@
         return lines;
     }
 
-    /** How many lines are the right result of the item at their place. */
+    /** Returns how many result lines are the correct result of the item with the index of the line. */
     long rightResults(String id) {
         List<JsonNode> lines = results(id);
-        long right = 0;
+        long correct = 0;
         for (int i = 0; i < lines.size(); i++) {
             String expected = SampleAnswers.prompt(itemPrompt(id, i, "portfolio"), TOKENS);
-            boolean atPlace = lines.get(i).path("index").asInt(-1) == i;
-            if (atPlace && lines.get(i).path("text").asText().equals(expected)) {
-                right++;
+            boolean indexMatches = lines.get(i).path("index").asInt(-1) == i;
+            if (indexMatches && lines.get(i).path("text").asText().equals(expected)) {
+                correct++;
             }
         }
-        return right;
+        return correct;
     }
 
-    /** The number of the steward that owns a job, once one does. */
+    /** Waits until a steward owns a job and returns the steward's number. */
     int ownerOf(String id) {
         JobKey key = new JobKey("coordinators", id);
         List<String> owner = new ArrayList<>();
--- a/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
+++ b/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
@@ -33,7 +33,7 @@
         assertThat(segments.names()).containsExactly("items.a.b.0.x");
     }
 
-    /** The disk lost the file's end, at each byte in turn: the segment counts as missing, never as a shorter one. */
+    /** The file is truncated at each possible length: the segment counts as missing and is never read as a shorter one. */
     @Test
     void aTruncatedSegmentCountsAsMissing() throws IOException {
         segments.put("s", CONTENT);
@@ -56,7 +56,7 @@
         assertThat(segments.get("s")).isEmpty();
     }
 
-    /** A process is lost inside a write: what it had begun takes room for ever unless the next one removes it. */
+    /** A process crashes during a write: its temporary file would take disk space forever if the next one kept it. */
     @Test
     void whatALostProcessHadBegunToWriteIsRemoved() throws IOException {
         Files.write(folder.resolve("s.1.tmp"), CONTENT);
@@ -66,17 +66,17 @@
         assertThat(folder.resolve("s.1.tmp")).doesNotExist();
     }
 
-    /** One byte has changed on the disk, each in turn. */
+    /** A single byte is corrupted on the disk, at each position in turn. */
     @Test
     void aDamagedSegmentCountsAsMissingAndIsSetAside() throws IOException {
         segments.put("s", CONTENT);
         Path file = folder.resolve("s.segment");
         byte[] whole = Files.readAllBytes(file);
-        for (int place = 0; place < whole.length; place++) {
+        for (int position = 0; position < whole.length; position++) {
             byte[] damaged = whole.clone();
-            damaged[place] ^= 0x20;
+            damaged[position] ^= 0x20;
             Files.write(file, damaged);
-            assertThat(segments.get("s")).as("byte %d changed", place).isEmpty();
+            assertThat(segments.get("s")).as("byte %d changed", position).isEmpty();
             assertThat(segments.has("s")).isFalse();
         }
     }
@@ -91,7 +91,7 @@
         assertThat(segments.get("s")).contains(CONTENT);
     }
 
-    /** The process was killed while it wrote: what it left beside the segment's place is no segment. */
+    /** The process was killed during a write: its temporary file does not count as a segment. */
     @Test
     void aHalfWrittenFileIsNoSegment() throws IOException {
         Files.write(folder.resolve("s.1.tmp"), new byte[] {1});
