--- a/src/main/java/org/gooseberryhill/program/CheckedStream.java
+++ b/src/main/java/org/gooseberryhill/program/CheckedStream.java
@@ -31,7 +31,7 @@
     private final EventStreamReader events = new EventStreamReader();
     private final StringBuilder text = new StringBuilder();
     private int status;
-    private boolean doneSeen;
+    private boolean endMarkReceived;
     private long firstTokenNanos;
     private long lastTokenNanos;
     private long longestGapNanos;
@@ -67,7 +67,7 @@
     public void onEnd() {
         if (status != 200) {
             complete(End.REFUSED);
-        } else if (!doneSeen) {
+        } else if (!endMarkReceived) {
             complete(End.CUT);
         } else {
             complete(text.toString().equals(expected) ? End.WHOLE : End.WRONG);
@@ -80,7 +80,7 @@
     }
 
     private void onEvent(byte[] event, String token, boolean done) {
-        doneSeen |= done;
+        endMarkReceived |= done;
         if (token.isEmpty()) {
             return;
         }
--- a/src/main/java/org/gooseberryhill/program/ConfigCommand.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigCommand.java
@@ -15,7 +15,7 @@
 import org.gooseberryhill.configuration.Finding;
 import org.gooseberryhill.decision.configuration.ConfigurationEdit;
 import org.gooseberryhill.link.Json;
-import org.gooseberryhill.program.ConfigurationEditor.Stored;
+import org.gooseberryhill.program.ConfigurationEditor.StoredRecord;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -38,7 +38,7 @@
             throws IOException {
         Either<List<Finding>, Configuration> read = ConfigurationReader.read(file.toString(), Files.readString(file));
         if (read.isLeft()) {
-            report(read.getLeft(), json);
+            printFindings(read.getLeft(), json);
             return Commands.FAILED;
         }
         Configuration found = read.get();
@@ -64,26 +64,26 @@
         String text = Files.readString(file);
         Either<List<Finding>, Configuration> read = ConfigurationReader.read(file.toString(), text);
         if (read.isLeft()) {
-            report(read.getLeft(), false);
+            printFindings(read.getLeft(), false);
             return Commands.FAILED;
         }
         try (PlatformOptions.Connection connection = platform.connect()) {
             ConfigurationEditor editor = new ConfigurationEditor(connection.keyValue());
-            Optional<Stored> current = editor.read();
-            Optional<Long> baseRevision = Optional.ofNullable(base).or(() -> revisionIn(text));
+            Optional<StoredRecord> current = editor.read();
+            Optional<Long> baseRevision = Optional.ofNullable(base).or(() -> findBaseRevision(text));
             if (baseRevision.isEmpty() && current.isPresent()) {
                 err().println("the text does not say which revision it replaces: begin from \"config show\" or give "
                         + "--base; the one in force is " + current.get().revision());
                 return Commands.FAILED;
             }
-            return apply(editor, withoutRevision(text), author, baseRevision.orElse(0L));
+            return applyEdit(editor, removeRevisionLine(text), author, baseRevision.orElse(0L));
         }
     }
 
     @Command(mixinStandardHelpOptions = true, description = "Prints the text in force, to edit and apply again")
     int show(@Mixin PlatformOptions platform) {
         try (PlatformOptions.Connection connection = platform.connect()) {
-            Optional<Stored> current = new ConfigurationEditor(connection.keyValue()).read();
+            Optional<StoredRecord> current = new ConfigurationEditor(connection.keyValue()).read();
             if (current.isEmpty()) {
                 err().println("there is no configuration yet");
                 return Commands.FAILED;
@@ -99,10 +99,10 @@
     int diff(@Mixin PlatformOptions platform, @Parameters(paramLabel = "FILE", description = "The text") Path file)
             throws IOException {
         try (PlatformOptions.Connection connection = platform.connect()) {
-            Optional<Stored> current = new ConfigurationEditor(connection.keyValue()).read();
+            Optional<StoredRecord> current = new ConfigurationEditor(connection.keyValue()).read();
             String oldText = current.map(stored -> stored.record().text()).orElse("");
             out().println(TextDiff.unified(
-                    "in force", oldText, file.toString(), withoutRevision(Files.readString(file))));
+                    "in force", oldText, file.toString(), removeRevisionLine(Files.readString(file))));
             return Commands.OK;
         }
     }
@@ -111,7 +111,7 @@
     int history(@Mixin PlatformOptions platform) {
         try (PlatformOptions.Connection connection = platform.connect()) {
             String before = "";
-            for (Stored stored : new ConfigurationEditor(connection.keyValue()).history()) {
+            for (StoredRecord stored : new ConfigurationEditor(connection.keyValue()).history()) {
                 String text = stored.record().text();
                 long changed = TextDiff.unified("a", before, "b", text)
                         .lines()
@@ -129,7 +129,7 @@
         }
     }
 
-    private int apply(ConfigurationEditor editor, String text, String author, long base) {
+    private int applyEdit(ConfigurationEditor editor, String text, String author, long base) {
         ConfigurationEdit.Step step = editor.apply(text, author, base);
         if (step == ConfigurationEdit.Step.ACCEPTED) {
             out().println("accepted as revision " + editor.read().orElseThrow().revision());
@@ -139,12 +139,12 @@
             err().println("the key-value service does not answer; the edit may or may not be accepted: see history");
             return Commands.FAILED;
         }
-        reportConflict(editor, text, base);
+        printConflict(editor, text, base);
         return Commands.FAILED;
     }
 
-    private void reportConflict(ConfigurationEditor editor, String text, long base) {
-        Stored current = editor.read().orElseThrow();
+    private void printConflict(ConfigurationEditor editor, String text, long base) {
+        StoredRecord current = editor.read().orElseThrow();
         err().printf(
                         "not applied: %s put revision %d in the place of revision %d%n",
                         current.record().author(), current.revision(), base);
@@ -160,7 +160,7 @@
                 current.record().text()));
     }
 
-    private void report(List<Finding> findings, boolean json) {
+    private void printFindings(List<Finding> findings, boolean json) {
         if (json) {
             out().println(Json.text(findings));
             return;
@@ -169,7 +169,7 @@
         err().println(findings.size() + " findings");
     }
 
-    private static Optional<Long> revisionIn(String text) {
+    private static Optional<Long> findBaseRevision(String text) {
         return text.lines()
                 .findFirst()
                 .map(REVISION_LINE::matcher)
@@ -177,8 +177,8 @@
                 .map(matcher -> Long.parseLong(matcher.group(1)));
     }
 
-    private static String withoutRevision(String text) {
-        return revisionIn(text).isPresent() ? text.substring(text.indexOf('\n') + 1) : text;
+    private static String removeRevisionLine(String text) {
+        return findBaseRevision(text).isPresent() ? text.substring(text.indexOf('\n') + 1) : text;
     }
 
     private PrintWriter out() {
--- a/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
@@ -16,9 +16,9 @@
 /** Reads and edits the configuration and its history in the key-value service. Used by one thread; calls block. */
 public final class ConfigurationEditor {
     /** Number of latest edits that the history retains. */
-    public static final int KEPT_EDITS = 50;
+    public static final int MAX_HISTORY_RECORDS = 50;
 
-    private static final int HISTORY_PAGE = 1000;
+    private static final int HISTORY_PAGE_SIZE = 1000;
 
     private final StreamingKeyValueStore keyValue;
 
@@ -28,14 +28,14 @@
     }
 
     /** Returns the current configuration record with its revision; empty if there is none yet. */
-    public Optional<Stored> read() {
-        return keyValue.read(Keys.CONFIGURATION).join().first().map(ConfigurationEditor::stored);
+    public Optional<StoredRecord> read() {
+        return keyValue.read(Keys.CONFIGURATION).join().first().map(ConfigurationEditor::decode);
     }
 
     /** Returns the records in the history, oldest first. */
-    public List<Stored> history() {
-        return keyValue.readPrefix(Keys.HISTORY, Keys.HISTORY, HISTORY_PAGE).join().entries().stream()
-                .map(ConfigurationEditor::stored)
+    public List<StoredRecord> history() {
+        return keyValue.readPrefix(Keys.HISTORY, Keys.HISTORY, HISTORY_PAGE_SIZE).join().entries().stream()
+                .map(ConfigurationEditor::decode)
                 .toList();
     }
 
@@ -71,9 +71,10 @@
 
     private Step readBack(ConfigurationEdit edit) {
         try {
-            Optional<Stored> stored = read();
+            Optional<StoredRecord> stored = read();
             return edit.read(
-                    stored.map(Stored::record), stored.map(Stored::revision).orElse(0L));
+                    stored.map(StoredRecord::record),
+                    stored.map(StoredRecord::revision).orElse(0L));
         } catch (CompletionException e) {
             return edit.unanswered();
         }
@@ -81,12 +82,12 @@
 
     private void trimHistory() {
         try {
-            List<KeyValueStore.Entry> entries = keyValue.readPrefix(Keys.HISTORY, Keys.HISTORY, HISTORY_PAGE)
+            List<KeyValueStore.Entry> entries = keyValue.readPrefix(Keys.HISTORY, Keys.HISTORY, HISTORY_PAGE_SIZE)
                     .join()
                     .entries();
             Transaction.Builder deletion = Transaction.builder();
             entries.stream()
-                    .limit(Math.max(0, entries.size() - KEPT_EDITS))
+                    .limit(Math.max(0, entries.size() - MAX_HISTORY_RECORDS))
                     .forEach(entry -> deletion.delete(entry.key()));
             keyValue.write(deletion.build()).join();
         } catch (CompletionException e) {
@@ -95,8 +96,8 @@
         }
     }
 
-    private static Stored stored(KeyValueStore.Entry entry) {
-        return new Stored(ConfigurationCodec.decode(entry.value()).get(), entry.modRevision());
+    private static StoredRecord decode(KeyValueStore.Entry entry) {
+        return new StoredRecord(ConfigurationCodec.decode(entry.value()).get(), entry.modRevision());
     }
 
     /**
@@ -105,5 +106,5 @@
      * @param record the record
      * @param revision the revision at which it was written
      */
-    public record Stored(ConfigurationRecord record, long revision) {}
+    public record StoredRecord(ConfigurationRecord record, long revision) {}
 }
--- a/src/main/java/org/gooseberryhill/program/CurveCommand.java
+++ b/src/main/java/org/gooseberryhill/program/CurveCommand.java
@@ -81,7 +81,7 @@
         long runSeconds = reader.number("--seconds", seconds, 1, MAX_SECONDS);
         long runs = reader.number("--repeats", repeats, 1, MAX_REPEATS);
         int port = (int) reader.number("--base-port", basePort, 1024, MAX_PORT);
-        reader.requireNone();
+        reader.requireNoFindings();
         Deployment workload = easel ? new EaselAndOchreDeployment() : new StadsdataDeployment();
         Experiment experiment = new Experiment(workload, runSeconds, port);
         PrintWriter console = spec.commandLine().getOut();
--- a/src/main/java/org/gooseberryhill/program/DemoCommand.java
+++ b/src/main/java/org/gooseberryhill/program/DemoCommand.java
@@ -47,7 +47,7 @@
     private static final long READY_TIMEOUT_MILLIS = 15_000;
     private static final long JOB_TIMEOUT_MILLIS = 45_000;
     private static final long POLL_MILLIS = 100;
-    private static final String JOB = "evening-lot";
+    private static final String JOB_ID = "evening-lot";
 
     @Spec
     private CommandSpec spec;
@@ -74,9 +74,9 @@
     private int run(SampleSystem system) throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
         EntryClient coordinator = system.client(0, SampleFleet.COORDINATORS_KEY);
-        HttpResult submitted = coordinator.call("PUT", "/v1/jobs/" + JOB + "?model=tutor-7b", job(JOB));
+        HttpResult submitted = coordinator.call("PUT", "/v1/jobs/" + JOB_ID + "?model=tutor-7b", jobBody(JOB_ID));
         check(submitted.status() == 201, "the job was not accepted: " + submitted.status());
-        List<CompletableFuture<CheckedStream.Result>> answers = sendOnline(system);
+        List<CompletableFuture<CheckedStream.Result>> answers = sendOnlineRequests(system);
         Histogram firstToken = new Histogram(3);
         int whole = 0;
         for (CompletableFuture<CheckedStream.Result> answer : answers) {
@@ -88,7 +88,7 @@
         }
         check(whole == REQUESTS, (REQUESTS - whole) + " online answers were not whole");
         awaitDone(coordinator);
-        int correct = countOnce(coordinator);
+        int correct = countCorrectResults(coordinator);
         check(correct == ITEMS, correct + " of " + ITEMS + " items have their right result once");
         coordinator.close();
         out.printf("online: %d of %d answers whole and right%n", whole, REQUESTS);
@@ -96,7 +96,7 @@
                 "online first token: p50 %.1f ms, p99 %.1f ms%n",
                 firstToken.getValueAtPercentile(50) / 1000.0, firstToken.getValueAtPercentile(99) / 1000.0);
         out.printf("job: %d of %d items done once, each result right%n", correct, ITEMS);
-        out.printf("runner %s killed, runner %s left as planned, nothing cut%n", engine(1), engine(2));
+        out.printf("runner %s killed, runner %s left as planned, nothing cut%n", engineName(1), engineName(2));
         out.printf("key-value service calls: %s%n", system.platform().keyValue().meter());
         out.printf("time line: bin/gooseberry timeline %s%n", system.timelineFolder());
         failures.forEach(failure -> out.println("FAILED: " + failure));
@@ -104,7 +104,8 @@
         return failures.isEmpty() ? Commands.OK : Commands.FAILED;
     }
 
-    private List<CompletableFuture<CheckedStream.Result>> sendOnline(SampleSystem system) throws InterruptedException {
+    private List<CompletableFuture<CheckedStream.Result>> sendOnlineRequests(SampleSystem system)
+            throws InterruptedException {
         List<EntryClient> callers = new ArrayList<>();
         for (int i = 0; i < SampleSystem.HOSTS_PER_ROLE; i++) {
             callers.add(system.client(i, SampleFleet.TUTORS_KEY));
@@ -148,7 +149,7 @@
         String state = "";
         while (!state.equals("done") && System.nanoTime() < until) {
             Thread.sleep(POLL_MILLIS);
-            HttpResult status = client.call("GET", "/v1/jobs/" + JOB, new byte[0]);
+            HttpResult status = client.call("GET", "/v1/jobs/" + JOB_ID, new byte[0]);
             state = Json.tree(status.body())
                     .map(json -> json.path("state").asText())
                     .getOrElse("");
@@ -156,14 +157,14 @@
         check(state.equals("done"), "the job's state is " + state);
     }
 
-    private int countOnce(EntryClient client) {
-        HttpResult results = client.call("GET", "/v1/jobs/" + JOB + "/results", new byte[0]);
+    private int countCorrectResults(EntryClient client) {
+        HttpResult results = client.call("GET", "/v1/jobs/" + JOB_ID + "/results", new byte[0]);
         BitSet seen = new BitSet();
         int correct = 0;
         for (String line : new String(results.body(), StandardCharsets.UTF_8).split("\n")) {
             JsonNode json = Json.tree(line.getBytes(StandardCharsets.UTF_8)).getOrElse(Json.object());
             int index = json.path("index").asInt(-1);
-            String expected = SampleAnswers.prompt(itemPrompt(JOB, index), ITEM_TOKENS);
+            String expected = SampleAnswers.prompt(itemPrompt(JOB_ID, index), ITEM_TOKENS);
             boolean right = json.path("text").asText().equals(expected);
             if (index >= 0 && right && !seen.get(index)) {
                 seen.set(index);
@@ -181,7 +182,7 @@
         }
     }
 
-    private static byte[] job(String name) {
+    private static byte[] jobBody(String name) {
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < ITEMS; i++) {
             lines.append(Json.text(Map.of("prompt", itemPrompt(name, i), "max_tokens", ITEM_TOKENS)))
@@ -194,7 +195,7 @@
         return "portfolio " + name + " " + index;
     }
 
-    private static String engine(int number) {
+    private static String engineName(int number) {
         return SampleFleet.engineName(number);
     }
 }
--- a/src/main/java/org/gooseberryhill/program/EndpointsCommand.java
+++ b/src/main/java/org/gooseberryhill/program/EndpointsCommand.java
@@ -50,7 +50,7 @@
             for (EndpointSettings endpoint : configuration.endpoints().values()) {
                 boolean servesModel =
                         configuration.services().get(endpoint.service()).model().isPresent();
-                views.add(view(endpoint, servesModel ? status(connection.http(), endpoint) : "plain service"));
+                views.add(view(endpoint, servesModel ? readStatus(connection.http(), endpoint) : "plain service"));
             }
         }
         if (json) {
@@ -72,7 +72,7 @@
                 status);
     }
 
-    private static String status(HttpClient http, EndpointSettings endpoint) {
+    private static String readStatus(HttpClient http, EndpointSettings endpoint) {
         ExchangeRequest request =
                 new ExchangeRequest(endpoint.address(), "GET", "/status", Map.of(), new byte[0], TIMEOUT_MILLIS, false);
         return http.call(request, MAX_ANSWER_BYTES)
--- a/src/main/java/org/gooseberryhill/program/EntryClient.java
+++ b/src/main/java/org/gooseberryhill/program/EntryClient.java
@@ -15,7 +15,7 @@
 
 /** HTTP client that calls an entry host as a caller does. Thread-safe. */
 public final class EntryClient implements Closeable {
-    private static final int SILENCE_MILLIS = 60_000;
+    private static final int SILENCE_TIMEOUT_MILLIS = 60_000;
     private static final int MAX_ANSWER_BYTES = 64 * 1024 * 1024;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -54,6 +54,6 @@
     private ExchangeRequest request(String method, String target, byte[] body, Map<String, String> headers) {
         Map<String, String> all = new HashMap<>(headers);
         all.put("authorization", "Bearer " + key);
-        return new ExchangeRequest(address, method, target, all, body, SILENCE_MILLIS, false);
+        return new ExchangeRequest(address, method, target, all, body, SILENCE_TIMEOUT_MILLIS, false);
     }
 }
--- a/src/main/java/org/gooseberryhill/program/EntryMain.java
+++ b/src/main/java/org/gooseberryhill/program/EntryMain.java
@@ -20,7 +20,7 @@
         versionProvider = Version.class,
         description = "Takes callers' requests. Each flag has an environment variable GOOSEBERRY_...")
 public final class EntryMain implements Callable<Integer> {
-    private static final int MAX_BYTES = 256 * 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 256 * 1024 * 1024;
     private static final int MAX_ITEMS = 10_000_000;
     private static final int MAX_ITEM_BYTES = 64 * 1024;
     private static final long MAX_MILLIS = 3_600_000;
@@ -78,25 +78,25 @@
     @Override
     public Integer call() throws IOException {
         SettingsReader reader = new SettingsReader();
-        HostSettings hostSettings = host.settings(Role.ENTRY, reader);
+        HostSettings hostSettings = host.readSettings(Role.ENTRY, reader);
         long seed = hostSettings.self().id().hashCode();
         EntrySettings settings = new EntrySettings(
                 reader.address("--http-address", httpAddress),
                 HttpLimits.DEFAULT,
-                (int) reader.number("--max-body-bytes", maxBodyBytes, 1024, MAX_BYTES),
+                (int) reader.number("--max-body-bytes", maxBodyBytes, 1024, MAX_BODY_BYTES),
                 (int) reader.number("--max-items", maxItems, 1, MAX_ITEMS),
                 (int) reader.number("--max-item-bytes", maxItemBytes, 1, MAX_ITEM_BYTES),
                 reader.number("--deadline-millis", deadlineMillis, 1, MAX_MILLIS),
                 (int) reader.number("--endpoint-silence-millis", endpointSilenceMillis, 1, MAX_MILLIS),
-                policies(reader, seed));
-        reader.requireNone();
+                readPolicies(reader, seed));
+        reader.requireNoFindings();
         EntryProcess entry = new EntryProcess(hostSettings, settings, seed);
         entry.start();
-        ProcessLife.runUntilStopped(entry.process(), entry);
+        ProcessLifecycle.runUntilStopped(entry.process(), entry);
         return Commands.OK;
     }
 
-    private OnlinePolicies policies(SettingsReader reader, long seed) {
+    private OnlinePolicies readPolicies(SettingsReader reader, long seed) {
         boolean baseline =
                 reader.choice("--policies", policies, "product", "baseline").equals("baseline");
         return baseline ? OnlinePolicies.baseline() : OnlinePolicies.product(new Random(seed));
--- a/src/main/java/org/gooseberryhill/program/HostOptions.java
+++ b/src/main/java/org/gooseberryhill/program/HostOptions.java
@@ -69,11 +69,11 @@
             description = "After which a stop ends even with requests in progress (default 120000)")
     private String stopBoundMillis;
 
-    HostSettings settings(Role role, SettingsReader reader) {
+    HostSettings readSettings(Role role, SettingsReader reader) {
         Host self = new Host(
-                new HostId(reader.required("--host-id", hostId)),
+                new HostId(reader.requiredText("--host-id", hostId)),
                 role,
-                new AvailabilityZone(reader.required("--zone", zone)),
+                new AvailabilityZone(reader.requiredText("--zone", zone)),
                 reader.address("--peer-address", peerAddress),
                 false);
         return new HostSettings(
--- a/src/main/java/org/gooseberryhill/program/JobCommand.java
+++ b/src/main/java/org/gooseberryhill/program/JobCommand.java
@@ -164,8 +164,8 @@
         EntryClient connect() {
             SettingsReader reader = new SettingsReader();
             Address address = reader.address("--entry", entry);
-            String bearerKey = reader.required("--key", key);
-            reader.requireNone();
+            String bearerKey = reader.requiredText("--key", key);
+            reader.requireNoFindings();
             return new EntryClient(address, bearerKey);
         }
     }
--- a/src/main/java/org/gooseberryhill/program/PlatformOptions.java
+++ b/src/main/java/org/gooseberryhill/program/PlatformOptions.java
@@ -24,7 +24,7 @@
     Connection connect() {
         SettingsReader reader = new SettingsReader();
         Address address = reader.address("--key-value-address", keyValueAddress);
-        reader.requireNone();
+        reader.requireNoFindings();
         return new Connection(address);
     }
 
--- a/src/main/java/org/gooseberryhill/program/ProcessLife.java
+++ b/src/main/java/org/gooseberryhill/program/ProcessLifecycle.java
@@ -6,8 +6,8 @@
 import org.gooseberryhill.process.HostProcess;
 
 /** Ends a process by a planned stop on SIGTERM or SIGINT. Stateless. */
-final class ProcessLife {
-    private ProcessLife() {}
+final class ProcessLifecycle {
+    private ProcessLifecycle() {}
 
     /** Waits until the planned stop of the process has ended, then closes the program. */
     static void runUntilStopped(HostProcess process, Closeable program) throws IOException {
--- a/src/main/java/org/gooseberryhill/program/SampleSystem.java
+++ b/src/main/java/org/gooseberryhill/program/SampleSystem.java
@@ -36,8 +36,8 @@
     public static final int HOSTS_PER_ROLE = 3;
 
     private static final long LEASE_MILLIS = 3000;
-    private static final long JOB_SCAN_MILLIS = 1000;
-    private static final long REPAIR_MILLIS = 1000;
+    private static final long JOB_SCAN_PERIOD_MILLIS = 1000;
+    private static final long REPAIR_PERIOD_MILLIS = 1000;
 
     private final SampleFleet fleet;
     private final Path folder;
@@ -79,7 +79,7 @@
                 120_000,
                 15_000,
                 baseline ? OnlinePolicies.baseline() : OnlinePolicies.product(new Random(number)));
-        EntryProcess entry = new EntryProcess(host(fleet.entry(number)), settings, number);
+        EntryProcess entry = new EntryProcess(hostSettings(fleet.entry(number)), settings, number);
         entry.start();
         return entry;
     }
@@ -88,15 +88,17 @@
     public StewardProcess startSteward(int number) {
         BatchSlotPolicy slots = baseline ? new FixedSlotsPolicy() : new LeftoverSlotsPolicy(StewardMain.RESERVE_SHARE);
         DispatchOrder order = baseline ? new FirstComeOrder() : new EarliestDeadlineFairOrder();
-        StewardSettings settings = new StewardSettings(slots, order, 500, 15_000, 60_000, JOB_SCAN_MILLIS, 2000, 2);
-        StewardProcess steward = new StewardProcess(host(fleet.steward(number)), settings, number);
+        StewardSettings settings =
+                new StewardSettings(slots, order, 500, 15_000, 60_000, JOB_SCAN_PERIOD_MILLIS, 2000, 2);
+        StewardProcess steward = new StewardProcess(hostSettings(fleet.steward(number)), settings, number);
         steward.start();
         return steward;
     }
 
     /** Starts a store by its number, counted from 0; its data folder remains after it is closed. */
     public StoreProcess startStore(int number) {
-        StoreProcess store = new StoreProcess(host(fleet.store(number)), storeFolder(number), REPAIR_MILLIS, number);
+        StoreProcess store =
+                new StoreProcess(hostSettings(fleet.store(number)), storeFolder(number), REPAIR_PERIOD_MILLIS, number);
         store.start();
         return store;
     }
@@ -115,7 +117,9 @@
     public void applyConfiguration(String text) {
         try (PlatformOptions.Connection connection = new PlatformOptions.Connection(fleet.keyValue())) {
             ConfigurationEditor editor = new ConfigurationEditor(connection.keyValue());
-            long base = editor.read().map(ConfigurationEditor.Stored::revision).orElse(0L);
+            long base = editor.read()
+                    .map(ConfigurationEditor.StoredRecord::revision)
+                    .orElse(0L);
             ConfigurationEdit.Step step = editor.apply(text, "sample", base);
             if (step != ConfigurationEdit.Step.ACCEPTED) {
                 throw new IllegalStateException("the sample configuration was not accepted: " + step);
@@ -161,7 +165,7 @@
         platform.close();
     }
 
-    private HostSettings host(Host self) {
+    private HostSettings hostSettings(Host self) {
         return new HostSettings(
                 self,
                 fleet.keyValue(),
--- a/src/main/java/org/gooseberryhill/program/SettingsReader.java
+++ b/src/main/java/org/gooseberryhill/program/SettingsReader.java
@@ -11,14 +11,14 @@
  * method that parses a setting always returns a usable value, also if the setting is invalid. Not thread-safe.
  */
 final class SettingsReader {
-    private static final Address NO_ADDRESS = new Address("127.0.0.1", 1);
+    private static final Address PLACEHOLDER_ADDRESS = new Address("127.0.0.1", 1);
 
     private final List<String> findings = new ArrayList<>();
 
     /** Returns a required text. */
-    String required(String flag, String value) {
+    String requiredText(String flag, String value) {
         if (value == null || value.isBlank()) {
-            findings.add(flag + " is missing; set it or " + variable(flag));
+            findings.add(flag + " is missing; set it or " + environmentVariable(flag));
             return "missing";
         }
         return value;
@@ -26,12 +26,12 @@
 
     /** Parses a required IP address and port. */
     Address address(String flag, String value) {
-        String text = required(flag, value);
+        String text = requiredText(flag, value);
         Optional<Address> address = Address.parse(text);
         if (address.isEmpty() && value != null && !value.isBlank()) {
             findings.add(flag + ": \"" + text + "\" is not an IP number and a port, such as 10.0.0.7:8000");
         }
-        return address.orElse(NO_ADDRESS);
+        return address.orElse(PLACEHOLDER_ADDRESS);
     }
 
     /** Parses an optional IP address and port. */
@@ -47,9 +47,9 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            return outside(flag, value, min, max);
+            return reportOutOfRange(flag, value, min, max);
         }
-        return outside(flag, value, min, max);
+        return reportOutOfRange(flag, value, min, max);
     }
 
     /** Returns a text that must be one of the given choices; the first one if it is invalid. */
@@ -62,18 +62,18 @@
     }
 
     /** Throws a {@link SettingsException} with all findings, if there are any. */
-    void requireNone() {
+    void requireNoFindings() {
         if (!findings.isEmpty()) {
             throw new SettingsException(findings);
         }
     }
 
     /** Returns the name of the environment variable for a flag. */
-    static String variable(String flag) {
+    static String environmentVariable(String flag) {
         return "GOOSEBERRY_" + flag.substring(2).replace('-', '_').toUpperCase(Locale.ROOT);
     }
 
-    private long outside(String flag, String value, long min, long max) {
+    private long reportOutOfRange(String flag, String value, long min, long max) {
         findings.add(flag + ": \"" + value + "\" is not a whole number from " + min + " to " + max);
         return min;
     }
--- a/src/main/java/org/gooseberryhill/program/StandinsMain.java
+++ b/src/main/java/org/gooseberryhill/program/StandinsMain.java
@@ -47,7 +47,7 @@
         SettingsReader reader = new SettingsReader();
         SampleFleet fleet = new SampleFleet((int) reader.number("--base-port", basePort, 1024, MAX_PORT), (int)
                 reader.number("--engines", engines, 1, MAX_ENGINES));
-        reader.requireNone();
+        reader.requireNoFindings();
         if (configurationFile != null) {
             Files.writeString(configurationFile, fleet.configuration());
         }
--- a/src/main/java/org/gooseberryhill/program/StewardMain.java
+++ b/src/main/java/org/gooseberryhill/program/StewardMain.java
@@ -92,7 +92,7 @@
     @Override
     public Integer call() throws IOException {
         SettingsReader reader = new SettingsReader();
-        HostSettings hostSettings = host.settings(Role.STEWARD, reader);
+        HostSettings hostSettings = host.readSettings(Role.STEWARD, reader);
         boolean baseline =
                 reader.choice("--policies", policies, "product", "baseline").equals("baseline");
         BatchSlotPolicy slots = baseline ? new FixedSlotsPolicy() : new LeftoverSlotsPolicy(RESERVE_SHARE);
@@ -107,12 +107,12 @@
                 reader.number("--longest-order-millis", longestOrderMillis, 100, MAX_MILLIS),
                 (int) reader.number("--max-loads", maxLoads, 1, MAX_LOADS));
         Optional<Address> admin = reader.optionalAddress("--admin-address", adminAddress);
-        reader.requireNone();
+        reader.requireNoFindings();
         StewardProcess steward = new StewardProcess(
                 hostSettings, settings, hostSettings.self().id().hashCode());
         steward.start();
         admin.ifPresent(address -> new AdminServer(steward.process(), address));
-        ProcessLife.runUntilStopped(steward.process(), steward);
+        ProcessLifecycle.runUntilStopped(steward.process(), steward);
         return Commands.OK;
     }
 }
--- a/src/main/java/org/gooseberryhill/program/StoreMain.java
+++ b/src/main/java/org/gooseberryhill/program/StoreMain.java
@@ -51,16 +51,16 @@
     @Override
     public Integer call() throws IOException {
         SettingsReader reader = new SettingsReader();
-        HostSettings settings = host.settings(Role.STORE, reader);
-        Path folder = Path.of(reader.required("--data-folder", dataFolder));
+        HostSettings settings = host.readSettings(Role.STORE, reader);
+        Path folder = Path.of(reader.requiredText("--data-folder", dataFolder));
         long repairMillis = reader.number("--repair-period-millis", repairPeriodMillis, 100, MAX_MILLIS);
         Optional<Address> admin = reader.optionalAddress("--admin-address", adminAddress);
-        reader.requireNone();
+        reader.requireNoFindings();
         StoreProcess store = new StoreProcess(
                 settings, folder, repairMillis, settings.self().id().hashCode());
         store.start();
         admin.ifPresent(address -> new AdminServer(store.process(), address));
-        ProcessLife.runUntilStopped(store.process(), store);
+        ProcessLifecycle.runUntilStopped(store.process(), store);
         return Commands.OK;
     }
 }
--- a/src/main/java/org/gooseberryhill/program/TimelineCommand.java
+++ b/src/main/java/org/gooseberryhill/program/TimelineCommand.java
@@ -58,7 +58,7 @@
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         for (TimelineEvent event : query().select(merge(logs))) {
-            out.println(json ? TimelineLines.line(event) : line(event));
+            out.println(json ? TimelineLines.line(event) : format(event));
         }
         out.flush();
         return Commands.OK;
@@ -68,7 +68,7 @@
     static List<TimelineEvent> merge(List<Path> logs) throws IOException {
         List<TimelineEvent> events = new ArrayList<>();
         for (Path log : logs) {
-            for (Path file : files(log)) {
+            for (Path file : logFiles(log)) {
                 try (Stream<String> lines = Files.lines(file, StandardCharsets.UTF_8)) {
                     lines.forEach(line -> TimelineLines.parse(line).ifPresent(events::add));
                 }
@@ -78,7 +78,7 @@
         return events;
     }
 
-    private static List<Path> files(Path log) throws IOException {
+    private static List<Path> logFiles(Path log) throws IOException {
         if (!Files.isDirectory(log)) {
             return List.of(log);
         }
@@ -96,7 +96,7 @@
                 surroundings);
     }
 
-    private static String line(TimelineEvent event) {
+    private static String format(TimelineEvent event) {
         StringBuilder line = new StringBuilder();
         line.append(Instant.ofEpochMilli(event.at().epochMillis())).append("  ");
         line.append("%-12s %-24s".formatted(event.process(), event.kind()));
--- a/src/main/java/org/gooseberryhill/store/SegmentClient.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentClient.java
@@ -44,27 +44,27 @@
         List<Host> order = new ArrayList<>(SegmentNames.placement(name, all));
         Ownership.rank(name, all).stream().filter(host -> !order.contains(host)).forEach(order::add);
         long zones = all.stream().map(Host::zone).distinct().count();
-        return putNext(new Put(name, content, order, zones), new ArrayList<>(), 0);
+        return putToNextStore(new PutRequest(name, content, order, zones), new ArrayList<>(), 0);
     }
 
     /** Fetches a segment from the first store that returns it; empty if no store that answers has it. */
     public CompletableFuture<Optional<byte[]>> get(String name) {
-        return getNext(name, Ownership.rank(name, stores.get()), 0);
+        return getFromNextStore(name, Ownership.rank(name, stores.get()), 0);
     }
 
-    private CompletableFuture<Void> putNext(Put put, List<Host> accepted, int next) {
+    private CompletableFuture<Void> putToNextStore(PutRequest put, List<Host> accepted, int next) {
         if (put.isDurable(accepted)) {
             return CompletableFuture.completedFuture(null);
         }
-        if (next >= put.order.size()) {
+        if (next >= put.candidates.size()) {
             return CompletableFuture.failedFuture(
-                    new PeerException("segment " + put.name + " was accepted by only " + accepted.size() + " stores"));
+                    new PeerException("only " + accepted.size() + " stores accepted segment " + put.name));
         }
-        Host store = put.order.get(next);
+        Host store = put.candidates.get(next);
         boolean zoneHasCopy = put.zones >= SegmentNames.COPIES
                 && accepted.stream().anyMatch(other -> other.zone().equals(store.zone()));
         if (zoneHasCopy) {
-            return putNext(put, accepted, next + 1);
+            return putToNextStore(put, accepted, next + 1);
         }
         PeerMessage message = new PeerMessage.SegmentPut(put.name, put.content);
         return peers.ask(store.address(), PeerLane.BULK, message, PUT_TIMEOUT_MILLIS)
@@ -72,24 +72,25 @@
                     if (failure == null) {
                         accepted.add(store);
                     }
-                    return putNext(put, accepted, next + 1);
+                    return putToNextStore(put, accepted, next + 1);
                 })
                 .thenCompose(result -> result);
     }
 
-    private CompletableFuture<Optional<byte[]>> getNext(String name, List<Host> order, int next) {
+    private CompletableFuture<Optional<byte[]>> getFromNextStore(String name, List<Host> order, int next) {
         if (next >= order.size()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
         return peers.ask(order.get(next).address(), PeerLane.BULK, new PeerMessage.SegmentAsk(name), GET_TIMEOUT_MILLIS)
-                .handle((reply, failure) -> content(name, reply))
-                .thenCompose(found ->
-                        found.isPresent() ? CompletableFuture.completedFuture(found) : getNext(name, order, next + 1));
+                .handle((reply, failure) -> verifiedContent(name, reply))
+                .thenCompose(found -> found.isPresent()
+                        ? CompletableFuture.completedFuture(found)
+                        : getFromNextStore(name, order, next + 1));
     }
 
-    private static Optional<byte[]> content(String name, PeerMessage reply) {
+    private static Optional<byte[]> verifiedContent(String name, PeerMessage reply) {
         if (reply instanceof PeerMessage.Segment segment) {
-            return segment.bytes().filter(bytes -> SegmentNames.fits(name, bytes));
+            return segment.bytes().filter(bytes -> SegmentNames.matchesHash(name, bytes));
         }
         return Optional.empty();
     }
@@ -97,10 +98,10 @@
     /**
      * A segment to store.
      *
-     * @param order the stores in the order in which they are tried
+     * @param candidates the stores in the order in which they are tried
      * @param zones the number of distinct availability zones of all stores
      */
-    private record Put(String name, byte[] content, List<Host> order, long zones) {
+    private record PutRequest(String name, byte[] content, List<Host> candidates, long zones) {
         boolean isDurable(List<Host> accepted) {
             Set<Object> acceptedZones = new HashSet<>();
             accepted.forEach(host -> acceptedZones.add(host.zone()));
--- a/src/main/java/org/gooseberryhill/store/SegmentFolder.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentFolder.java
@@ -37,18 +37,18 @@
     private static final Pattern VALID_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,250}");
     private static final int MAGIC = 0x47425331;
     private static final int HEADER_BYTES = 4 + 4 + 8;
-    private static final String SUFFIX = ".segment";
+    private static final String SEGMENT_SUFFIX = ".segment";
     private static final String TEMPORARY_SUFFIX = ".tmp";
 
     private final Path folder;
-    private final AtomicLong temporaryNumbers = new AtomicLong();
+    private final AtomicLong temporaryFileCounter = new AtomicLong();
 
     /** Opens a data folder, creates it if it is missing, and deletes the temporary files in it. */
     public SegmentFolder(Path folder) {
         this.folder = folder;
         try {
             Files.createDirectories(folder);
-            deleteLeftovers();
+            deleteTemporaryFiles();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -65,7 +65,7 @@
         if (Files.exists(path(name))) {
             return;
         }
-        Path temporary = folder.resolve(name + "." + temporaryNumbers.incrementAndGet() + TEMPORARY_SUFFIX);
+        Path temporary = folder.resolve(name + "." + temporaryFileCounter.incrementAndGet() + TEMPORARY_SUFFIX);
         try (FileChannel channel =
                 FileChannel.open(temporary, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
             ByteBuffer buffer = frame(content);
@@ -75,7 +75,7 @@
             channel.force(true);
         }
         Files.move(temporary, path(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        syncNames();
+        syncDirectory();
     }
 
     /** Returns the content of a segment; empty if the segment is missing or damaged. */
@@ -99,7 +99,7 @@
     public void delete(String name) throws IOException {
         requireValid(name);
         if (Files.deleteIfExists(path(name))) {
-            syncNames();
+            syncDirectory();
         }
     }
 
@@ -112,8 +112,8 @@
     public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString())
-                    .filter(name -> name.endsWith(SUFFIX))
-                    .map(name -> name.substring(0, name.length() - SUFFIX.length()))
+                    .filter(name -> name.endsWith(SEGMENT_SUFFIX))
+                    .map(name -> name.substring(0, name.length() - SEGMENT_SUFFIX.length()))
                     .sorted()
                     .toList();
         }
@@ -123,14 +123,14 @@
      * Syncs the directory. Otherwise a power loss may undo the creation or deletion of a file although its content was
      * synced.
      */
-    private void syncNames() throws IOException {
+    private void syncDirectory() throws IOException {
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
         }
     }
 
     /** Deletes files that a crashed process did not finish writing; they were never reported as stored. */
-    private void deleteLeftovers() throws IOException {
+    private void deleteTemporaryFiles() throws IOException {
         List<Path> temporaryFiles;
         try (Stream<Path> files = Files.list(folder)) {
             temporaryFiles = files.filter(file -> file.getFileName().toString().endsWith(TEMPORARY_SUFFIX))
@@ -142,7 +142,7 @@
     }
 
     private Path path(String name) {
-        return folder.resolve(name + SUFFIX);
+        return folder.resolve(name + SEGMENT_SUFFIX);
     }
 
     private static ByteBuffer frame(byte[] content) {
--- a/src/main/java/org/gooseberryhill/store/SegmentNames.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentNames.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns whether a content matches the hash in the name of its segment. */
-    public static boolean fits(String name, byte[] content) {
+    public static boolean matchesHash(String name, byte[] content) {
         return name.substring(name.lastIndexOf('.') + 1).equals(hash(content));
     }
 
--- a/src/main/java/org/gooseberryhill/store/SegmentRepair.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentRepair.java
@@ -28,16 +28,16 @@
  */
 final class SegmentRepair {
     private static final Logger LOG = LogManager.getLogger(SegmentRepair.class);
-    private static final int NAMES_PER_QUESTION = 500;
-    private static final long SEND_TIMEOUT_MILLIS = 10_000;
+    private static final int NAMES_PER_REQUEST = 500;
+    private static final long REQUEST_TIMEOUT_MILLIS = 10_000;
 
     private final HostProcess process;
     private final SegmentFolder folder;
     private final Executor disk;
     private final long periodMillis;
-    private final AtomicInteger missing = new AtomicInteger();
-    private boolean running;
-    private boolean handedOver;
+    private final AtomicInteger missingCopies = new AtomicInteger();
+    private boolean roundInProgress;
+    private boolean handOverComplete;
 
     SegmentRepair(HostProcess process, SegmentFolder folder, Executor disk, long periodMillis) {
         this.process = process;
@@ -47,32 +47,32 @@
     }
 
     void start() {
-        process.loop().every(periodMillis, this::roundNow);
+        process.loop().every(periodMillis, this::startRound);
     }
 
     /** Starts a round that looks for missing copies, unless one is in progress. */
-    void roundNow() {
-        if (running) {
+    void startRound() {
+        if (roundInProgress) {
             return;
         }
-        running = true;
+        roundInProgress = true;
         boolean leaving = process.stop().phase() != PlannedStop.Phase.SERVING;
         List<Host> stores = process.present(Role.STORE);
-        missing.set(0);
-        CompletableFuture.supplyAsync(() -> missingFrom(stores), disk)
-                .thenCompose(this::askAll)
+        missingCopies.set(0);
+        CompletableFuture.supplyAsync(() -> expectedNames(stores), disk)
+                .thenCompose(this::repairAll)
                 .whenComplete((done, failure) -> process.loop().execute(() -> {
-                    running = false;
-                    handedOver = leaving && failure == null && missing.get() == 0;
+                    roundInProgress = false;
+                    handOverComplete = leaving && failure == null && missingCopies.get() == 0;
                 }));
     }
 
     /** Returns whether the latest round, if it began after the planned stop was requested, found no copy missing. */
-    boolean isHandedOver() {
-        return handedOver;
+    boolean isHandOverComplete() {
+        return handOverComplete;
     }
 
-    private Map<Host, List<String>> missingFrom(List<Host> stores) {
+    private Map<Host, List<String>> expectedNames(List<Host> stores) {
         Map<Host, List<String>> byStore = new HashMap<>();
         try {
             for (String name : folder.names()) {
@@ -88,46 +88,46 @@
         return byStore;
     }
 
-    private CompletableFuture<Void> askAll(Map<Host, List<String>> byStore) {
+    private CompletableFuture<Void> repairAll(Map<Host, List<String>> byStore) {
         CompletableFuture<Void> all = CompletableFuture.completedFuture(null);
         for (Map.Entry<Host, List<String>> entry : byStore.entrySet()) {
             List<String> names = entry.getValue();
-            for (int from = 0; from < names.size(); from += NAMES_PER_QUESTION) {
-                List<String> page = names.subList(from, Math.min(names.size(), from + NAMES_PER_QUESTION));
-                all = all.thenCompose(done -> ask(entry.getKey(), List.copyOf(page)));
+            for (int from = 0; from < names.size(); from += NAMES_PER_REQUEST) {
+                List<String> page = names.subList(from, Math.min(names.size(), from + NAMES_PER_REQUEST));
+                all = all.thenCompose(done -> repairPage(entry.getKey(), List.copyOf(page)));
             }
         }
         return all;
     }
 
-    private CompletableFuture<Void> ask(Host store, List<String> names) {
+    private CompletableFuture<Void> repairPage(Host store, List<String> names) {
         return process.peers()
-                .ask(store.address(), PeerLane.BULK, new PeerMessage.SegmentHave(names), SEND_TIMEOUT_MILLIS)
+                .ask(store.address(), PeerLane.BULK, new PeerMessage.SegmentHave(names), REQUEST_TIMEOUT_MILLIS)
                 .handle((reply, failure) -> {
                     boolean answered = reply instanceof PeerMessage.SegmentHave;
                     List<String> lacking = answered ? ((PeerMessage.SegmentHave) reply).names() : List.<String>of();
-                    missing.addAndGet(answered ? lacking.size() : names.size());
+                    missingCopies.addAndGet(answered ? lacking.size() : names.size());
                     return lacking;
                 })
-                .thenCompose(lacking -> sendAll(store, lacking));
+                .thenCompose(lacking -> sendCopies(store, lacking));
     }
 
-    private CompletableFuture<Void> sendAll(Host store, List<String> names) {
+    private CompletableFuture<Void> sendCopies(Host store, List<String> names) {
         CompletableFuture<Void> all = CompletableFuture.completedFuture(null);
         for (String name : names) {
-            all = all.thenCompose(done -> send(store, name));
+            all = all.thenCompose(done -> sendCopy(store, name));
         }
         return all;
     }
 
-    private CompletableFuture<Void> send(Host store, String name) {
-        return CompletableFuture.supplyAsync(() -> read(name), disk).thenCompose(content -> {
+    private CompletableFuture<Void> sendCopy(Host store, String name) {
+        return CompletableFuture.supplyAsync(() -> readSegment(name), disk).thenCompose(content -> {
             if (content.isEmpty()) {
                 return CompletableFuture.completedFuture(null);
             }
             PeerMessage put = new PeerMessage.SegmentPut(name, content.get());
             return process.peers()
-                    .ask(store.address(), PeerLane.BULK, put, SEND_TIMEOUT_MILLIS)
+                    .ask(store.address(), PeerLane.BULK, put, REQUEST_TIMEOUT_MILLIS)
                     .handle((reply, failure) -> {
                         if (failure == null) {
                             process.timeline()
@@ -141,7 +141,7 @@
         });
     }
 
-    private Optional<byte[]> read(String name) {
+    private Optional<byte[]> readSegment(String name) {
         try {
             return folder.get(name);
         } catch (IOException e) {
--- a/src/main/java/org/gooseberryhill/store/StoreProcess.java
+++ b/src/main/java/org/gooseberryhill/store/StoreProcess.java
@@ -29,7 +29,7 @@
         thread.setDaemon(true);
         return thread;
     });
-    private int inProgress;
+    private int requestsInProgress;
 
     /** Creates a process that is not started, and opens its data folder. */
     public StoreProcess(HostSettings settings, Path dataFolder, long repairPeriodMillis, long seed) {
@@ -63,22 +63,22 @@
      */
     private void advanceStop() {
         if (process.stop().phase() != PlannedStop.Phase.SERVING) {
-            repair.roundNow();
+            repair.startRound();
         }
-        process.advanceStop(inProgress + (repair.isHandedOver() ? 0 : 1), false);
+        process.advanceStop(requestsInProgress + (repair.isHandOverComplete() ? 0 : 1), false);
     }
 
     private CompletableFuture<PeerMessage> handle(HostId from, PeerMessage message) {
-        inProgress++;
+        requestsInProgress++;
         CompletableFuture<PeerMessage> reply = CompletableFuture.supplyAsync(() -> serve(message), disk);
-        reply.whenComplete((done, failure) -> process.loop().execute(() -> inProgress--));
+        reply.whenComplete((done, failure) -> process.loop().execute(() -> requestsInProgress--));
         return reply;
     }
 
     private PeerMessage serve(PeerMessage message) {
         try {
             if (message instanceof PeerMessage.SegmentPut put) {
-                if (!SegmentNames.fits(put.name(), put.bytes())) {
+                if (!SegmentNames.matchesHash(put.name(), put.bytes())) {
                     return new PeerMessage.Failed("the content does not fit the name " + put.name());
                 }
                 folder.put(put.name(), put.bytes());
--- a/src/test/java/org/gooseberryhill/ArchitectureTest.java
+++ b/src/test/java/org/gooseberryhill/ArchitectureTest.java
@@ -31,7 +31,7 @@
                     "org.apache.logging..");
 
     @ArchTest
-    final ArchRule theDecisionCoreKnowsNoAdapter = noClasses()
+    final ArchRule theDecisionCoreDependsOnNoAdapter = noClasses()
             .that()
             .resideInAPackage(DECISION)
             .should()
@@ -80,7 +80,7 @@
 
     /** The product works without the adapter, so that replacing the platform means replacing one folder. */
     @ArchTest
-    final ArchRule nothingOutsideKnowsThePlatformsAdapter = noClasses()
+    final ArchRule nothingOutsideDependsOnThePlatformAdapter = noClasses()
             .that()
             .resideOutsideOfPackage("org.gooseberryhill.platform..")
             .should()
@@ -109,7 +109,7 @@
             .callMethod(System.class, "currentTimeMillis");
 
     @ArchTest
-    final ArchRule onlyStandInsOfThePlatformUseThem = noClasses()
+    final ArchRule thePlatformAdapterUsesNoStandIns = noClasses()
             .that()
             .resideInAPackage("org.gooseberryhill.platform")
             .should()
--- a/src/test/java/org/gooseberryhill/WireNamesTest.java
+++ b/src/test/java/org/gooseberryhill/WireNamesTest.java
@@ -12,23 +12,23 @@
 
 /** Checks that only the adapter contains the platform's names on the wire, so that they are decoded in one place. */
 class WireNamesTest {
-    private static final Pattern NAMES = Pattern.compile(
+    private static final Pattern PLATFORM_NAMES = Pattern.compile(
             "(?i)x-(server-stamp|expect-instance|instance-id|not-executed|deadline-ms|token-usage|prompt-prefix|wait-ms)"
                     + "|/gooseberryhill/(kv|lots|items|report|ready)|\"(op|servers|status)/|dead_lettered|kv-(key|txn|watch)");
 
     @Test
-    void noSourceOutsideTheAdapterNamesThem() throws IOException {
+    void noSourceOutsideTheAdapterContainsPlatformNames() throws IOException {
         List<Path> sources;
         try (Stream<Path> files = Files.walk(Path.of("src/main"))) {
             sources = files.filter(Files::isRegularFile).toList();
         }
         assertThat(sources).isNotEmpty();
-        assertThat(sources).noneMatch(WireNamesTest::hasName);
+        assertThat(sources).noneMatch(WireNamesTest::containsPlatformName);
     }
 
-    private static boolean hasName(Path source) {
+    private static boolean containsPlatformName(Path source) {
         try {
-            return NAMES.matcher(Files.readString(source)).find();
+            return PLATFORM_NAMES.matcher(Files.readString(source)).find();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
+++ b/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
@@ -37,7 +37,7 @@
 
     @Test
     void anAcceptedEditIsInForceOnAllHosts() {
-        fixture.system.applyConfiguration(text("4"));
+        fixture.system.applyConfiguration(configurationWithVersion("4"));
 
         awaitVersion("4", fixture.processes());
     }
@@ -50,8 +50,10 @@
                 new PlatformOptions.Connection(fixture.system.fleet().keyValue())) {
             ConfigurationEditor editor = new ConfigurationEditor(connection.keyValue());
             long base = editor.read().orElseThrow().revision();
-            CompletableFuture<Step> one = CompletableFuture.supplyAsync(() -> editor.apply(text("5"), "one", base));
-            CompletableFuture<Step> two = CompletableFuture.supplyAsync(() -> editor.apply(text("6"), "two", base));
+            CompletableFuture<Step> one =
+                    CompletableFuture.supplyAsync(() -> editor.apply(configurationWithVersion("5"), "one", base));
+            CompletableFuture<Step> two =
+                    CompletableFuture.supplyAsync(() -> editor.apply(configurationWithVersion("6"), "two", base));
             steps.add(one.join());
             steps.add(two.join());
         }
@@ -63,7 +65,7 @@
     @Test
     void anEditWhoseAnswerIsLostIsKnownToBeAccepted() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 1, 0, false));
-        fixture.system.applyConfiguration(text("7"));
+        fixture.system.applyConfiguration(configurationWithVersion("7"));
 
         awaitVersion("7", fixture.processes());
     }
@@ -71,7 +73,7 @@
     /** A host starts during an outage of the key-value service: it gets the configuration in force from its peers. */
     @Test
     void aHostThatStartsDuringAnOutageGetsTheTextFromItsPeers() {
-        fixture.system.applyConfiguration(text("8"));
+        fixture.system.applyConfiguration(configurationWithVersion("8"));
         awaitVersion("8", fixture.processes());
         fixture.system.entries().get(1).close();
         fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
@@ -84,7 +86,7 @@
     /** The key-value service answers reads with a state before the latest edit: no host goes back to the older text. */
     @Test
     void staleReadingsDoNotBringAnOlderTextBack() {
-        fixture.system.applyConfiguration(text("9"));
+        fixture.system.applyConfiguration(configurationWithVersion("9"));
         awaitVersion("9", fixture.processes());
         fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 0, 0, true));
         fixture.system.entries().get(1).close();
@@ -98,7 +100,7 @@
     /** A new version of the model: every engine gets orders with increasing fencing tokens and loads the version. */
     @Test
     void enginesGetTheOrdersThatBringThemToTheConfiguration() {
-        fixture.system.applyConfiguration(text("10"));
+        fixture.system.applyConfiguration(configurationWithVersion("10"));
 
         List<EngineStandin> engines = fixture.system.platform().engines();
         ModelHolding wanted = new ModelHolding("tutor-7b", "10", List.of("critique"));
@@ -114,7 +116,7 @@
         Loopback.await(
                 "version " + version,
                 () -> processes.stream()
-                        .allMatch(process -> SystemFixture.onLoop(
+                        .allMatch(process -> SystemFixture.callOnLoop(
                                 process,
                                 () -> process.configuration().current().models().containsKey("tutor-7b")
                                         && process.configuration()
@@ -125,7 +127,7 @@
                                                 .equals(version))));
     }
 
-    private String text(String version) {
+    private String configurationWithVersion(String version) {
         return fixture.system.fleet().configuration().replace("version: \"3\"", "version: \"" + version + "\"");
     }
 }
--- a/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
+++ b/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
@@ -49,7 +49,7 @@
      * stream ends complete.
      */
     @Test
-    void aKilledAndAFrozenStewardHarmNeitherStreamsNorTheJob() throws IOException {
+    void aKilledAndASuspendedStewardHarmNeitherStreamsNorTheJob() throws IOException {
         startAll();
         byte[] body = SystemFixture.jobBody("lot", ITEMS, "portfolio");
         try (EntryClient coordinator = client(0, SampleFleet.COORDINATORS_KEY);
@@ -58,9 +58,9 @@
                             .call("PUT", "/v1/jobs/lot?model=tutor-7b", body)
                             .status())
                     .isEqualTo(201);
-            Loopback.await("a first chunk", () -> completed(coordinator) > 0);
-            signal("steward-0", "KILL");
-            signal("steward-1", "STOP");
+            Loopback.await("a first chunk", () -> completedItems(coordinator) > 0);
+            sendSignal("steward-0", "KILL");
+            sendSignal("steward-1", "STOP");
             List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 CheckedStream stream = new CheckedStream(SampleAnswers.chat("sketch " + i, 20), System.nanoTime());
@@ -68,9 +68,9 @@
                 answers.add(stream.result());
             }
             assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
-            Loopback.await("the loss of the frozen steward", () -> sawDead("steward-1"));
-            signal("steward-1", "CONT");
-            Loopback.await("the end of the job", () -> completed(coordinator) == ITEMS);
+            Loopback.await("the loss of the frozen steward", () -> isReportedDead("steward-1"));
+            sendSignal("steward-1", "CONT");
+            Loopback.await("the end of the job", () -> completedItems(coordinator) == ITEMS);
             checkResults(coordinator);
         }
     }
@@ -87,7 +87,8 @@
 
     private void startAll() throws IOException {
         start("standins", StandinsMain.class, "--base-port", Integer.toString(fleet.basePort()));
-        Loopback.await("the stand-ins", () -> answers(fleet.engine(11).port()));
+        Loopback.await(
+                "the stand-ins", () -> acceptsConnections(fleet.engine(11).port()));
         try (PlatformOptions.Connection connection = new PlatformOptions.Connection(fleet.keyValue())) {
             new ConfigurationEditor(connection.keyValue()).apply(fleet.configuration(), "test", 0);
         }
@@ -143,13 +144,13 @@
         processes.put(name, builder.start());
     }
 
-    private void signal(String name, String signal) throws IOException {
+    private void sendSignal(String name, String signal) throws IOException {
         long id = processes.get(name).pid();
         Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(id)).start();
         Loopback.await("the signal", () -> !kill.isAlive());
     }
 
-    private boolean sawDead(String host) {
+    private boolean isReportedDead(String host) {
         try {
             List<TimelineEvent> events = TimelineCommand.merge(List.of(folder));
             return events.stream()
@@ -165,7 +166,7 @@
         return new EntryClient(fleet.entryHttp(entry), key);
     }
 
-    private static int completed(EntryClient client) {
+    private static int completedItems(EntryClient client) {
         HttpResult status = client.call("GET", "/v1/jobs/lot", new byte[0]);
         return Json.tree(status.body())
                 .map(json -> json.path("completed").asInt())
@@ -180,7 +181,7 @@
         }
     }
 
-    private static boolean answers(int port) {
+    private static boolean acceptsConnections(int port) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             return socket.isConnected();
         } catch (IOException e) {
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -57,11 +57,11 @@
     @Test
     void aJobGoesOnWhenItsOwnerIsLost() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
-        int owner = fixture.ownerOf("lot");
+        int owner = fixture.awaitOwner("lot");
         fixture.system.stewards().get(owner).close();
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
         assertThat(fixture.results("lot")).hasSize(ITEMS);
     }
 
@@ -72,7 +72,7 @@
     @Test
     void aJobGoesOnWhenAHostWithAllItsProcessesIsLost() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
-        int host = fixture.ownerOf("lot");
+        int host = fixture.awaitOwner("lot");
         fixture.system.stewards().get(host).close();
         fixture.system.stores().get(host).close();
         if (host != 0) {
@@ -80,32 +80,32 @@
         }
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /** All leases expire at once while their holders work: they stop and claim again, and no result appears twice. */
     @Test
     void aJobGoesOnWhenAllLeasesLapse() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
-        Loopback.await("work", () -> served() > 0);
+        Loopback.await("work", () -> totalServed() > 0);
         fixture.system.platform().keyValue().lapseAllLeases();
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /** The key-value service fails during a job and recovers: the job ends with one correct result for each item. */
     @Test
     void aJobGoesOnAfterAnOutageOfTheKeyValueService() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
-        Loopback.await("work", () -> served() > 0);
+        Loopback.await("work", () -> totalServed() > 0);
         fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
-        int before = served();
-        Loopback.await("work during the outage", () -> served() > before + ITEMS / 4);
+        int before = totalServed();
+        Loopback.await("work during the outage", () -> totalServed() > before + ITEMS / 4);
         fixture.system.platform().keyValue().faults(KeyValueFaults.NONE);
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /** The next writes take effect but their answers are lost: the claim and the commits remain valid. */
@@ -116,7 +116,7 @@
 
         assertThat(accepted.status()).isEqualTo(201);
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /**
@@ -129,7 +129,7 @@
         fixture.submit(fixture.coordinator, "lot", ITEMS);
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /**
@@ -146,7 +146,7 @@
             socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
             socket.getOutputStream().write(body, 0, body.length / 2);
             socket.getOutputStream().flush();
-            Loopback.await("a first segment", () -> distinctSegments(List.of(0, 1, 2)) > 0);
+            Loopback.await("a first segment", () -> countDistinctSegments(List.of(0, 1, 2)) > 0);
             fixture.system.entries().get(0).close();
         }
         try (EntryClient other = fixture.system.client(1, SampleFleet.COORDINATORS_KEY)) {
@@ -184,7 +184,7 @@
             assertThat(SystemFixture.error(conflict).path("code").asText()).isEqualTo("conflict");
         }
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /** The caller cancels a running job: after the answer no further result appears, and the work stops. */
@@ -192,16 +192,17 @@
     void aCancelledJobStops() {
         fixture.submit(fixture.coordinator, "lot", 4 * ITEMS);
         Loopback.await(
-                "a first chunk", () -> fixture.job("lot").path("completed").asInt() > 0);
+                "a first chunk",
+                () -> fixture.jobStatus("lot").path("completed").asInt() > 0);
         HttpResult cancelled = fixture.coordinator.call("DELETE", "/v1/jobs/lot", new byte[0]);
-        int completed = fixture.job("lot").path("completed").asInt();
+        int completed = fixture.jobStatus("lot").path("completed").asInt();
 
         assertThat(cancelled.status()).isEqualTo(200);
         Loopback.await(
                 "the end of all work",
                 () -> fixture.system.stewards().stream().allMatch(steward -> steward.inProgress() == 0));
-        assertThat(fixture.job("lot").path("completed").asInt()).isEqualTo(completed);
-        assertThat(fixture.job("lot").path("state").asText()).isEqualTo("cancelled");
+        assertThat(fixture.jobStatus("lot").path("completed").asInt()).isEqualTo(completed);
+        assertThat(fixture.jobStatus("lot").path("state").asText()).isEqualTo("cancelled");
     }
 
     /**
@@ -209,10 +210,11 @@
      * fail because the record has changed, so that no result appears after the cancellation.
      */
     @Test
-    void aCancelledJobGetsNoResultAlsoWhenItsOwnerDoesNotHear() {
+    void aCancelledJobGetsNoResultAlsoIfItsOwnerIsNotNotified() {
         fixture.submit(fixture.coordinator, "lot", 4 * ITEMS);
         Loopback.await(
-                "a first chunk", () -> fixture.job("lot").path("completed").asInt() > 0);
+                "a first chunk",
+                () -> fixture.jobStatus("lot").path("completed").asInt() > 0);
         String key = Keys.job(new JobKey("coordinators", "lot"));
         try (PlatformOptions.Connection connection =
                 new PlatformOptions.Connection(fixture.system.fleet().keyValue())) {
@@ -231,12 +233,12 @@
                     .build();
             connection.keyValue().write(cancel).join();
         }
-        int completed = fixture.job("lot").path("completed").asInt();
+        int completed = fixture.jobStatus("lot").path("completed").asInt();
 
         Loopback.await(
                 "the end of all work",
                 () -> fixture.system.stewards().stream().allMatch(steward -> steward.inProgress() == 0));
-        assertThat(fixture.job("lot").path("completed").asInt()).isEqualTo(completed);
+        assertThat(fixture.jobStatus("lot").path("completed").asInt()).isEqualTo(completed);
     }
 
     /**
@@ -247,11 +249,12 @@
     void resultsOutliveALostStoreAndTheirCopiesAreRestored() throws IOException {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
         fixture.awaitJob("lot", "done");
-        long segments = distinctSegments(List.of(0, 1, 2));
+        long segments = countDistinctSegments(List.of(0, 1, 2));
         fixture.system.stores().get(0).close();
 
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
-        Loopback.await("two copies of each segment", () -> copies(1) == segments && copies(2) == segments);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
+        Loopback.await(
+                "two copies of each segment", () -> countSegments(1) == segments && countSegments(2) == segments);
     }
 
     /**
@@ -269,7 +272,7 @@
             leaving.close();
         }
 
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /** One item crashes each engine that runs it. The job ends with that item failed and all others correct. */
@@ -287,12 +290,12 @@
         List<JsonNode> results = fixture.results("lot");
         assertThat(results).hasSize(40);
         assertThat(results.get(7).path("error").path("code").asText()).isEqualTo("crashed-endpoints");
-        assertThat(fixture.rightResults("lot")).isEqualTo(39);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(39);
     }
 
     /** Line 40,000 is malformed: the answer names it, and no part of the job is accepted. */
     @Test
-    void aBodyWithAMistakeIsRefusedWhole() {
+    void aMalformedBodyIsRefusedAsAWhole() {
         String line = "{\"prompt\":\"x\"}\n";
         byte[] body = (line.repeat(39_999) + "{\"prompt\":\n" + line).getBytes(StandardCharsets.UTF_8);
 
@@ -316,21 +319,21 @@
         }
     }
 
-    private int served() {
+    private int totalServed() {
         return fixture.system.platform().engines().stream()
                 .mapToInt(EngineStandin::served)
                 .sum();
     }
 
-    private long copies(int store) {
-        return names(store).count();
+    private long countSegments(int store) {
+        return segmentNames(store).count();
     }
 
-    private long distinctSegments(List<Integer> stores) {
-        return stores.stream().flatMap(this::names).distinct().count();
+    private long countDistinctSegments(List<Integer> stores) {
+        return stores.stream().flatMap(this::segmentNames).distinct().count();
     }
 
-    private Stream<String> names(int store) {
+    private Stream<String> segmentNames(int store) {
         try (Stream<Path> files = Files.list(fixture.system.storeFolder(store))) {
             return files
                     .map(file -> file.getFileName().toString())
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -31,7 +31,7 @@
     private static final int ENGINES = 6;
 
     /** Requests lost with a runner are repeated in isolation, one per runner, so that only a few get a turn at once. */
-    private static final int FEW_STREAMS = 8;
+    private static final int CONCURRENT_STREAMS = 8;
 
     @TempDir
     private Path folder;
@@ -50,11 +50,11 @@
 
     /** Runners are killed one after the other while they stream: each stream continues on another one and completes. */
     @Test
-    void streamsOutliveKilledRunners() {
+    void streamsCompleteAlthoughRunnersAreKilled() {
         Set<EngineStandin> killed = new HashSet<>();
         while (killed.size() < 2) {
             List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
-            EngineStandin busy = awaitBusy(killed, answers);
+            EngineStandin busy = awaitBusyRunner(killed, answers);
             busy.crash();
             killed.add(busy);
 
@@ -68,18 +68,18 @@
      * correctly, the streams continue there and complete; otherwise the caller sees a cut-off stream, never a normal end.
      */
     @Test
-    void aStreamWithoutItsEndMarkIsNeverTakenForWhole() {
+    void aStreamWithoutItsEndMarkIsNeverReportedAsComplete() {
         EngineFaults early = new EngineFaults(Optional.empty(), 0, true, false, true);
         fixture.system.platform().engines().subList(0, 2).forEach(engine -> engine.faults(early));
         List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            answers.add(fixture.stream(fixture.tutor, "sketch " + i, 20));
+            answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 20));
         }
         assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
 
         fixture.system.platform().engines().forEach(engine -> engine.faults(early));
         for (int i = 0; i < 5; i++) {
-            assertThat(fixture.stream(fixture.tutor, "cut " + i, 20).join().end())
+            assertThat(fixture.startStream(fixture.tutor, "cut " + i, 20).join().end())
                     .isEqualTo(End.CUT);
         }
     }
@@ -97,7 +97,7 @@
         assertThat(SystemFixture.error(first).path("outcome").asText()).isEqualTo("may-have-run");
         Loopback.await(
                 "the mark of the lost answer", () -> resend("seat-1", "key-1").status() == 502);
-        assertThat(fixture.bookings("seat-1")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-1")).isEqualTo(1);
     }
 
     /** The same booking without an idempotency key is sent once and not repeated by the system. */
@@ -108,11 +108,11 @@
                 "POST", "/services/bookings/bookings", "{\"seat\":\"seat-2\"}".getBytes(StandardCharsets.UTF_8));
 
         assertThat(result.status()).isEqualTo(502);
-        assertThat(fixture.bookings("seat-2")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-2")).isEqualTo(1);
     }
 
     @Test
-    void aResentBookingGetsTheKeptAnswer() {
+    void aResentBookingGetsTheStoredAnswer() {
         HttpResult first = fixture.book(fixture.student, "seat-3", "key-3");
         HttpResult second = resend("seat-3", "key-3");
 
@@ -120,7 +120,7 @@
         assertThat(second.status()).isEqualTo(201);
         assertThat(second.body()).isEqualTo(first.body());
         assertThat(second.headers().get("x-replayed")).isEqualTo("true");
-        assertThat(fixture.bookings("seat-3")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-3")).isEqualTo(1);
     }
 
     /** The student sends the booking again while the first attempt is in progress. */
@@ -129,14 +129,14 @@
         fixture.system.platform().plainServices().forEach(service -> service.holdAnswers(1));
         CompletableFuture<HttpResult> first =
                 CompletableFuture.supplyAsync(() -> fixture.book(fixture.student, "seat-4", "key-4"));
-        Loopback.await("the booking", () -> fixture.bookings("seat-4") == 1);
+        Loopback.await("the booking", () -> fixture.countBookings("seat-4") == 1);
         HttpResult second = resend("seat-4", "key-4");
         fixture.system.platform().plainServices().forEach(PlainServiceStandin::answerHeld);
 
         assertThat(second.status()).isEqualTo(409);
         assertThat(SystemFixture.error(second).path("code").asText()).isEqualTo("in-progress");
         assertThat(first.join().status()).isEqualTo(201);
-        assertThat(fixture.bookings("seat-4")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-4")).isEqualTo(1);
     }
 
     /**
@@ -148,14 +148,14 @@
         fixture.system.platform().plainServices().forEach(service -> service.holdAnswers(1));
         CompletableFuture<HttpResult> first =
                 CompletableFuture.supplyAsync(() -> fixture.book(fixture.student, "seat-7", "key-7"));
-        Loopback.await("the booking", () -> fixture.bookings("seat-7") == 1);
+        Loopback.await("the booking", () -> fixture.countBookings("seat-7") == 1);
         fixture.system.entries().get(0).close();
         HttpResult second = resend("seat-7", "key-7");
 
         assertThat(first).failsWithin(Duration.ofSeconds(30));
         assertThat(second.status()).isEqualTo(409);
         assertThat(SystemFixture.error(second).path("outcome").asText()).isEqualTo("may-have-run");
-        assertThat(fixture.bookings("seat-7")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-7")).isEqualTo(1);
     }
 
     /** During an outage of the key-value service the booking can't be claimed: it is refused as not run and does not run. */
@@ -167,12 +167,12 @@
         assertThat(refused.status()).isEqualTo(503);
         assertThat(SystemFixture.error(refused).path("outcome").asText()).isEqualTo("not-run");
         assertThat(refused.headers().get("retry-after")).isNotNull();
-        assertThat(fixture.bookings("seat-5")).isZero();
+        assertThat(fixture.countBookings("seat-5")).isZero();
         fixture.system.platform().keyValue().faults(KeyValueFaults.NONE);
         Loopback.await(
                 "the booking",
                 () -> fixture.book(fixture.student, "seat-5", "key-5").status() == 201);
-        assertThat(fixture.bookings("seat-5")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-5")).isEqualTo(1);
     }
 
     /** The claim takes effect but its answer is lost: the host finds its own claim and sends the booking once. */
@@ -181,11 +181,11 @@
         fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 1, 0, false));
 
         assertThat(fixture.book(fixture.student, "seat-6", "key-6").status()).isEqualTo(201);
-        assertThat(fixture.bookings("seat-6")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-6")).isEqualTo(1);
     }
 
     @Test
-    void recordsArePassedThroughWhole() {
+    void recordsArePassedThroughUnchanged() {
         HttpResult record = fixture.student.call("GET", "/services/bookings/records/r7", new byte[0]);
 
         assertThat(record.body()).isEqualTo(PlainServiceStandin.record("r7"));
@@ -208,7 +208,7 @@
                 .forEach(engine -> engine.faults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
         List<CompletableFuture<CheckedStream.Result>> others = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            others.add(fixture.stream(fixture.tutor, "sketch " + i, 60));
+            others.add(fixture.startStream(fixture.tutor, "sketch " + i, 60));
         }
         List<Integer> statuses = new ArrayList<>();
         for (int attempt = 0; attempt < 9; attempt++) {
@@ -218,7 +218,7 @@
             }
         }
 
-        assertThat(crashes()).isEqualTo(2);
+        assertThat(totalCrashes()).isEqualTo(2);
         assertThat(statuses).containsOnly(422);
         assertThat(others).allMatch(answer -> answer.join().end() == End.WHOLE);
     }
@@ -235,11 +235,11 @@
         for (int i = 0; i < 9; i++) {
             EntryClient client = fixture.system.client(i % 3, SampleFleet.TUTORS_KEY);
             clients.add(client);
-            sent.add(fixture.stream(client, "poison", 20));
+            sent.add(fixture.startStream(client, "poison", 20));
         }
 
         assertThat(sent).noneMatch(answer -> answer.join().end() == End.WHOLE);
-        assertThat(crashes()).isBetween(2, 3);
+        assertThat(totalCrashes()).isBetween(2, 3);
         clients.forEach(EntryClient::close);
     }
 
@@ -248,10 +248,10 @@
      * all hosts know, and it gets no new ones, neither online nor batch.
      */
     @Test
-    void aLeavingEngineEndsWhatItHasAndGetsNothingNew() {
+    void aLeavingEngineCompletesItsRequestsAndGetsNoNewOnes() {
         List<CompletableFuture<CheckedStream.Result>> before = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            before.add(fixture.stream(fixture.tutor, "before " + i, 100));
+            before.add(fixture.startStream(fixture.tutor, "before " + i, 100));
         }
         fixture.submit(fixture.coordinator, "lot", 600);
         engine(0).faults(new EngineFaults(Optional.empty(), 0, true, true, false));
@@ -259,12 +259,12 @@
                 "all hosts know",
                 () -> fixture.system.entries().stream()
                                 .allMatch(entry ->
-                                        SystemFixture.onLoop(entry.process(), () -> entry.knowsLeaving("tutor-00")))
+                                        SystemFixture.callOnLoop(entry.process(), () -> entry.knowsLeaving("tutor-00")))
                         && engine(0).isIdle());
         int served = engine(0).served();
         List<CompletableFuture<CheckedStream.Result>> after = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            after.add(fixture.stream(fixture.tutor, "after " + i, 10));
+            after.add(fixture.startStream(fixture.tutor, "after " + i, 10));
         }
 
         assertThat(after).allMatch(answer -> answer.join().end() == End.WHOLE);
@@ -278,9 +278,9 @@
     void aPlannedStopOfAnEntryCutsNothingAlsoWhenARunnerIsLost() {
         List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            answers.add(fixture.stream(fixture.tutor, "sketch " + i, 100));
+            answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 100));
         }
-        Loopback.await("streams on their way", () -> active() > 0);
+        Loopback.await("streams on their way", () -> busyRunners() > 0);
         EntryClient late = fixture.system.client(0, SampleFleet.TUTORS_KEY);
         fixture.system.entries().get(0).process().askStop();
         engine(2).crash();
@@ -298,14 +298,14 @@
     @Test
     void aPlannedStopOfAStewardLosesNoItem() {
         fixture.submit(fixture.coordinator, "lot", 600);
-        int owner = fixture.ownerOf("lot");
-        Loopback.await("items on their way", () -> active() > 0);
+        int owner = fixture.awaitOwner("lot");
+        Loopback.await("items on their way", () -> busyRunners() > 0);
         fixture.system.stewards().get(owner).process().askStop();
         fixture.system.stewards().get(owner).process().ended().join();
         fixture.system.stewards().get(owner).close();
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(600);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(600);
     }
 
     @Test
@@ -338,13 +338,13 @@
     }
 
     /** Returns a runner that has streams in progress; starts new ones whenever all have ended. */
-    private EngineStandin awaitBusy(
+    private EngineStandin awaitBusyRunner(
             Set<EngineStandin> excluded, List<CompletableFuture<CheckedStream.Result>> answers) {
         List<EngineStandin> busy = new ArrayList<>();
         Loopback.await("a runner with streams", () -> {
             boolean allEnded = answers.stream().allMatch(CompletableFuture::isDone);
-            for (int i = 0; allEnded && i < FEW_STREAMS; i++) {
-                answers.add(fixture.stream(fixture.tutor, "sketch " + excluded.size() + " " + answers.size(), 60));
+            for (int i = 0; allEnded && i < CONCURRENT_STREAMS; i++) {
+                answers.add(fixture.startStream(fixture.tutor, "sketch " + excluded.size() + " " + answers.size(), 60));
             }
             fixture.system.platform().engines().stream()
                     .filter(engine -> !engine.isIdle() && !excluded.contains(engine))
@@ -354,13 +354,13 @@
         return busy.get(0);
     }
 
-    private long active() {
+    private long busyRunners() {
         return fixture.system.platform().engines().stream()
                 .filter(engine -> !engine.isIdle())
                 .count();
     }
 
-    private int crashes() {
+    private int totalCrashes() {
         return fixture.system.platform().engines().stream()
                 .mapToInt(EngineStandin::crashes)
                 .sum();
--- a/src/test/java/org/gooseberryhill/program/SystemFixture.java
+++ b/src/test/java/org/gooseberryhill/program/SystemFixture.java
@@ -46,7 +46,7 @@
         Loopback.await(
                 "hosts that know each other",
                 () -> processes().stream()
-                        .allMatch(process -> onLoop(
+                        .allMatch(process -> callOnLoop(
                                 process,
                                 () -> process.present(Role.ENTRY).size()
                                                         + process.present(Role.STEWARD)
@@ -65,7 +65,7 @@
         return processes;
     }
 
-    static <T> T onLoop(HostProcess process, Supplier<T> query) {
+    static <T> T callOnLoop(HostProcess process, Supplier<T> query) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         process.loop().execute(() -> answer.complete(query.get()));
         return answer.join();
@@ -91,14 +91,15 @@
         return prefix + " " + id + " " + index;
     }
 
-    JsonNode job(String id) {
+    JsonNode jobStatus(String id) {
         return Json.tree(coordinator.call("GET", "/v1/jobs/" + id, new byte[0]).body())
                 .getOrElse(Json.object());
     }
 
     void awaitJob(String id, String state) {
         Loopback.await(
-                "job " + id + " " + state, () -> job(id).path("state").asText().equals(state));
+                "job " + id + " " + state,
+                () -> jobStatus(id).path("state").asText().equals(state));
     }
 
     /** Returns the lines of a job's results, in the order received. */
@@ -114,7 +115,7 @@
     }
 
     /** Returns how many result lines are the correct result of the item with the index of the line. */
-    long rightResults(String id) {
+    long countCorrectResults(String id) {
         List<JsonNode> lines = results(id);
         long correct = 0;
         for (int i = 0; i < lines.size(); i++) {
@@ -128,7 +129,7 @@
     }
 
     /** Waits until a steward owns a job and returns the steward's number. */
-    int ownerOf(String id) {
+    int awaitOwner(String id) {
         JobKey key = new JobKey("coordinators", id);
         List<String> owner = new ArrayList<>();
         try (PlatformOptions.Connection connection =
@@ -148,7 +149,7 @@
         return Integer.parseInt(host.substring("steward-".length()));
     }
 
-    CompletableFuture<CheckedStream.Result> stream(EntryClient client, String prompt, int tokens) {
+    CompletableFuture<CheckedStream.Result> startStream(EntryClient client, String prompt, int tokens) {
         CheckedStream stream = new CheckedStream(SampleAnswers.chat(prompt, tokens), System.nanoTime());
         client.start("POST", "/v1/chat/completions", SampleAnswers.chatBody(prompt, tokens), stream);
         return stream.result();
@@ -159,7 +160,7 @@
         return client.call("POST", "/services/bookings/bookings", body, Map.of("idempotency-key", key));
     }
 
-    long bookings(String seat) {
+    long countBookings(String seat) {
         return system.platform().plainServices().stream()
                 .flatMap(service -> service.bookings().stream())
                 .filter(body -> body.contains("\"" + seat + "\""))
--- a/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
+++ b/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
@@ -58,7 +58,7 @@
 
     /** A process crashes during a write: its temporary file would take disk space forever if the next one kept it. */
     @Test
-    void whatALostProcessHadBegunToWriteIsRemoved() throws IOException {
+    void temporaryFilesOfACrashedProcessAreDeleted() throws IOException {
         Files.write(folder.resolve("s.1.tmp"), CONTENT);
 
         new SegmentFolder(folder);
@@ -93,7 +93,7 @@
 
     /** The process was killed during a write: its temporary file does not count as a segment. */
     @Test
-    void aHalfWrittenFileIsNoSegment() throws IOException {
+    void aTemporaryFileIsNotASegment() throws IOException {
         Files.write(folder.resolve("s.1.tmp"), new byte[] {1});
 
         assertThat(segments.names()).isEmpty();
