--- a/src/main/java/org/gooseberryhill/program/ConfigCommand.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigCommand.java
@@ -36,17 +36,17 @@
             @Parameters(paramLabel = "FILE", description = "The text") Path file,
             @Option(names = "--json", description = "Findings as JSON") boolean json)
             throws IOException {
-        Either<List<Finding>, Configuration> read = ConfigurationReader.read(file.toString(), Files.readString(file));
-        if (read.isLeft()) {
-            printFindings(read.getLeft(), json);
+        Either<List<Finding>, Configuration> parsed = ConfigurationReader.read(file.toString(), Files.readString(file));
+        if (parsed.isLeft()) {
+            printFindings(parsed.getLeft(), json);
             return Commands.FAILED;
         }
-        Configuration found = read.get();
+        Configuration configuration = parsed.get();
         out().printf(
                         "ok: %d services, %d endpoints, %d callers%n",
-                        found.services().size(),
-                        found.endpoints().size(),
-                        found.callers().size());
+                        configuration.services().size(),
+                        configuration.endpoints().size(),
+                        configuration.callers().size());
         return Commands.OK;
     }
 
@@ -62,9 +62,9 @@
                     String author)
             throws IOException {
         String text = Files.readString(file);
-        Either<List<Finding>, Configuration> read = ConfigurationReader.read(file.toString(), text);
-        if (read.isLeft()) {
-            printFindings(read.getLeft(), false);
+        Either<List<Finding>, Configuration> parsed = ConfigurationReader.read(file.toString(), text);
+        if (parsed.isLeft()) {
+            printFindings(parsed.getLeft(), false);
             return Commands.FAILED;
         }
         try (PlatformOptions.Connection connection = platform.connect()) {
--- a/src/main/java/org/gooseberryhill/program/DemoCommand.java
+++ b/src/main/java/org/gooseberryhill/program/DemoCommand.java
@@ -132,10 +132,11 @@
     }
 
     private void awaitReady(SampleSystem system) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
         for (int i = 0; i < SampleSystem.HOSTS_PER_ROLE; i++) {
             try (EntryClient client = system.client(i, SampleFleet.TUTORS_KEY)) {
-                while (client.call("GET", "/readyz", new byte[0]).status() != 200 && System.nanoTime() < until) {
+                while (client.call("GET", "/readyz", new byte[0]).status() != 200
+                        && System.nanoTime() < deadlineNanos) {
                     Thread.sleep(POLL_MILLIS);
                 }
             }
@@ -145,9 +146,9 @@
     }
 
     private void awaitDone(EntryClient client) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(JOB_TIMEOUT_MILLIS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(JOB_TIMEOUT_MILLIS);
         String state = "";
-        while (!state.equals("done") && System.nanoTime() < until) {
+        while (!state.equals("done") && System.nanoTime() < deadlineNanos) {
             Thread.sleep(POLL_MILLIS);
             HttpResult status = client.call("GET", "/v1/jobs/" + JOB_ID, new byte[0]);
             state = Json.tree(status.body())
--- a/src/main/java/org/gooseberryhill/program/GooseberryMain.java
+++ b/src/main/java/org/gooseberryhill/program/GooseberryMain.java
@@ -22,7 +22,7 @@
     @Spec
     private CommandSpec spec;
 
-    /** Runs the program; exits with 0 on success, 1 on failure and 2 if the command line or the settings are invalid. */
+    /** Runs the program; exits with 0 on success, 1 on failure, 2 if the command line or the settings are invalid. */
     public static void main(String... arguments) {
         System.exit(Commands.run(new GooseberryMain(), arguments));
     }
--- a/src/main/java/org/gooseberryhill/program/StoreMain.java
+++ b/src/main/java/org/gooseberryhill/program/StoreMain.java
@@ -53,11 +53,11 @@
         SettingsReader reader = new SettingsReader();
         HostSettings settings = host.readSettings(Role.STORE, reader);
         Path folder = Path.of(reader.requiredText("--data-folder", dataFolder));
-        long repairMillis = reader.number("--repair-period-millis", repairPeriodMillis, 100, MAX_MILLIS);
+        long periodMillis = reader.number("--repair-period-millis", repairPeriodMillis, 100, MAX_MILLIS);
         Optional<Address> admin = reader.optionalAddress("--admin-address", adminAddress);
         reader.requireNoFindings();
         StoreProcess store = new StoreProcess(
-                settings, folder, repairMillis, settings.self().id().hashCode());
+                settings, folder, periodMillis, settings.self().id().hashCode());
         store.start();
         admin.ifPresent(address -> new AdminServer(store.process(), address));
         ProcessLifecycle.runUntilStopped(store.process(), store);
--- a/src/main/java/org/gooseberryhill/store/SegmentRepair.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentRepair.java
@@ -73,24 +73,26 @@
     }
 
     private Map<Host, List<String>> expectedNames(List<Host> stores) {
-        Map<Host, List<String>> byStore = new HashMap<>();
+        Map<Host, List<String>> namesByStore = new HashMap<>();
         try {
             for (String name : folder.names()) {
                 for (Host store : SegmentNames.placement(name, stores)) {
                     if (!process.isSelf(store)) {
-                        byStore.computeIfAbsent(store, key -> new ArrayList<>()).add(name);
+                        namesByStore
+                                .computeIfAbsent(store, key -> new ArrayList<>())
+                                .add(name);
                     }
                 }
             }
         } catch (IOException e) {
             LOG.warn("failed to list the segments: {}", e.toString());
         }
-        return byStore;
+        return namesByStore;
     }
 
-    private CompletableFuture<Void> repairAll(Map<Host, List<String>> byStore) {
+    private CompletableFuture<Void> repairAll(Map<Host, List<String>> namesByStore) {
         CompletableFuture<Void> all = CompletableFuture.completedFuture(null);
-        for (Map.Entry<Host, List<String>> entry : byStore.entrySet()) {
+        for (Map.Entry<Host, List<String>> entry : namesByStore.entrySet()) {
             List<String> names = entry.getValue();
             for (int from = 0; from < names.size(); from += NAMES_PER_REQUEST) {
                 List<String> page = names.subList(from, Math.min(names.size(), from + NAMES_PER_REQUEST));
--- a/src/test/java/org/gooseberryhill/Loopback.java
+++ b/src/test/java/org/gooseberryhill/Loopback.java
@@ -31,9 +31,9 @@
 
     /** Waits until the condition holds; the time-out of 120 s only stops a test that would never end. */
     public static void await(String outcome, BooleanSupplier condition) {
-        long until = System.nanoTime() + OUTCOME_TIMEOUT_NANOS;
+        long deadlineNanos = System.nanoTime() + OUTCOME_TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > until) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new AssertionError("not observed in time: " + outcome);
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(10));
--- a/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
+++ b/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
@@ -44,9 +44,9 @@
     }
 
     /**
-     * During a job and online streams, one steward is killed and another is suspended until its lease has expired. When
-     * that one resumes, it acts on claims that it no longer holds. Each item still has its correct result once, and each
-     * stream ends complete.
+     * During a job and online streams, one steward is killed and another is suspended until its lease has expired.
+     * When that one resumes, it acts on claims that it no longer holds. Each item still has its correct result once,
+     * and each stream ends complete.
      */
     @Test
     void aKilledAndASuspendedStewardHarmNeitherStreamsNorTheJob() throws IOException {
@@ -68,7 +68,7 @@
                 answers.add(stream.result());
             }
             assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
-            Loopback.await("the loss of the frozen steward", () -> isReportedDead("steward-1"));
+            Loopback.await("the loss of the suspended steward", () -> isReportedDead("steward-1"));
             sendSignal("steward-1", "CONT");
             Loopback.await("the end of the job", () -> completedItems(coordinator) == ITEMS);
             checkResults(coordinator);
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -206,8 +206,8 @@
     }
 
     /**
-     * The job's record is cancelled but the notice to its owner is lost, so the owner keeps working. Its next commit must
-     * fail because the record has changed, so that no result appears after the cancellation.
+     * The job's record is cancelled but the notice to its owner is lost, so the owner keeps working. Its next commit
+     * must fail because the record has changed, so that no result appears after the cancellation.
      */
     @Test
     void aCancelledJobGetsNoResultAlsoIfItsOwnerIsNotNotified() {
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -65,7 +65,7 @@
 
     /**
      * Runners end their streams early as if they were complete, but without the end mark. While other runners work
-     * correctly, the streams continue there and complete; otherwise the caller sees a cut-off stream, never a normal end.
+     * correctly, the streams continue there and complete; otherwise the caller sees a cut stream, never a normal end.
      */
     @Test
     void aStreamWithoutItsEndMarkIsNeverReportedAsComplete() {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * A booking takes effect but its answer is lost. The caller is told that it may have run, resends it through another
-     * host, and gets the same outcome: the seat is booked once.
+     * A booking takes effect but its answer is lost. The caller is told that it may have run, resends it through
+     * another host, and gets the same outcome: the seat is booked once.
      */
     @Test
     void aBookingWhoseAnswerIsLostIsNotRepeated() {
@@ -158,7 +158,7 @@
         assertThat(fixture.countBookings("seat-7")).isEqualTo(1);
     }
 
-    /** During an outage of the key-value service the booking can't be claimed: it is refused as not run and does not run. */
+    /** During an outage of the key-value service a booking can't be claimed: it is correctly refused as not run. */
     @Test
     void duringAnOutageABookingIsRefusedAsNotRun() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
@@ -244,8 +244,8 @@
     }
 
     /**
-     * An engine reports that it is leaving while the host list lags. Its running requests complete; within a few seconds
-     * all hosts know, and it gets no new ones, neither online nor batch.
+     * An engine reports that it is leaving while the host list lags. Its running requests complete; within a few
+     * seconds all hosts know, and it gets no new ones, neither online nor batch.
      */
     @Test
     void aLeavingEngineCompletesItsRequestsAndGetsNoNewOnes() {
@@ -280,7 +280,7 @@
         for (int i = 0; i < 30; i++) {
             answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 100));
         }
-        Loopback.await("streams on their way", () -> busyRunners() > 0);
+        Loopback.await("streams in progress", () -> busyRunners() > 0);
         EntryClient late = fixture.system.client(0, SampleFleet.TUTORS_KEY);
         fixture.system.entries().get(0).process().askStop();
         engine(2).crash();
@@ -299,7 +299,7 @@
     void aPlannedStopOfAStewardLosesNoItem() {
         fixture.submit(fixture.coordinator, "lot", 600);
         int owner = fixture.awaitOwner("lot");
-        Loopback.await("items on their way", () -> busyRunners() > 0);
+        Loopback.await("items in progress", () -> busyRunners() > 0);
         fixture.system.stewards().get(owner).process().askStop();
         fixture.system.stewards().get(owner).process().ended().join();
         fixture.system.stewards().get(owner).close();
--- a/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
+++ b/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
@@ -33,7 +33,7 @@
         assertThat(segments.names()).containsExactly("items.a.b.0.x");
     }
 
-    /** The file is truncated at each possible length: the segment counts as missing and is never read as a shorter one. */
+    /** The file is truncated at each length: the segment counts as missing and is never read as a shorter one. */
     @Test
     void aTruncatedSegmentCountsAsMissing() throws IOException {
         segments.put("s", CONTENT);
