--- a/src/main/java/org/gooseberryhill/program/HostOptions.java
+++ b/src/main/java/org/gooseberryhill/program/HostOptions.java
@@ -8,7 +8,7 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 import picocli.CommandLine.Option;
 
-/** The options that entries, stewards and stores share. Used by one thread. */
+/** The options common to entries, stewards and stores. Used by one thread. */
 final class HostOptions {
     private static final long MAX_MILLIS = 3_600_000;
 
@@ -69,11 +69,11 @@
             description = "After which a stop ends even with requests in progress (default 120000)")
     private String stopBoundMillis;
 
-    HostSettings settings(Role role, SettingsReader reader) {
+    HostSettings readSettings(Role role, SettingsReader reader) {
         Host self = new Host(
-                new HostId(reader.required("--host-id", hostId)),
+                new HostId(reader.requiredText("--host-id", hostId)),
                 role,
-                new AvailabilityZone(reader.required("--zone", zone)),
+                new AvailabilityZone(reader.requiredText("--zone", zone)),
                 reader.address("--peer-address", peerAddress),
                 false);
         return new HostSettings(
--- a/src/main/java/org/gooseberryhill/program/SettingsReader.java
+++ b/src/main/java/org/gooseberryhill/program/SettingsReader.java
@@ -7,39 +7,39 @@
 import org.gooseberryhill.link.Address;
 
 /**
- * Checks the settings of a program and collects what is wrong, so that all of it is reported before anything starts.
- * Not thread-safe. A getter always returns a usable value.
+ * Parses the settings of a program and collects findings on them, so that all are reported before anything starts. A
+ * method that parses a setting always returns a usable value, also if the setting is invalid. Not thread-safe.
  */
 final class SettingsReader {
-    private static final Address NO_ADDRESS = new Address("127.0.0.1", 1);
+    private static final Address PLACEHOLDER_ADDRESS = new Address("127.0.0.1", 1);
 
     private final List<String> findings = new ArrayList<>();
 
-    /** A text that must be there. */
-    String required(String flag, String value) {
+    /** Returns a required text. */
+    String requiredText(String flag, String value) {
         if (value == null || value.isBlank()) {
-            findings.add(flag + " is missing; set it or " + variable(flag));
+            findings.add(flag + " is missing; set it or " + environmentVariable(flag));
             return "missing";
         }
         return value;
     }
 
-    /** An IP number and a port that must be there. */
+    /** Parses a required IP address and port. */
     Address address(String flag, String value) {
-        String text = required(flag, value);
+        String text = requiredText(flag, value);
         Optional<Address> address = Address.parse(text);
         if (address.isEmpty() && value != null && !value.isBlank()) {
             findings.add(flag + ": \"" + text + "\" is not an IP number and a port, such as 10.0.0.7:8000");
         }
-        return address.orElse(NO_ADDRESS);
+        return address.orElse(PLACEHOLDER_ADDRESS);
     }
 
-    /** An IP number and a port that may be left out. */
+    /** Parses an optional IP address and port. */
     Optional<Address> optionalAddress(String flag, String value) {
         return value == null || value.isBlank() ? Optional.empty() : Optional.of(address(flag, value));
     }
 
-    /** A whole number within a range. */
+    /** Parses an integer within a range, both bounds included. */
     long number(String flag, String value, long min, long max) {
         try {
             long number = Long.parseLong(value);
@@ -47,12 +47,12 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            return outside(flag, value, min, max);
+            return reportOutOfRange(flag, value, min, max);
         }
-        return outside(flag, value, min, max);
+        return reportOutOfRange(flag, value, min, max);
     }
 
-    /** One of a few words. */
+    /** Returns a text that must be one of the given choices; the first one if it is invalid. */
     String choice(String flag, String value, String... choices) {
         if (!List.of(choices).contains(value)) {
             findings.add(flag + ": \"" + value + "\" is none of " + String.join(", ", choices));
@@ -61,19 +61,19 @@
         return value;
     }
 
-    /** Throws with all findings, if there are any. */
-    void requireNone() {
+    /** Throws a {@link SettingsException} with all findings, if there are any. */
+    void requireNoFindings() {
         if (!findings.isEmpty()) {
             throw new SettingsException(findings);
         }
     }
 
-    /** The environment variable that stands for a flag. */
-    static String variable(String flag) {
+    /** Returns the name of the environment variable for a flag. */
+    static String environmentVariable(String flag) {
         return "GOOSEBERRY_" + flag.substring(2).replace('-', '_').toUpperCase(Locale.ROOT);
     }
 
-    private long outside(String flag, String value, long min, long max) {
+    private long reportOutOfRange(String flag, String value, long min, long max) {
         findings.add(flag + ": \"" + value + "\" is not a whole number from " + min + " to " + max);
         return min;
     }
--- a/src/test/java/org/gooseberryhill/ArchitectureTest.java
+++ b/src/test/java/org/gooseberryhill/ArchitectureTest.java
@@ -7,7 +7,10 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The decision core has to stay free of everything that a virtual-time test could not control. */
+/**
+ * Checks the dependencies between packages. The decision core must not depend on anything that a test with virtual time
+ * can't control.
+ */
 @AnalyzeClasses(packages = "org.gooseberryhill", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final String DECISION = "org.gooseberryhill.decision..";
@@ -28,7 +31,7 @@
                     "org.apache.logging..");
 
     @ArchTest
-    final ArchRule theDecisionCoreKnowsNoAdapter = noClasses()
+    final ArchRule theDecisionCoreDependsOnNoAdapter = noClasses()
             .that()
             .resideInAPackage(DECISION)
             .should()
@@ -75,16 +78,16 @@
             .dependOnClassesThat()
             .resideInAPackage("org.gooseberryhill.standin..");
 
-    /** The product works without the adapter; whoever replaces the platform replaces one folder. */
+    /** The product works without the adapter, so that replacing the platform means replacing one folder. */
     @ArchTest
-    final ArchRule nothingOutsideKnowsThePlatformsAdapter = noClasses()
+    final ArchRule nothingOutsideDependsOnThePlatformAdapter = noClasses()
             .that()
             .resideOutsideOfPackage("org.gooseberryhill.platform..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("org.gooseberryhill.platform..");
 
-    /** The adapter translates into the product's types; what decides, keeps time or keeps state stays in the product. */
+    /** The adapter only translates to the product's types; decisions, timing and state stay in the product. */
     @ArchTest
     final ArchRule thePlatformsAdapterDecidesNothing = noClasses()
             .that()
@@ -106,7 +109,7 @@
             .callMethod(System.class, "currentTimeMillis");
 
     @ArchTest
-    final ArchRule onlyStandInsOfThePlatformUseThem = noClasses()
+    final ArchRule thePlatformAdapterUsesNoStandIns = noClasses()
             .that()
             .resideInAPackage("org.gooseberryhill.platform")
             .should()
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Jobs over a whole small system, while its parts fail. */
+/** Tests jobs on a small system while parts of it fail. */
 class JobFailuresTest {
     private static final int ITEMS = 600;
 
@@ -51,28 +51,28 @@
     }
 
     /**
-     * The steward that owns the job is lost with items in flight. Its lease lapses, another claims the job and goes on
-     * from the committed chunks: each item has its right result once.
+     * The steward that owns the job is lost with items in flight. Its lease expires, another steward claims the job and
+     * continues after the committed chunks: each item has its correct result once.
      */
     @Test
     void aJobGoesOnWhenItsOwnerIsLost() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
-        int owner = fixture.ownerOf("lot");
+        int owner = fixture.awaitOwner("lot");
         fixture.system.stewards().get(owner).close();
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
         assertThat(fixture.results("lot")).hasSize(ITEMS);
     }
 
     /**
-     * A whole host is lost at one moment: the steward that owns the job, and the store and the entry beside it. The
-     * other zones have the items, another steward claims the job, and the results are read through an entry that is left.
+     * The steward that owns the job is lost together with the store and the entry of its zone. The other zones have the
+     * items, another steward claims the job, and the results are read through a remaining entry.
      */
     @Test
     void aJobGoesOnWhenAHostWithAllItsProcessesIsLost() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
-        int host = fixture.ownerOf("lot");
+        int host = fixture.awaitOwner("lot");
         fixture.system.stewards().get(host).close();
         fixture.system.stores().get(host).close();
         if (host != 0) {
@@ -80,35 +80,35 @@
         }
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** All leases lapse at once while their holders work on: they stop, claim anew, and nothing is done twice. */
+    /** All leases expire at once while their holders work: they stop and claim again, and no result appears twice. */
     @Test
     void aJobGoesOnWhenAllLeasesLapse() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
-        Loopback.await("work", () -> served() > 0);
+        Loopback.await("work", () -> totalServed() > 0);
         fixture.system.platform().keyValue().lapseAllLeases();
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** The key-value service goes out in the middle of a job and comes back: the job ends with each item done once. */
+    /** The key-value service fails during a job and recovers: the job ends with one correct result for each item. */
     @Test
     void aJobGoesOnAfterAnOutageOfTheKeyValueService() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
-        Loopback.await("work", () -> served() > 0);
+        Loopback.await("work", () -> totalServed() > 0);
         fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
-        int before = served();
-        Loopback.await("work during the outage", () -> served() > before + ITEMS / 4);
+        int before = totalServed();
+        Loopback.await("work during the outage", () -> totalServed() > before + ITEMS / 4);
         fixture.system.platform().keyValue().faults(KeyValueFaults.NONE);
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** The answers to the next writes are lost although they took effect: the claim and the commits still stand. */
+    /** The next writes take effect but their answers are lost: the claim and the commits remain valid. */
     @Test
     void aJobEndsWhenAnswersOfTheKeyValueServiceAreLost() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 3, 0, false));
@@ -116,12 +116,12 @@
 
         assertThat(accepted.status()).isEqualTo(201);
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /**
-     * The claim of the job takes effect while its answer is lost, and so is the reading that would confirm it. The host
-     * holds the job without knowing: it must find that out, or its live lease would keep the job from everyone.
+     * The claim of the job takes effect but its answer is lost, and the read that would confirm it fails too. The host
+     * holds the job without knowing: unless it finds its claim, its live lease keeps all others from claiming the job.
      */
     @Test
     void aClaimThatItsHolderDoesNotKnowOfIsFound() {
@@ -129,12 +129,12 @@
         fixture.submit(fixture.coordinator, "lot", ITEMS);
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
     /**
-     * The entry is lost in the middle of a submission. Nothing of it counts; the caller sends the whole again through
-     * another entry, and that is the job.
+     * The entry is lost during a submission. The partial submission has no effect; the caller resends the whole job
+     * through another entry, where it is accepted.
      */
     @Test
     void aSubmissionThroughALostEntryIsSentAgainAndIsOneJob() throws IOException {
@@ -146,7 +146,7 @@
             socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
             socket.getOutputStream().write(body, 0, body.length / 2);
             socket.getOutputStream().flush();
-            Loopback.await("a first segment", () -> distinctSegments(List.of(0, 1, 2)) > 0);
+            Loopback.await("a first segment", () -> countDistinctSegments(List.of(0, 1, 2)) > 0);
             fixture.system.entries().get(0).close();
         }
         try (EntryClient other = fixture.system.client(1, SampleFleet.COORDINATORS_KEY)) {
@@ -165,7 +165,7 @@
         }
     }
 
-    /** The caller sends the same job through two hosts at once, then another body under the same id. */
+    /** The caller sends the same job through two hosts concurrently, then a different body under the same id. */
     @Test
     void aResentJobIsTheSameJobAndAnotherBodyIsAConflict() {
         try (EntryClient other = fixture.system.client(1, SampleFleet.COORDINATORS_KEY)) {
@@ -184,35 +184,37 @@
             assertThat(SystemFixture.error(conflict).path("code").asText()).isEqualTo("conflict");
         }
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** The caller cancels in the middle: once it has the answer no further result appears, and the work stops. */
+    /** The caller cancels a running job: after the answer no further result appears, and the work stops. */
     @Test
     void aCancelledJobStops() {
         fixture.submit(fixture.coordinator, "lot", 4 * ITEMS);
         Loopback.await(
-                "a first chunk", () -> fixture.job("lot").path("completed").asInt() > 0);
+                "a first chunk",
+                () -> fixture.jobStatus("lot").path("completed").asInt() > 0);
         HttpResult cancelled = fixture.coordinator.call("DELETE", "/v1/jobs/lot", new byte[0]);
-        int completed = fixture.job("lot").path("completed").asInt();
+        int completed = fixture.jobStatus("lot").path("completed").asInt();
 
         assertThat(cancelled.status()).isEqualTo(200);
         Loopback.await(
                 "the end of all work",
                 () -> fixture.system.stewards().stream().allMatch(steward -> steward.inProgress() == 0));
-        assertThat(fixture.job("lot").path("completed").asInt()).isEqualTo(completed);
-        assertThat(fixture.job("lot").path("state").asText()).isEqualTo("cancelled");
+        assertThat(fixture.jobStatus("lot").path("completed").asInt()).isEqualTo(completed);
+        assertThat(fixture.jobStatus("lot").path("state").asText()).isEqualTo("cancelled");
     }
 
     /**
-     * The record says cancelled, and the notice to the owner is lost: it works on without knowing. Its next commit must
-     * find the record changed, so that no result appears after the cancel.
+     * The job's record is cancelled but the notice to its owner is lost, so the owner keeps working. Its next commit
+     * must fail because the record has changed, so that no result appears after the cancellation.
      */
     @Test
-    void aCancelledJobGetsNoResultAlsoWhenItsOwnerDoesNotHear() {
+    void aCancelledJobGetsNoResultAlsoIfItsOwnerIsNotNotified() {
         fixture.submit(fixture.coordinator, "lot", 4 * ITEMS);
         Loopback.await(
-                "a first chunk", () -> fixture.job("lot").path("completed").asInt() > 0);
+                "a first chunk",
+                () -> fixture.jobStatus("lot").path("completed").asInt() > 0);
         String key = Keys.job(new JobKey("coordinators", "lot"));
         try (PlatformOptions.Connection connection =
                 new PlatformOptions.Connection(fixture.system.fleet().keyValue())) {
@@ -231,32 +233,33 @@
                     .build();
             connection.keyValue().write(cancel).join();
         }
-        int completed = fixture.job("lot").path("completed").asInt();
+        int completed = fixture.jobStatus("lot").path("completed").asInt();
 
         Loopback.await(
                 "the end of all work",
                 () -> fixture.system.stewards().stream().allMatch(steward -> steward.inProgress() == 0));
-        assertThat(fixture.job("lot").path("completed").asInt()).isEqualTo(completed);
+        assertThat(fixture.jobStatus("lot").path("completed").asInt()).isEqualTo(completed);
     }
 
     /**
-     * A store is lost with its disk after the job was done. The results are read from the other zone, and the missing
-     * copies come back to another store by themselves.
+     * A store and its disk are lost after the job is done. The results are read from the other zones, and the missing
+     * copies are restored on another store automatically.
      */
     @Test
     void resultsOutliveALostStoreAndTheirCopiesAreRestored() throws IOException {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
         fixture.awaitJob("lot", "done");
-        long segments = distinctSegments(List.of(0, 1, 2));
+        long segments = countDistinctSegments(List.of(0, 1, 2));
         fixture.system.stores().get(0).close();
 
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
-        Loopback.await("two copies of each segment", () -> copies(1) == segments && copies(2) == segments);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
+        Loopback.await(
+                "two copies of each segment", () -> countSegments(1) == segments && countSegments(2) == segments);
     }
 
     /**
-     * Two stores are replaced as planned, one after the other, each with its disk. Each hands its copies over before it
-     * ends, so the results outlive both.
+     * Two stores are stopped as planned, one after the other, each with its disk. Each copies its segments to the other
+     * stores before it ends, so that no results are lost.
      */
     @Test
     void resultsOutliveThePlannedStopOfTwoStoresInTurn() {
@@ -269,10 +272,10 @@
             leaving.close();
         }
 
-        assertThat(fixture.rightResults("lot")).isEqualTo(ITEMS);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** One item crashes each engine that runs it. The job ends, with that item failed and all others right. */
+    /** One item crashes each engine that runs it. The job ends with that item failed and all others correct. */
     @Test
     void anItemThatCrashesEnginesFailsAndTheRestIsDone() {
         for (EngineStandin engine : fixture.system.platform().engines()) {
@@ -287,12 +290,12 @@
         List<JsonNode> results = fixture.results("lot");
         assertThat(results).hasSize(40);
         assertThat(results.get(7).path("error").path("code").asText()).isEqualTo("crashed-endpoints");
-        assertThat(fixture.rightResults("lot")).isEqualTo(39);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(39);
     }
 
-    /** Line 40,000 is broken: it is named, and nothing of the job is accepted. */
+    /** Line 40,000 is malformed: the answer names it, and no part of the job is accepted. */
     @Test
-    void aBodyWithAMistakeIsRefusedWhole() {
+    void aMalformedBodyIsRefusedAsAWhole() {
         String line = "{\"prompt\":\"x\"}\n";
         byte[] body = (line.repeat(39_999) + "{\"prompt\":\n" + line).getBytes(StandardCharsets.UTF_8);
 
@@ -316,21 +319,21 @@
         }
     }
 
-    private int served() {
+    private int totalServed() {
         return fixture.system.platform().engines().stream()
                 .mapToInt(EngineStandin::served)
                 .sum();
     }
 
-    private long copies(int store) {
-        return names(store).count();
+    private long countSegments(int store) {
+        return segmentNames(store).count();
     }
 
-    private long distinctSegments(List<Integer> stores) {
-        return stores.stream().flatMap(this::names).distinct().count();
+    private long countDistinctSegments(List<Integer> stores) {
+        return stores.stream().flatMap(this::segmentNames).distinct().count();
     }
 
-    private Stream<String> names(int store) {
+    private Stream<String> segmentNames(int store) {
         try (Stream<Path> files = Files.list(fixture.system.storeFolder(store))) {
             return files
                     .map(file -> file.getFileName().toString())
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -26,12 +26,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Online requests over a whole small system, while its parts fail. */
+/** Tests online requests on a small system while parts of it fail. */
 class OnlineFailuresTest {
     private static final int ENGINES = 6;
 
-    /** What is lost with a runner is run apart, one request at a runner: so few find their turn at once. */
-    private static final int FEW_STREAMS = 8;
+    /** Requests lost with a runner are repeated in isolation, one per runner, so that only a few get a turn at once. */
+    private static final int CONCURRENT_STREAMS = 8;
 
     @TempDir
     private Path folder;
@@ -48,45 +48,45 @@
         fixture.close();
     }
 
-    /** Runners are killed, one after the other, each under streams: each stream goes on elsewhere and ends whole. */
+    /** Runners are killed one after the other while they stream: each stream continues on another one and completes. */
     @Test
-    void streamsOutliveKilledRunners() {
+    void streamsCompleteAlthoughRunnersAreKilled() {
         Set<EngineStandin> killed = new HashSet<>();
         while (killed.size() < 2) {
             List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
-            EngineStandin busy = awaitBusy(killed, answers);
+            EngineStandin busy = awaitBusyRunner(killed, answers);
             busy.crash();
             killed.add(busy);
 
-            // Before the next is killed: a request that is lost with two counts as what crashes them.
+            // Wait before the next one is killed: a request lost with two runners counts as the cause of their crashes.
             assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
         }
     }
 
     /**
-     * Runners end their streams in the middle as if they were whole, but without the end mark. While one runner is right
-     * the streams go on there and end whole; when none is, the caller sees a cut, never a normal end.
+     * Runners end their streams early as if they were complete, but without the end mark. While other runners work
+     * correctly, the streams continue there and complete; otherwise the caller sees a cut stream, never a normal end.
      */
     @Test
-    void aStreamWithoutItsEndMarkIsNeverTakenForWhole() {
+    void aStreamWithoutItsEndMarkIsNeverReportedAsComplete() {
         EngineFaults early = new EngineFaults(Optional.empty(), 0, true, false, true);
         fixture.system.platform().engines().subList(0, 2).forEach(engine -> engine.faults(early));
         List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            answers.add(fixture.stream(fixture.tutor, "sketch " + i, 20));
+            answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 20));
         }
         assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
 
         fixture.system.platform().engines().forEach(engine -> engine.faults(early));
         for (int i = 0; i < 5; i++) {
-            assertThat(fixture.stream(fixture.tutor, "cut " + i, 20).join().end())
+            assertThat(fixture.startStream(fixture.tutor, "cut " + i, 20).join().end())
                     .isEqualTo(End.CUT);
         }
     }
 
     /**
-     * A booking takes effect while its answer is lost. The caller hears that it may have run, sends it again through
-     * another host, and hears the same: the seat is booked once.
+     * A booking takes effect but its answer is lost. The caller is told that it may have run, resends it through
+     * another host, and gets the same outcome: the seat is booked once.
      */
     @Test
     void aBookingWhoseAnswerIsLostIsNotRepeated() {
@@ -97,10 +97,10 @@
         assertThat(SystemFixture.error(first).path("outcome").asText()).isEqualTo("may-have-run");
         Loopback.await(
                 "the mark of the lost answer", () -> resend("seat-1", "key-1").status() == 502);
-        assertThat(fixture.bookings("seat-1")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-1")).isEqualTo(1);
     }
 
-    /** The same booking without a key: it is sent once and not repeated by the system. */
+    /** The same booking without an idempotency key is sent once and not repeated by the system. */
     @Test
     void aBookingWithoutAKeyIsSentOnce() {
         fixture.system.platform().plainServices().forEach(service -> service.loseAnswers(1));
@@ -108,11 +108,11 @@
                 "POST", "/services/bookings/bookings", "{\"seat\":\"seat-2\"}".getBytes(StandardCharsets.UTF_8));
 
         assertThat(result.status()).isEqualTo(502);
-        assertThat(fixture.bookings("seat-2")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-2")).isEqualTo(1);
     }
 
     @Test
-    void aResentBookingGetsTheKeptAnswer() {
+    void aResentBookingGetsTheStoredAnswer() {
         HttpResult first = fixture.book(fixture.student, "seat-3", "key-3");
         HttpResult second = resend("seat-3", "key-3");
 
@@ -120,45 +120,45 @@
         assertThat(second.status()).isEqualTo(201);
         assertThat(second.body()).isEqualTo(first.body());
         assertThat(second.headers().get("x-replayed")).isEqualTo("true");
-        assertThat(fixture.bookings("seat-3")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-3")).isEqualTo(1);
     }
 
-    /** The student presses the button again while the first booking is on its way. */
+    /** The student sends the booking again while the first attempt is in progress. */
     @Test
     void aBookingSentTwiceAtOnceRunsOnce() {
         fixture.system.platform().plainServices().forEach(service -> service.holdAnswers(1));
         CompletableFuture<HttpResult> first =
                 CompletableFuture.supplyAsync(() -> fixture.book(fixture.student, "seat-4", "key-4"));
-        Loopback.await("the booking", () -> fixture.bookings("seat-4") == 1);
+        Loopback.await("the booking", () -> fixture.countBookings("seat-4") == 1);
         HttpResult second = resend("seat-4", "key-4");
         fixture.system.platform().plainServices().forEach(PlainServiceStandin::answerHeld);
 
         assertThat(second.status()).isEqualTo(409);
         assertThat(SystemFixture.error(second).path("code").asText()).isEqualTo("in-progress");
         assertThat(first.join().status()).isEqualTo(201);
-        assertThat(fixture.bookings("seat-4")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-4")).isEqualTo(1);
     }
 
     /**
-     * The entry is lost while the booking that it claimed and sent is on its way. The student sends it again through
-     * another entry and hears that it may have run; the seat is booked once.
+     * The entry is lost while the booking that it claimed and sent is in progress. The student resends it through
+     * another entry and is told that it may have run; the seat is booked once.
      */
     @Test
     void aBookingWhoseEntryIsLostIsNotRepeated() {
         fixture.system.platform().plainServices().forEach(service -> service.holdAnswers(1));
         CompletableFuture<HttpResult> first =
                 CompletableFuture.supplyAsync(() -> fixture.book(fixture.student, "seat-7", "key-7"));
-        Loopback.await("the booking", () -> fixture.bookings("seat-7") == 1);
+        Loopback.await("the booking", () -> fixture.countBookings("seat-7") == 1);
         fixture.system.entries().get(0).close();
         HttpResult second = resend("seat-7", "key-7");
 
         assertThat(first).failsWithin(Duration.ofSeconds(30));
         assertThat(second.status()).isEqualTo(409);
         assertThat(SystemFixture.error(second).path("outcome").asText()).isEqualTo("may-have-run");
-        assertThat(fixture.bookings("seat-7")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-7")).isEqualTo(1);
     }
 
-    /** The key-value service is out: the booking can't be claimed and is refused as not run, which is true. */
+    /** During an outage of the key-value service a booking can't be claimed: it is correctly refused as not run. */
     @Test
     void duringAnOutageABookingIsRefusedAsNotRun() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
@@ -167,25 +167,25 @@
         assertThat(refused.status()).isEqualTo(503);
         assertThat(SystemFixture.error(refused).path("outcome").asText()).isEqualTo("not-run");
         assertThat(refused.headers().get("retry-after")).isNotNull();
-        assertThat(fixture.bookings("seat-5")).isZero();
+        assertThat(fixture.countBookings("seat-5")).isZero();
         fixture.system.platform().keyValue().faults(KeyValueFaults.NONE);
         Loopback.await(
                 "the booking",
                 () -> fixture.book(fixture.student, "seat-5", "key-5").status() == 201);
-        assertThat(fixture.bookings("seat-5")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-5")).isEqualTo(1);
     }
 
-    /** The claim takes effect while its answer is lost: the host finds its own claim and sends the booking once. */
+    /** The claim takes effect but its answer is lost: the host finds its own claim and sends the booking once. */
     @Test
     void aClaimWhoseAnswerIsLostStillLeadsToOneBooking() {
         fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 1, 0, false));
 
         assertThat(fixture.book(fixture.student, "seat-6", "key-6").status()).isEqualTo(201);
-        assertThat(fixture.bookings("seat-6")).isEqualTo(1);
+        assertThat(fixture.countBookings("seat-6")).isEqualTo(1);
     }
 
     @Test
-    void recordsArePassedThroughWhole() {
+    void recordsArePassedThroughUnchanged() {
         HttpResult record = fixture.student.call("GET", "/services/bookings/records/r7", new byte[0]);
 
         assertThat(record.body()).isEqualTo(PlainServiceStandin.record("r7"));
@@ -197,8 +197,8 @@
     }
 
     /**
-     * A request crashes each runner that runs it, and its caller sends it again through every host. It takes down two
-     * runners, then it is refused everywhere at once; requests that ran beside it get their answers.
+     * A request crashes each runner that runs it, and its caller resends it through every host. After two crashes every
+     * host refuses it immediately; requests that ran at the same time still get their answers.
      */
     @Test
     void aRequestThatCrashesRunnersTakesDownTwoAndIsRefusedEverywhere() {
@@ -206,9 +206,9 @@
                 .platform()
                 .engines()
                 .forEach(engine -> engine.faults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
-        List<CompletableFuture<CheckedStream.Result>> innocent = new ArrayList<>();
+        List<CompletableFuture<CheckedStream.Result>> others = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            innocent.add(fixture.stream(fixture.tutor, "sketch " + i, 60));
+            others.add(fixture.startStream(fixture.tutor, "sketch " + i, 60));
         }
         List<Integer> statuses = new ArrayList<>();
         for (int attempt = 0; attempt < 9; attempt++) {
@@ -218,12 +218,12 @@
             }
         }
 
-        assertThat(crashes()).isEqualTo(2);
+        assertThat(totalCrashes()).isEqualTo(2);
         assertThat(statuses).containsOnly(422);
-        assertThat(innocent).allMatch(answer -> answer.join().end() == End.WHOLE);
+        assertThat(others).allMatch(answer -> answer.join().end() == End.WHOLE);
     }
 
-    /** The same, sent through all hosts at the same moment: what is on its way before the first crash may add a few. */
+    /** As above but sent through all hosts at once: requests in flight before the first crash may cause one more. */
     @Test
     void aRequestThatCrashesRunnersSentThroughAllHostsAtOnceTakesDownAFew() {
         fixture.system
@@ -235,23 +235,23 @@
         for (int i = 0; i < 9; i++) {
             EntryClient client = fixture.system.client(i % 3, SampleFleet.TUTORS_KEY);
             clients.add(client);
-            sent.add(fixture.stream(client, "poison", 20));
+            sent.add(fixture.startStream(client, "poison", 20));
         }
 
         assertThat(sent).noneMatch(answer -> answer.join().end() == End.WHOLE);
-        assertThat(crashes()).isBetween(2, 3);
+        assertThat(totalCrashes()).isBetween(2, 3);
         clients.forEach(EntryClient::close);
     }
 
     /**
-     * An engine says that it is leaving while the host list lags. What it has ends whole; after a few seconds it gets
-     * nothing new, online or batch.
+     * An engine reports that it is leaving while the host list lags. Its running requests complete; within a few
+     * seconds all hosts know, and it gets no new ones, neither online nor batch.
      */
     @Test
-    void aLeavingEngineEndsWhatItHasAndGetsNothingNew() {
+    void aLeavingEngineCompletesItsRequestsAndGetsNoNewOnes() {
         List<CompletableFuture<CheckedStream.Result>> before = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            before.add(fixture.stream(fixture.tutor, "before " + i, 100));
+            before.add(fixture.startStream(fixture.tutor, "before " + i, 100));
         }
         fixture.submit(fixture.coordinator, "lot", 600);
         engine(0).faults(new EngineFaults(Optional.empty(), 0, true, true, false));
@@ -259,12 +259,12 @@
                 "all hosts know",
                 () -> fixture.system.entries().stream()
                                 .allMatch(entry ->
-                                        SystemFixture.onLoop(entry.process(), () -> entry.knowsLeaving("tutor-00")))
+                                        SystemFixture.callOnLoop(entry.process(), () -> entry.knowsLeaving("tutor-00")))
                         && engine(0).isIdle());
         int served = engine(0).served();
         List<CompletableFuture<CheckedStream.Result>> after = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            after.add(fixture.stream(fixture.tutor, "after " + i, 10));
+            after.add(fixture.startStream(fixture.tutor, "after " + i, 10));
         }
 
         assertThat(after).allMatch(answer -> answer.join().end() == End.WHOLE);
@@ -273,14 +273,14 @@
         assertThat(engine(0).served()).isEqualTo(served);
     }
 
-    /** An entry is stopped as planned, twice, with streams in progress, and a runner is lost meanwhile. */
+    /** A planned stop of an entry is requested twice while streams are in progress; a runner is lost in between. */
     @Test
     void aPlannedStopOfAnEntryCutsNothingAlsoWhenARunnerIsLost() {
         List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            answers.add(fixture.stream(fixture.tutor, "sketch " + i, 100));
+            answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 100));
         }
-        Loopback.await("streams on their way", () -> active() > 0);
+        Loopback.await("streams in progress", () -> busyRunners() > 0);
         EntryClient late = fixture.system.client(0, SampleFleet.TUTORS_KEY);
         fixture.system.entries().get(0).process().askStop();
         engine(2).crash();
@@ -294,18 +294,18 @@
         late.close();
     }
 
-    /** A steward is stopped as planned in the middle of a job: its items go on elsewhere from where they were. */
+    /** A steward is stopped as planned during a job: its items continue elsewhere from where they stopped. */
     @Test
     void aPlannedStopOfAStewardLosesNoItem() {
         fixture.submit(fixture.coordinator, "lot", 600);
-        int owner = fixture.ownerOf("lot");
-        Loopback.await("items on their way", () -> active() > 0);
+        int owner = fixture.awaitOwner("lot");
+        Loopback.await("items in progress", () -> busyRunners() > 0);
         fixture.system.stewards().get(owner).process().askStop();
         fixture.system.stewards().get(owner).process().ended().join();
         fixture.system.stewards().get(owner).close();
 
         fixture.awaitJob("lot", "done");
-        assertThat(fixture.rightResults("lot")).isEqualTo(600);
+        assertThat(fixture.countCorrectResults("lot")).isEqualTo(600);
     }
 
     @Test
@@ -337,29 +337,30 @@
         return fixture.system.platform().engines().get(number);
     }
 
-    /** A runner that has streams; a few of them are started whenever all have ended. */
-    private EngineStandin awaitBusy(Set<EngineStandin> without, List<CompletableFuture<CheckedStream.Result>> answers) {
+    /** Returns a runner that has streams in progress; starts new ones whenever all have ended. */
+    private EngineStandin awaitBusyRunner(
+            Set<EngineStandin> excluded, List<CompletableFuture<CheckedStream.Result>> answers) {
         List<EngineStandin> busy = new ArrayList<>();
         Loopback.await("a runner with streams", () -> {
-            boolean noneIsLeft = answers.stream().allMatch(CompletableFuture::isDone);
-            for (int i = 0; noneIsLeft && i < FEW_STREAMS; i++) {
-                answers.add(fixture.stream(fixture.tutor, "sketch " + without.size() + " " + answers.size(), 60));
+            boolean allEnded = answers.stream().allMatch(CompletableFuture::isDone);
+            for (int i = 0; allEnded && i < CONCURRENT_STREAMS; i++) {
+                answers.add(fixture.startStream(fixture.tutor, "sketch " + excluded.size() + " " + answers.size(), 60));
             }
             fixture.system.platform().engines().stream()
-                    .filter(engine -> !engine.isIdle() && !without.contains(engine))
+                    .filter(engine -> !engine.isIdle() && !excluded.contains(engine))
                     .forEach(busy::add);
             return !busy.isEmpty();
         });
         return busy.get(0);
     }
 
-    private long active() {
+    private long busyRunners() {
         return fixture.system.platform().engines().stream()
                 .filter(engine -> !engine.isIdle())
                 .count();
     }
 
-    private int crashes() {
+    private int totalCrashes() {
         return fixture.system.platform().engines().stream()
                 .mapToInt(EngineStandin::crashes)
                 .sum();
