--- a/src/jmh/java/org/gooseberryhill/benchmark/DispatchBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/DispatchBenchmark.java
@@ -24,7 +24,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Handing out one item and taking it in again, over owners of different numbers of jobs. */
+/** Measures the hand-out and yield of one item by an owner with different numbers of jobs. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -37,7 +37,7 @@
 
     private JobBoard board;
 
-    /** Builds the board: most items of each job run already, as in a busy fleet. */
+    /** Creates jobs with three quarters of their items already handed out, as in a busy fleet. */
     @Setup
     public void setUp() {
         board = new JobBoard(new EarliestDeadlineFairOrder());
@@ -69,7 +69,7 @@
         }
     }
 
-    /** One item out and, yielded, in again. */
+    /** Hands out one item, which then yields and waits again. */
     @Benchmark
     public WorkItem handOutAndYield() {
         WorkItem item = board.take("s", 1, STEWARD, 0, 0).get(0);
--- a/src/jmh/java/org/gooseberryhill/benchmark/HeartbeatBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/HeartbeatBenchmark.java
@@ -22,7 +22,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** One heartbeat period of one host: its ticks, its probe and its peers' probes. */
+/** Measures one heartbeat period of one host: its ticks, and its probes with their replies. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -36,7 +36,7 @@
     private Membership membership;
     private long now;
 
-    /** Builds the view. */
+    /** Creates the membership view. */
     @Setup
     public void setUp() {
         List<Host> all = new ArrayList<>();
@@ -48,7 +48,7 @@
         membership.candidates(all, 0);
     }
 
-    /** One period. */
+    /** Executes the ticks of one period. */
     @Benchmark
     public long period() {
         for (int tick = 0; tick < TICKS_PER_PERIOD; tick++) {
--- a/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
@@ -22,7 +22,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Taking in, routing and ending one online request, over services of different sizes. */
+/** Measures the admission, routing and end of one online request in services of different sizes. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -34,7 +34,7 @@
     private OnlineIntake[] intakes;
     private int next;
 
-    /** Builds the core. */
+    /** Creates the decision core and the requests. */
     @Setup
     public void setUp() {
         StringBuilder text =
@@ -53,7 +53,7 @@
         }
     }
 
-    /** One request, from its arrival to its end. */
+    /** Processes one request from its arrival to its end. */
     @Benchmark
     public OnlineDecision admitRouteAndEnd() {
         Either<Refusal, OnlineRequest> admitted = core.admit(intakes[next++ & 1023], 0);
--- a/src/jmh/java/org/gooseberryhill/benchmark/package-info.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks of the hot decisions; run by {@code bin/benchmark}, never as tests. */
+/** Benchmarks of the decisions on the hot path; run by {@code bin/benchmark}, not as tests. */
 package org.gooseberryhill.benchmark;
--- a/src/main/java/org/gooseberryhill/load/Arrivals.java
+++ b/src/main/java/org/gooseberryhill/load/Arrivals.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Seeded Poisson arrivals with one burst in the middle. Stateless. */
+/** Generates seeded Poisson arrivals with one burst in the middle of the window. Stateless. */
 public final class Arrivals {
     private static final double BURST_BEGIN = 0.4;
     private static final double BURST_END = 0.6;
@@ -12,7 +12,7 @@
 
     private Arrivals() {}
 
-    /** The arrivals of a window, in order; equal for equal seeds. */
+    /** Returns the arrivals of a window in order of time; equal seeds give equal arrivals. */
     public static List<Arrival> of(Deployment deployment, double seconds, long seed) {
         Random random = new Random(seed);
         List<Arrival> arrivals = new ArrayList<>();
@@ -35,15 +35,15 @@
                 return kind;
             }
         }
-        throw new IllegalStateException("the shares do not add up");
+        throw new IllegalStateException("the shares of the request kinds do not add up to their total");
     }
 
     /**
-     * One request to come.
+     * One request to send.
      *
-     * @param atNanos when, from the window's beginning
-     * @param kind its kind
-     * @param number its number
+     * @param atNanos intended time of sending, from the start of the window
+     * @param kind the kind of request
+     * @param number the position in the sequence of arrivals, from 0
      */
     public record Arrival(long atNanos, RequestKind kind, int number) {}
 }
--- a/src/main/java/org/gooseberryhill/load/Curve.java
+++ b/src/main/java/org/gooseberryhill/load/Curve.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** The runs of a deployment as a table and a plot: medians over the repeats, with the spread. Stateless. */
+/** Renders the results of a deployment as a table and a plot. Stateless. */
 public final class Curve {
     private static final int WIDTH = 640;
     private static final int HEIGHT = 420;
@@ -15,7 +15,7 @@
 
     private Curve() {}
 
-    /** A table in Markdown. */
+    /** Returns a Markdown table with the median, minimum and maximum over the repeats of each point. */
     public static String table(List<RunResult> runs) {
         StringBuilder text = new StringBuilder();
         text.append("| decisions | batch share | faults | batch items/s | batch tokens/s | first token p50 ms | "
@@ -38,7 +38,7 @@
         return text.toString();
     }
 
-    /** A plot of batch throughput against online p99, as SVG. */
+    /** Returns an SVG plot of the median batch throughput against the median online p99 of each point. */
     public static String svg(String title, List<RunResult> runs) {
         double maxX = runs.stream().mapToDouble(RunResult::itemsPerSecond).max().orElse(1) * 1.1 + 1;
         double maxY =
--- a/src/main/java/org/gooseberryhill/load/Deployment.java
+++ b/src/main/java/org/gooseberryhill/load/Deployment.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 
-/** A deployment's workload, after the brief. Implementations are immutable. */
+/** Describes the workload of a deployment. Implementations are immutable. */
 public interface Deployment {
-    /** Its name in reports. */
+    /** Returns the name in reports. */
     String name();
 
-    /** The online kinds. */
+    /** Returns the kinds of online requests. */
     List<RequestKind> kinds();
 
-    /** Online requests a second outside of bursts. */
+    /** Returns the mean rate of online requests per second outside of bursts. */
     double requestsPerSecond();
 
-    /** How many times more come during the burst. */
+    /** Returns the factor by which the rate is higher during the burst. */
     double burstFactor();
 
-    /** Prompt length of a batch item, in characters. */
+    /** Returns the prompt length of a batch item in characters. */
     int itemPromptCharacters();
 
-    /** Tokens of a batch item. */
+    /** Returns the number of tokens to generate for a batch item. */
     int itemTokens();
 }
--- a/src/main/java/org/gooseberryhill/load/EaselAndOchreDeployment.java
+++ b/src/main/java/org/gooseberryhill/load/EaselAndOchreDeployment.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Art classes: tutors ask for critiques and exercises in bursts when a class begins, students book. Immutable. */
+/** Art classes: tutors request critiques and exercises, in bursts when a class begins; students book. Immutable. */
 public final class EaselAndOchreDeployment implements Deployment {
     private static final List<RequestKind> KINDS = List.of(
             new RequestKind("critique", 5, false, 800, 40),
--- a/src/main/java/org/gooseberryhill/load/Experiment.java
+++ b/src/main/java/org/gooseberryhill/load/Experiment.java
@@ -20,7 +20,10 @@
 import org.gooseberryhill.standin.KeyValueFaults;
 import org.gooseberryhill.standin.SampleFleet;
 
-/** One run of a deployment's workload over a small system, with a job that never ends beside it. Used by one thread. */
+/**
+ * Runs the online workload of a deployment against a small system, together with a job that outlasts the run. Confined
+ * to one thread.
+ */
 public final class Experiment {
     private static final EngineSpeed SPEED = new EngineSpeed(8, 20, 256, 16);
     private static final int ENGINES = 12;
@@ -35,14 +38,14 @@
     private final double seconds;
     private final int basePort;
 
-    /** Runs of a deployment over a window. */
+    /** Creates an experiment whose runs last a number of seconds and use 100 ports from the base port. */
     public Experiment(Deployment deployment, double seconds, int basePort) {
         this.deployment = deployment;
         this.seconds = seconds;
         this.basePort = basePort;
     }
 
-    /** Runs once. */
+    /** Starts a new system, runs the workload once and returns the results. */
     public RunResult run(Point point, long seed) throws IOException {
         Path folder = Files.createTempDirectory("gooseberry-load");
         SampleFleet fleet = new SampleFleet(basePort, ENGINES);
@@ -144,15 +147,15 @@
     }
 
     /**
-     * What a run varies. Immutable.
+     * The parameters that vary between runs. Immutable.
      *
-     * @param baseline whether the baseline's decisions are used
-     * @param batchPercent how much of what batch may have it gets, 0 for no batch
-     * @param faults whether a runner crashes and the key-value service goes out on the way
+     * @param baseline whether the baseline policies are used instead of the product's
+     * @param batchPercent the model's batch weight in percent; 0 means that no job is submitted
+     * @param faults whether a runner crashes and the key-value service has an outage during the run
      */
     public record Point(boolean baseline, int batchPercent, boolean faults) {}
 
-    /** Brings the faults about at their times. Used by one thread. */
+    /** Injects the faults at fixed shares of the run. Confined to one thread. */
     private final class FaultPlan {
         private final SampleSystem system;
         private final boolean wanted;
--- a/src/main/java/org/gooseberryhill/load/Measurement.java
+++ b/src/main/java/org/gooseberryhill/load/Measurement.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Histogram;
 import org.gooseberryhill.program.CheckedStream;
 
-/** What a run measured. Thread-safe. */
+/** Collects the measurements of a run. Thread-safe. */
 public final class Measurement {
     private static final int DIGITS = 3;
     private static final double MICROS_PER_MILLI = 1000;
@@ -17,7 +17,7 @@
     private int cut;
     private int refused;
 
-    /** A model's answer ended. */
+    /** Records the end of a model answer. */
     public synchronized void answered(CheckedStream.Result result) {
         switch (result.end()) {
             case WHOLE -> {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** A plain call ended. */
+    /** Records the end of a plain call, with its duration. */
     public synchronized void plainAnswered(boolean right, long nanos) {
         if (right) {
             whole++;
@@ -41,27 +41,27 @@
         }
     }
 
-    /** First-token time at a percentile, in milliseconds. */
+    /** Returns a percentile of the time to the first token, in milliseconds. */
     public synchronized double firstTokenMillis(double percentile) {
         return firstToken.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
-    /** Mean time between tokens of an answer at a percentile, in milliseconds. */
+    /** Returns a percentile of the answers' mean time between tokens, in milliseconds. */
     public synchronized double gapMillis(double percentile) {
         return meanGap.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
-    /** Time of plain calls at a percentile, in milliseconds. */
+    /** Returns a percentile of the duration of correctly answered plain calls, in milliseconds. */
     public synchronized double plainMillis(double percentile) {
         return plain.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
-    /** Model answers that were whole; plain answers not counted. */
+    /** Returns the number of complete and correct model answers; plain calls are not counted. */
     public synchronized int wholeModelAnswers() {
         return (int) firstToken.getTotalCount();
     }
 
-    /** Answers by their end: whole, wrong, cut, refused. */
+    /** Returns the number of answers that were whole, wrong, cut and refused, in this order. */
     public synchronized int[] ends() {
         return new int[] {whole, wrong, cut, refused};
     }
--- a/src/main/java/org/gooseberryhill/load/OnlineSender.java
+++ b/src/main/java/org/gooseberryhill/load/OnlineSender.java
@@ -17,8 +17,8 @@
 import org.gooseberryhill.standin.SampleFleet;
 
 /**
- * Sends online requests at their intended times, whether or not earlier ones were answered, and checks each answer
- * whole. Used by one thread.
+ * Sends online requests at their intended times without waiting for earlier answers (open loop), and checks the
+ * complete answers. Confined to one thread.
  */
 public final class OnlineSender implements Closeable {
     private final List<EntryClient> models = new ArrayList<>();
@@ -26,7 +26,7 @@
     private final Measurement measurement;
     private final List<CompletableFuture<?>> open = new ArrayList<>();
 
-    /** A sender through all entries of a system. */
+    /** Creates a sender that distributes the requests over all entry hosts of a system. */
     public OnlineSender(SampleSystem system, Measurement measurement) {
         this.measurement = measurement;
         for (int i = 0; i < SampleSystem.HOSTS_PER_ROLE; i++) {
@@ -35,7 +35,10 @@
         }
     }
 
-    /** Sends all arrivals; the action runs between them with the time since the beginning, in nanoseconds. */
+    /**
+     * Sends all arrivals. Before each one, the action is called with the intended time of sending since the beginning,
+     * in nanoseconds.
+     */
     public void send(List<Arrivals.Arrival> arrivals, long beginNanos, LongConsumer between) {
         for (Arrivals.Arrival arrival : arrivals) {
             long intended = beginNanos + arrival.atNanos();
@@ -47,7 +50,7 @@
         }
     }
 
-    /** Waits for the ends of all answers. */
+    /** Waits until all answers have ended. */
     public void awaitAnswers() {
         CompletableFuture.allOf(open.toArray(CompletableFuture[]::new)).join();
     }
@@ -89,7 +92,7 @@
         open.add(end);
     }
 
-    /** A text of a length that begins with a name, so that few prompts share a beginning. */
+    /** Returns a text of a given length that begins with a name, so that few prompts share a cached prefix. */
     static String text(String name, int characters) {
         StringBuilder text = new StringBuilder(name);
         while (text.length() < characters) {
--- a/src/main/java/org/gooseberryhill/load/RunResult.java
+++ b/src/main/java/org/gooseberryhill/load/RunResult.java
@@ -1,17 +1,17 @@
 package org.gooseberryhill.load;
 
 /**
- * The figures of one run. Immutable but for its array, which is not changed after creation.
+ * The results of one run. Immutable, except for the array, which is not modified after creation.
  *
- * @param point what was varied
- * @param itemsPerSecond batch items finished a second
- * @param batchTokensPerSecond tokens of them a second
- * @param firstTokenP50Millis online first token, from the intended sending
- * @param firstTokenP95Millis online first token
- * @param firstTokenP99Millis online first token
- * @param gapP95Millis mean time between tokens of an answer
- * @param plainP99Millis plain calls
- * @param ends online answers that were whole, wrong, cut, refused
+ * @param point the parameters of the run
+ * @param itemsPerSecond batch items completed per second
+ * @param batchTokensPerSecond tokens generated for batch items per second
+ * @param firstTokenP50Millis median time to the first token of online answers, from the intended time of sending
+ * @param firstTokenP95Millis 95th percentile of that time
+ * @param firstTokenP99Millis 99th percentile of that time
+ * @param gapP95Millis 95th percentile of the answers' mean time between tokens
+ * @param plainP99Millis 99th percentile of the duration of plain calls, from the intended time of sending
+ * @param ends number of online answers that were whole, wrong, cut and refused, in this order
  */
 public record RunResult(
         Experiment.Point point,
--- a/src/main/java/org/gooseberryhill/load/package-info.java
+++ b/src/main/java/org/gooseberryhill/load/package-info.java
@@ -1,2 +1,2 @@
-/** Load and experiments: open-loop arrivals, answers checked whole, the two measures as a curve. */
+/** Load experiments with open-loop arrivals and complete checks of answers; plots batch throughput against latency. */
 package org.gooseberryhill.load;
--- a/src/main/java/org/gooseberryhill/load/slope/LiveHeap.java
+++ b/src/main/java/org/gooseberryhill/load/slope/LiveHeap.java
@@ -3,19 +3,20 @@
 import java.lang.management.ManagementFactory;
 import java.util.function.Supplier;
 
-/** Measures the live heap that an object graph takes, by the heap in use after collections. Stateless. */
+/** Measures the live heap of an object graph by the heap in use after garbage collections. Stateless. */
 final class LiveHeap {
     private static final int COLLECTIONS = 3;
 
     private LiveHeap() {}
 
-    /** The bytes that stay in use while what the supplier builds is held. */
+    /** Returns by how many bytes the heap in use grows while the supplied object is reachable. */
     static double bytesOf(Supplier<Object> builder) {
         long before = usedBytes();
         Object held = builder.get();
         long after = usedBytes();
+        // Reads the object after the second measurement, so that it stays reachable until then.
         if (held.hashCode() == Integer.MIN_VALUE) {
-            throw new IllegalStateException("keeps the object reachable until here");
+            throw new IllegalStateException("unexpected hash code of the measured object");
         }
         return Math.max(0, after - before);
     }
--- a/src/main/java/org/gooseberryhill/load/slope/MeasuredProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/MeasuredProbe.java
@@ -4,13 +4,13 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * A probe whose cost is a function of the size. Immutable.
+ * A probe that computes the cost by a function of the size. Immutable.
  *
- * @param name what is measured
+ * @param name the name of the cost
  * @param unit the unit of the cost
- * @param varied what is varied
- * @param sizes the sizes
- * @param cost the cost at a size
+ * @param varied the quantity that the size counts
+ * @param sizes the sizes at which to measure
+ * @param cost returns the cost at a size
  */
 record MeasuredProbe(String name, String unit, String varied, List<Integer> sizes, IntToDoubleFunction cost)
         implements SlopeProbe {
--- a/src/main/java/org/gooseberryhill/load/slope/SampleTexts.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SampleTexts.java
@@ -2,13 +2,13 @@
 
 import org.gooseberryhill.contract.Fingerprint;
 
-/** Operators' texts of any size, in the planned proportions of endpoints, callers and models. Stateless. */
+/** Generates configuration texts with a fixed number of models and any number of endpoints and callers. Stateless. */
 final class SampleTexts {
     private static final int MODELS = 5;
 
     private SampleTexts() {}
 
-    /** A text with a number of endpoints and callers. */
+    /** Returns a text with a number of endpoints, at least one for each model, and of callers. */
     static String configuration(int endpoints, int callers) {
         StringBuilder text = new StringBuilder("models:\n");
         for (int i = 0; i < MODELS; i++) {
--- a/src/main/java/org/gooseberryhill/load/slope/Slope.java
+++ b/src/main/java/org/gooseberryhill/load/slope/Slope.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * A straight line through the points of a probe, by least squares. Immutable.
+ * A straight line fitted to the measurements of a probe by least squares. Immutable.
  *
- * @param probe what was measured
- * @param points the costs, in the order of the probe's sizes
+ * @param probe the probe
+ * @param points the measured costs, in the order of the probe's sizes
  * @param intercept the cost at size 0
- * @param perUnit the cost of one more
- * @param worstErrorPercent the largest distance of a point from the line, as a share of the largest cost
+ * @param perUnit the increase of the cost when the size grows by one
+ * @param worstErrorPercent the largest deviation of a point from the line, in percent of the largest absolute cost
  */
 public record Slope(SlopeProbe probe, List<Double> points, double intercept, double perUnit, double worstErrorPercent) {
     private static final double PERCENT = 100;
 
-    /** Measures all points of a probe and fits the line. */
+    /** Measures the cost at all sizes of a probe and fits the line. */
     public static Slope of(SlopeProbe probe) {
         List<Double> points = new ArrayList<>();
         probe.sizes().forEach(size -> points.add(probe.measure(size)));
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbe.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** Measures a cost at given sizes. Implementations are used by one thread. */
+/** Measures a cost at given sizes. Implementations are confined to one thread. */
 public interface SlopeProbe {
-    /** What is measured. */
+    /** Returns the name of the cost. */
     String name();
 
-    /** The unit of the cost. */
+    /** Returns the unit of the cost. */
     String unit();
 
-    /** What is varied. */
+    /** Returns the quantity that the size counts. */
     String varied();
 
-    /** The sizes. */
+    /** Returns the sizes at which to measure. */
     List<Integer> sizes();
 
-    /** The cost at a size. */
+    /** Returns the cost at a size. */
     double measure(int size);
 }
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
@@ -32,7 +32,7 @@
 import org.gooseberryhill.process.ConfigurationCodec;
 import org.gooseberryhill.zone.AvailabilityZone;
 
-/** All probes that docs/CAPACITY.md stands on. Stateless. */
+/** Creates the probes whose results docs/CAPACITY.md uses. Stateless. */
 public final class SlopeProbes {
     private static final int PLANNED_ENDPOINTS = 2600;
     private static final int PLANNED_CALLERS = 2400;
@@ -46,7 +46,7 @@
 
     private SlopeProbes() {}
 
-    /** The probes; the last one starts small systems on 100 ports from the base port. */
+    /** Returns all probes; the last one starts small systems on 100 ports from the base port. */
     public static List<SlopeProbe> all(int basePort) {
         return List.of(
                 message("heartbeat", "rumors", SlopeProbes::heartbeat),
@@ -66,13 +66,13 @@
                 new SystemCallsProbe(basePort));
     }
 
-    /** The bytes of a peer message with a number of entries, framing included. */
+    /** Returns a probe of the size of a peer message with a number of entries, including framing. */
     private static SlopeProbe message(String name, String varied, IntFunction<PeerMessage> builder) {
         return new MeasuredProbe(
                 name, "bytes", varied, MESSAGE_SIZES, size -> PeerMessageSize.bytes(builder.apply(size)));
     }
 
-    /** A cost of the operators' text with a number of endpoints, and callers in the planned proportion. */
+    /** Returns a probe of a cost of the configuration text with endpoints and callers in the planned proportion. */
     private static SlopeProbe text(String name, String unit, ToDoubleFunction<String> cost) {
         return new MeasuredProbe(
                 name,
@@ -82,7 +82,10 @@
                 size -> cost.applyAsDouble(SampleTexts.configuration(size, callersFor(size))));
     }
 
-    /** The live heap of a table with a number of entries; built once before, so that classes don't count. */
+    /**
+     * Returns a probe of the live heap of an object with a number of entries. The object is built once before the
+     * measurement, so that the memory of loaded classes is not counted.
+     */
     private static SlopeProbe heap(String name, String varied, List<Integer> sizes, IntFunction<Object> builder) {
         return new MeasuredProbe(name, "bytes of live heap", varied, sizes, size -> {
             builder.apply(size);
--- a/src/main/java/org/gooseberryhill/load/slope/SystemCallsProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SystemCallsProbe.java
@@ -16,8 +16,8 @@
 import org.gooseberryhill.standin.SampleFleet;
 
 /**
- * The writes that a job costs the key-value service, from its submission to its end, by the stand-in's meter. Used by
- * one thread.
+ * Measures the writes that a job makes in the key-value service from its submission to its end, as counted by the
+ * stand-in. Confined to one thread.
  */
 final class SystemCallsProbe implements SlopeProbe {
     private static final EngineSpeed FAST = new EngineSpeed(16, 1, 1024, 16);
--- a/src/main/java/org/gooseberryhill/load/slope/package-info.java
+++ b/src/main/java/org/gooseberryhill/load/slope/package-info.java
@@ -1,2 +1,2 @@
-/** Slopes: how a cost grows with a size, measured on one machine, from which docs/CAPACITY.md works out the rest. */
+/** Measures on one machine how costs grow with sizes; docs/CAPACITY.md extrapolates the results. */
 package org.gooseberryhill.load.slope;
--- a/src/main/java/org/gooseberryhill/standin/CallMeter.java
+++ b/src/main/java/org/gooseberryhill/standin/CallMeter.java
@@ -14,7 +14,7 @@
         counts.computeIfAbsent(kind, key -> new LongAdder()).increment();
     }
 
-    /** The counts so far. */
+    /** Returns the number of calls so far by kind, sorted by kind. */
     public Map<String, Long> snapshot() {
         Map<String, Long> snapshot = new TreeMap<>();
         counts.forEach((kind, count) -> snapshot.put(kind, count.sum()));
--- a/src/main/java/org/gooseberryhill/standin/EngineFaults.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineFaults.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * Faults of the engine stand-in. Immutable.
+ * Faults that an engine stand-in simulates. Immutable.
  *
- * @param crashPrompt a text whose appearance in a prompt crashes the engine once generation starts
- * @param restartMillis how long a crashed engine stays down; 0 means for ever
- * @param obeysFences whether an order with an old fencing number is refused
- * @param draining whether it says that it is leaving
- * @param endsEarly whether streams end after half of their tokens as if they were whole, but without the end mark
+ * @param crashPrompt a text that crashes the engine when a request with it in the prompt is processed
+ * @param restartMillis how long a crashed engine stays down; 0 means that it does not restart
+ * @param obeysFences whether an order with an outdated fencing number is refused
+ * @param draining whether the engine reports that it is draining
+ * @param endsEarly whether streams close cleanly after half of their tokens, without the {@code [DONE]} event
  */
 public record EngineFaults(
         Optional<String> crashPrompt, long restartMillis, boolean obeysFences, boolean draining, boolean endsEarly) {
-    /** No fault. */
+    /** No faults. */
     public static final EngineFaults NONE = new EngineFaults(Optional.empty(), 0, true, false, false);
 }
--- a/src/main/java/org/gooseberryhill/standin/EngineSpeed.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineSpeed.java
@@ -1,18 +1,21 @@
 package org.gooseberryhill.standin;
 
 /**
- * How fast an engine stand-in works. Immutable.
+ * The speed of an engine stand-in. Immutable.
  *
- * @param slots requests at once before the steps grow longer
- * @param stepMillis a step with one request in it: one token for each request
- * @param prefillTokensPerStep prompt tokens taken in a step, unless they are cached
- * @param cachedPrefixes how many prompt beginnings the cache holds
+ * @param slots number of concurrent requests above which steps take considerably longer
+ * @param stepMillis base duration of a step; a step generates one token for each request
+ * @param prefillTokensPerStep prompt tokens that a request processes in a step, unless its prefix is cached
+ * @param cachedPrefixes capacity of the prompt cache, in prefixes
  */
 public record EngineSpeed(int slots, double stepMillis, int prefillTokensPerStep, int cachedPrefixes) {
     /** A small engine for tests and the demo. */
     public static final EngineSpeed SMALL = new EngineSpeed(8, 10, 256, 16);
 
-    /** The length of a step with this many requests in it, in milliseconds: flat up to the slots, then growing. */
+    /**
+     * Returns the duration of a step with a number of active requests, in milliseconds. It grows by at most a quarter
+     * up to the number of slots, and steeply above it.
+     */
     public double stepMillis(int active) {
         double within = 1 + 0.25 * Math.min(active, slots) / slots;
         double beyond = Math.max(0, active - slots) * 2.0 / slots;
--- a/src/main/java/org/gooseberryhill/standin/EngineStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineStandin.java
@@ -23,10 +23,11 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Stands in for a model engine: continuous batching, a limited prompt cache, no priorities. Thread-safe.
+ * Simulates a model engine with continuous batching, a prompt cache of limited size and no priorities. Thread-safe.
  *
- * <p>{@code POST /v1/chat/completions} and {@code /v1/completions}, streamed or whole, with {@code x-resume-from};
- * {@code GET /status}; {@code POST /orders}; {@code POST /standin/faults}.
+ * <p>Serves {@code POST /v1/chat/completions} and {@code /v1/completions}, streamed or not, with the header
+ * {@code x-resume-from}; {@code GET /status}; {@code POST /orders}; and, to control the simulation,
+ * {@code POST /standin/faults} and {@code POST /standin/crash}.
  */
 public final class EngineStandin implements Closeable {
     private static final int MAX_ACTIVE_PER_SLOT = 4;
@@ -51,7 +52,7 @@
     private long highestFence;
     private boolean stepping;
 
-    /** Starts an engine that holds nothing yet. */
+    /** Starts an engine that has no model loaded. */
     public EngineStandin(EventLoopGroup group, Address address, EngineSpeed speed) {
         this.group = group;
         this.address = address;
@@ -70,47 +71,47 @@
         server = HttpServer.start(group, address, HttpLimits.DEFAULT, this::handle);
     }
 
-    /** Sets the faults. */
+    /** Sets the faults to simulate. */
     public void faults(EngineFaults newFaults) {
         faults = newFaults;
     }
 
-    /** What the engine holds, as if it had been loaded before. */
+    /** Sets the loaded model without an order. */
     public void hold(ModelHolding holding) {
         held = holding;
     }
 
-    /** Where it listens. */
+    /** Returns the address at which the engine listens. */
     public Address address() {
         return address;
     }
 
-    /** What it holds. */
+    /** Returns the loaded model. */
     public ModelHolding held() {
         return held;
     }
 
-    /** Whether it runs nothing and nothing waits in it. */
+    /** Returns whether no request is active or queued. */
     public boolean isIdle() {
         return !busy;
     }
 
-    /** How often it crashed. */
+    /** Returns the number of crashes so far. */
     public int crashes() {
         return crashes.get();
     }
 
-    /** How many answers it finished. */
+    /** Returns the number of answers completed so far. */
     public int served() {
         return served.get();
     }
 
-    /** The fencing numbers of the orders that it carried out, in their order. */
+    /** Returns the fencing numbers of the executed orders, in the order of execution. */
     public synchronized List<Long> orderFences() {
         return List.copyOf(orderFences);
     }
 
-    /** Ends all connections at once, as a killed process does; comes back after the set time, if any. */
+    /** Closes all connections immediately, as a killed process does; restarts after the configured time, if any. */
     public void crash() {
         engine.execute(this::crashNow);
     }
--- a/src/main/java/org/gooseberryhill/standin/FreePorts.java
+++ b/src/main/java/org/gooseberryhill/standin/FreePorts.java
@@ -11,26 +11,26 @@
 import org.gooseberryhill.link.Address;
 
 /**
- * Addresses on loopback that nothing listens at. Thread-safe.
+ * Allocates free loopback addresses. Thread-safe.
  *
- * <p>Failure: a port that the operating system chose is closed and to be listened at a moment later; meanwhile a connection
- * that somebody makes gets just this port, and the listener finds it in use. The ports here lie below those that the
- * operating system gives to connections.
+ * <p>A port chosen by the operating system is unsuitable: between the closing of the probing socket and the start of
+ * the listener, an outgoing connection can get the same port, and the listener fails because the port is in use. The
+ * ports allocated here lie below the range that the operating system assigns to outgoing connections.
  *
- * <p>Invariant: no two processes are given the same port while both run. Ports are given out in blocks, and a process listens
- * at a port beside each block of its own as long as it runs.
+ * <p>Invariant: no two running processes are allocated the same port. Ports are allocated in blocks, and a process
+ * listens at a guard port next to each of its blocks until it exits.
  */
 public final class FreePorts {
-    /** How many ports a block has. */
+    /** Number of ports in a block. */
     public static final int BLOCK_PORTS = 100;
 
     private static final int FIRST_PORT = 10_000;
     private static final int BLOCKS = 220;
 
-    /** A block and the port that shows that it is taken. */
+    /** Ports of a block and its guard port. */
     private static final int BLOCK_STRIDE = BLOCK_PORTS + 1;
 
-    /** Processes begin at different blocks, so that they seldom try each other's. */
+    /** Processes with adjacent ids start at blocks this far apart, so that they rarely try the same ones. */
     private static final int BLOCKS_PER_PROCESS = 37;
 
     private static final List<ServerSocket> CLAIMS = new ArrayList<>();
@@ -40,7 +40,7 @@
 
     private FreePorts() {}
 
-    /** An address that was given to nobody else and that nothing listened at just now. */
+    /** Returns an address that was not allocated before and at which nothing listens at the time of the call. */
     public static synchronized Address next() {
         int port = nextOfBlock();
         while (!isFree(port)) {
@@ -49,7 +49,10 @@
         return new Address("127.0.0.1", port);
     }
 
-    /** The first of {@link #BLOCK_PORTS} ports that were given to nobody else and that nothing listened at just now. */
+    /**
+     * Returns the first of {@link #BLOCK_PORTS} ports that were not allocated before and at which nothing listens at
+     * the time of the call.
+     */
     public static synchronized int block() {
         for (int tries = 0; tries < BLOCKS; tries++) {
             int firstPort = FIRST_PORT + Math.floorMod(nextBlock++, BLOCKS) * BLOCK_STRIDE;
@@ -61,10 +64,10 @@
                 }
             }
         }
-        throw new IllegalStateException("no free ports");
+        throw new IllegalStateException("no block of " + BLOCK_PORTS + " free loopback ports found");
     }
 
-    /** Claims a block as long as the socket is open; empty if another process, or this one, has it. */
+    /** Claims a block until the returned socket is closed; empty if this or another process holds the block. */
     static Optional<ServerSocket> claim(int firstPort) {
         return listen(firstPort + BLOCK_PORTS);
     }
@@ -77,7 +80,7 @@
         return blockFirstPort + givenOfBlock++;
     }
 
-    /** Whether nothing listens at a port of loopback now. */
+    /** Returns whether nothing listens at a loopback port. */
     private static boolean isFree(int port) {
         Optional<ServerSocket> socket = listen(port);
         socket.ifPresent(FreePorts::close);
@@ -88,7 +91,7 @@
         try {
             return Optional.of(new ServerSocket(port, 1, InetAddress.getLoopbackAddress()));
         } catch (IOException e) {
-            // Somebody listens there: that is the answer.
+            // The port is in use.
             return Optional.empty();
         }
     }
--- a/src/main/java/org/gooseberryhill/standin/Generation.java
+++ b/src/main/java/org/gooseberryhill/standin/Generation.java
@@ -10,10 +10,10 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * One request that an engine stand-in generates for. Used by the engine's own thread only.
+ * The generation of one answer by an engine stand-in. Confined to the engine's thread.
  *
- * <p>The text is a function of the prompt alone, so that a caller can check its answer whole and an answer can be
- * continued by another engine.
+ * <p>The text depends only on the prompt, so that callers can check complete answers and another engine can resume an
+ * answer.
  */
 final class Generation {
     private static final int DEFAULT_MAX_TOKENS = 32;
@@ -42,13 +42,13 @@
         call.onDisconnect(() -> gone = true);
     }
 
-    /** The token at a place of the answer to a prompt. */
+    /** Returns the token at an index of the answer to a prompt. */
     static String token(String prompt, int place) {
         long hash = Hashing.komihash5_0().hashCharsToLong(prompt + "\0" + place);
         return "w" + Long.remainderUnsigned(hash, WORDS) + " ";
     }
 
-    /** The whole answer to a prompt. */
+    /** Returns the complete answer to a prompt. */
     static String answer(String prompt, int tokens) {
         StringBuilder answer = new StringBuilder();
         for (int i = 0; i < tokens; i++) {
@@ -76,7 +76,7 @@
         return gone;
     }
 
-    /** Whether the prompt is taken in and all tokens are there; a resumed answer may need none. */
+    /** Returns whether the prompt is processed and all tokens are generated; a resumed answer may need no tokens. */
     boolean isDone() {
         return prefillSteps == 0 && generated >= maxTokens;
     }
@@ -89,7 +89,7 @@
         prefillSteps = steps;
     }
 
-    /** Takes part in one step: takes in a part of the prompt or generates one token. */
+    /** Executes one step: processes a part of the prompt or generates one token. */
     void step() {
         if (prefillSteps > 0) {
             prefillSteps--;
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Ends a streamed answer in its middle without the end mark; returns whether it did. */
+    /** Closes a stream of which half is generated, without the {@code [DONE]} event; returns whether it did. */
     boolean endEarly() {
         boolean middle = streamed && generated > resumedFrom && 2 * generated >= maxTokens;
         if (middle) {
--- a/src/main/java/org/gooseberryhill/standin/HostListStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/HostListStandin.java
@@ -19,9 +19,9 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Stands in for the platform's host list. Thread-safe; changes show after a lag.
+ * Simulates the platform's host list, where changes become visible after a lag. Thread-safe.
  *
- * <p>{@code GET /hosts}, {@code PUT /hosts} with a listing, {@code POST /leaving/{endpoint}}.
+ * <p>Serves {@code GET /hosts}, {@code PUT /hosts} with a listing and {@code POST /leaving/{endpoint}}.
  */
 public final class HostListStandin implements Closeable {
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -35,31 +35,31 @@
     private volatile HostList.Listing shown = new HostList.Listing(List.of(), Set.of());
     private HostList.Listing actual = shown;
 
-    /** Starts listening. */
+    /** Starts listening, with an empty host list. */
     public HostListStandin(EventLoopGroup group, Address address, long lagMillis) {
         this.lagMillis = lagMillis;
         server = HttpServer.start(group, address, HttpLimits.DEFAULT, this::handle);
     }
 
-    /** Sets the hosts, shown at once: the fleet's beginning. */
+    /** Replaces the host list, with no endpoint leaving; visible immediately. */
     public synchronized void start(List<Host> hosts) {
         actual = new HostList.Listing(hosts, Set.of());
         shown = actual;
     }
 
-    /** Sets how long a change takes to show. */
+    /** Sets the lag after which changes become visible. */
     public void lag(long millis) {
         lagMillis = millis;
     }
 
-    /** An endpoint is leaving; shows after the lag. */
+    /** Marks an endpoint as leaving; visible after the lag. */
     public synchronized void leaving(String endpoint) {
         Set<String> names = new TreeSet<>(actual.leavingEndpoints());
         names.add(endpoint);
         change(new HostList.Listing(actual.hosts(), names));
     }
 
-    /** A host came or changed; shows after the lag. */
+    /** Adds a host or replaces the one with the same id; visible after the lag. */
     public synchronized void add(Host host) {
         List<Host> hosts = new ArrayList<>(actual.hosts());
         hosts.removeIf(other -> other.id().equals(host.id()));
--- a/src/main/java/org/gooseberryhill/standin/KeyValueFaults.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueFaults.java
@@ -1,15 +1,15 @@
 package org.gooseberryhill.standin;
 
 /**
- * Faults of the key-value stand-in. Immutable.
+ * Faults that the key-value stand-in simulates. Immutable.
  *
- * @param outage whether connections are cut without an answer and without effect
- * @param slowMillis how long each answer is held back
- * @param loseAnswers how many of the next writes take effect while their answer is lost
- * @param cutAfterLost how many calls after each lost answer are cut without effect
- * @param staleReads whether reads answer with the state before the latest write
+ * @param outage whether calls are aborted without an answer and without effect
+ * @param slowMillis how long each call is delayed before it is executed
+ * @param loseAnswers number of next successful transactions whose answers are lost
+ * @param cutAfterLost number of calls after each lost answer that are aborted without effect
+ * @param staleReads whether reads omit the key changed by the latest write
  */
 public record KeyValueFaults(boolean outage, long slowMillis, int loseAnswers, int cutAfterLost, boolean staleReads) {
-    /** No fault. */
+    /** No faults. */
     public static final KeyValueFaults NONE = new KeyValueFaults(false, 0, 0, 0, false);
 }
--- a/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
@@ -23,10 +23,10 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Stands in for the key-value service: the part of etcd v3's JSON mapping that the system uses. Thread-safe.
+ * Simulates the key-value service, with the part of etcd v3's JSON mapping that the system uses. Thread-safe.
  *
- * <p>{@code POST /standin/faults} sets faults, {@code POST /standin/expire-leases} lets all leases lapse,
- * {@code GET /standin/meter} counts calls by kind.
+ * <p>{@code POST /standin/faults} sets the faults, {@code POST /standin/expire-leases} expires all leases and
+ * {@code GET /standin/meter} returns the number of calls by kind.
  */
 public final class KeyValueStandin implements Closeable {
     private static final long LEASE_CHECK_MILLIS = 50;
@@ -51,7 +51,7 @@
         timer.scheduleWithFixedDelay(this::expireLeases, LEASE_CHECK_MILLIS, LEASE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Sets the faults; an outage also ends the watches. */
+    /** Sets the faults to simulate; an outage also aborts all watches. */
     public synchronized void faults(KeyValueFaults newFaults) {
         faults = newFaults;
         if (newFaults.outage()) {
@@ -60,12 +60,12 @@
         }
     }
 
-    /** Lets all leases lapse now, as if their holders had been paused. */
+    /** Expires all leases immediately, as if their holders had been paused. */
     public synchronized void lapseAllLeases() {
         state.leases().forEach(id -> publish(state.end(id)));
     }
 
-    /** Calls so far by kind. */
+    /** Returns the number of calls so far by kind. */
     public Map<String, Long> meter() {
         return meter.snapshot();
     }
@@ -274,7 +274,7 @@
                 .put("mod_revision", Long.toString(value.modRevision()));
     }
 
-    /** A watch in progress. */
+    /** An open watch of the keys from {@code from} to {@code end}, exclusive. */
     private record Watch(HttpCall call, String from, String end) {
         void send(KeyValueState.Event event) {
             if (event.key().compareTo(from) < 0 || event.key().compareTo(end) >= 0) {
--- a/src/main/java/org/gooseberryhill/standin/KeyValueState.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueState.java
@@ -11,9 +11,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keys with revisions, and leases. Not thread-safe: the stand-in guards it with one lock.
+ * Stores keys with revisions, and leases. Not thread-safe; the stand-in guards it with a lock.
  *
- * <p>Invariant: the revision grows by one with each transaction that writes.
+ * <p>Invariant: each applied list of changes that is not empty increments the revision by one.
  */
 public final class KeyValueState {
     private final LongSupplier nowNanos;
@@ -23,22 +23,22 @@
     private long revision = 1;
     private long nextLease = 1000;
 
-    /** An empty state whose leases run by a clock in nanoseconds. */
+    /** Creates an empty state whose leases expire by a clock in nanoseconds. */
     public KeyValueState(LongSupplier nowNanos) {
         this.nowNanos = nowNanos;
     }
 
-    /** The revision of the latest write. */
+    /** Returns the revision of the latest write, or 1 if there was none. */
     public long revision() {
         return revision;
     }
 
-    /** A key's value. */
+    /** Returns the value of a key. */
     public Optional<Value> get(String key) {
         return Optional.ofNullable(values.get(key));
     }
 
-    /** Keys from one on, up to but not including another; an empty end means that key alone. */
+    /** Returns the keys from {@code from} to {@code end}, exclusive; an empty end selects {@code from} alone. */
     public Map<String, Value> range(String from, String end) {
         if (end.isEmpty()) {
             Value value = values.get(from);
@@ -47,12 +47,12 @@
         return from.compareTo(end) >= 0 ? Map.of() : new TreeMap<>(values.subMap(from, end));
     }
 
-    /** Events after a revision, for a watch that starts late. */
+    /** Returns the events from a revision on, inclusive, for a watch that starts at a past revision. */
     public List<Event> eventsFrom(long fromRevision) {
         return history.stream().filter(event -> event.revision >= fromRevision).toList();
     }
 
-    /** Writes in one revision; the events that it made are returned. */
+    /** Applies changes in one revision and returns the resulting events. */
     public List<Event> apply(List<Change> changes) {
         if (changes.isEmpty()) {
             return List.of();
@@ -71,24 +71,24 @@
         return events;
     }
 
-    /** The leases that have not ended. */
+    /** Returns the ids of the leases that have not ended. */
     public List<Long> leases() {
         return List.copyOf(leases.keySet());
     }
 
-    /** Whether a lease has not ended. */
+    /** Returns whether a lease exists and has not ended. */
     public boolean hasLease(long id) {
         return leases.containsKey(id);
     }
 
-    /** Grants a lease; the result is its id. */
+    /** Grants a lease and returns its id. */
     public long grant(long ttlMillis) {
         long id = nextLease++;
         leases.put(id, new Lease(ttlMillis, nowNanos.getAsLong()));
         return id;
     }
 
-    /** The remaining time in milliseconds; 0 if the lease is gone. */
+    /** Renews a lease and returns its time to live in milliseconds; 0 if the lease has ended. */
     public long renew(long id) {
         Lease lease = leases.get(id);
         if (lease == null) {
@@ -98,7 +98,7 @@
         return lease.ttlMillis;
     }
 
-    /** Ends a lease; its keys are deleted. */
+    /** Ends a lease, deletes its keys and returns the resulting events. */
     public List<Event> end(long id) {
         Lease lease = leases.remove(id);
         if (lease == null) {
@@ -111,7 +111,7 @@
         return apply(deletions);
     }
 
-    /** The leases whose time is over. */
+    /** Returns the ids of the leases that have expired but not ended. */
     public List<Long> expired() {
         long now = nowNanos.getAsLong();
         return leases.entrySet().stream()
@@ -132,16 +132,16 @@
         return new Event(revision, key, Optional.of(value));
     }
 
-    /** A value with its revisions. */
+    /** A value with its revisions and its lease; lease 0 means none. */
     public record Value(byte[] bytes, long createRevision, long modRevision, long lease) {}
 
-    /** A write to make; no bytes means delete. */
+    /** A change to apply; absent bytes delete the key. */
     public record Change(String key, Optional<byte[]> bytes, long lease) {}
 
-    /** A write that was made. */
+    /** An applied change; an absent value means that the key was deleted. */
     public record Event(long revision, String key, Optional<Value> value) {}
 
-    /** A lease and its keys. */
+    /** A lease and the keys that were written under it. */
     private static final class Lease {
         private final long ttlMillis;
         private final Set<String> keys = new HashSet<>();
--- a/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
@@ -15,8 +15,8 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Stands in for a plain service: {@code POST /bookings} has an effect each time it runs, {@code GET /records/{n}} has
- * none. Thread-safe.
+ * Simulates a plain service: {@code POST /bookings} is not idempotent, {@code GET /records/{name}} has no effect.
+ * Thread-safe.
  */
 public final class PlainServiceStandin implements Closeable {
     private static final int RECORD_BYTES = 4096;
@@ -32,28 +32,28 @@
         server = HttpServer.start(group, address, HttpLimits.DEFAULT, this::handle);
     }
 
-    /** The next bookings take effect while their answers are lost. */
+    /** Makes a number of next bookings take effect without an answer. */
     public void loseAnswers(int number) {
         loseAnswers.set(number);
     }
 
-    /** The next bookings take effect and are answered only by {@link #answerHeld}. */
+    /** Makes a number of next bookings take effect but withholds their answers until {@link #answerHeld}. */
     public void holdAnswers(int number) {
         holdAnswers.set(number);
     }
 
-    /** Answers the bookings that were held. */
+    /** Answers the bookings whose answers are withheld. */
     public void answerHeld() {
         held.forEach(this::answerBooking);
         held.clear();
     }
 
-    /** The bodies of all bookings that took effect. */
+    /** Returns the bodies of all bookings that took effect. */
     public List<String> bookings() {
         return List.copyOf(bookings);
     }
 
-    /** The content of a record. */
+    /** Returns the content of a record. */
     public static byte[] record(String name) {
         return (name + " ").repeat(RECORD_BYTES / (name.length() + 1)).getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/org/gooseberryhill/standin/SampleAnswers.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleAnswers.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 import org.gooseberryhill.link.Json;
 
-/** What sample callers ask the engine stand-ins, and what these answer, so that answers are checked whole. Stateless. */
+/** Requests of sample callers and the complete answers that engine stand-ins give to them. Stateless. */
 public final class SampleAnswers {
     private SampleAnswers() {}
 
-    /** The whole answer to a chat of one message with this content. */
+    /** Returns the complete answer to a chat with one message. */
     public static String chat(String content, int tokens) {
         return Generation.answer(content + "\n", tokens);
     }
 
-    /** The body of a streamed chat of one message with this content. */
+    /** Returns the request body of a streamed chat with one message. */
     public static byte[] chatBody(String content, int tokens) {
         return Json.bytes(Map.of(
                 "model",
@@ -26,7 +26,7 @@
                 List.of(Map.of("role", "user", "content", content))));
     }
 
-    /** The whole answer to a prompt. */
+    /** Returns the complete answer to a prompt. */
     public static String prompt(String prompt, int tokens) {
         return Generation.answer(prompt, tokens);
     }
--- a/src/main/java/org/gooseberryhill/standin/SampleFleet.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleFleet.java
@@ -12,23 +12,23 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * The addresses and the configuration of a small fleet on loopback, after Easel &amp; Ochre's today: three zones, a
- * dozen runners, a booking app. Immutable.
+ * The addresses and the configuration of a small fleet on loopback, modeled on the Easel &amp; Ochre deployment: three
+ * availability zones, some runners (usually twelve) and a booking app. Immutable.
  *
  * @param basePort the first of 100 ports
- * @param engines how many runners
+ * @param engines number of runners
  */
 public record SampleFleet(int basePort, int engines) {
-    /** The model that the engines hold. */
+    /** The model that the runners have loaded. */
     public static final ModelHolding MODEL = new ModelHolding("tutor-7b", "3", List.of("critique"));
 
-    /** Bearer keys of the sample callers; samples only, never for a real deployment. */
+    /** Bearer key of the caller of the model; the keys are samples, not for real deployments. */
     public static final String TUTORS_KEY = "sample-tutors-key";
 
-    /** The key of the caller that books. */
+    /** Bearer key of the caller of the booking app. */
     public static final String STUDENTS_KEY = "sample-students-key";
 
-    /** The key of the caller that submits jobs. */
+    /** Bearer key of the caller that submits jobs. */
     public static final String COORDINATORS_KEY = "sample-coordinators-key";
 
     private static final String LOOPBACK = "127.0.0.1";
@@ -41,57 +41,57 @@
     private static final int FIRST_STEWARD = 70;
     private static final int FIRST_STORE = 80;
 
-    /** The key-value service. */
+    /** Returns the address of the key-value service. */
     public Address keyValue() {
         return at(0);
     }
 
-    /** The host list. */
+    /** Returns the address of the host list. */
     public Address hostList() {
         return at(1);
     }
 
-    /** The weight store. */
+    /** Returns the address of the weight store. */
     public Address weightStore() {
         return at(2);
     }
 
-    /** A runner, from 0. */
+    /** Returns the address of a runner. Numbers start at 0 in all methods. */
     public Address engine(int number) {
         return at(FIRST_ENGINE + number);
     }
 
-    /** A process of the booking app, from 0. */
+    /** Returns the address of a process of the booking app. */
     public Address plainService(int number) {
         return at(FIRST_PLAIN + number);
     }
 
-    /** Where an entry serves callers, from 0. */
+    /** Returns the address at which an entry host serves callers. */
     public Address entryHttp(int number) {
         return at(FIRST_ENTRY_HTTP + number);
     }
 
-    /** The zone of the n-th of anything. */
+    /** Returns the availability zone of the runner, process or host with a number. */
     public static AvailabilityZone zone(int number) {
         return new AvailabilityZone("tas-" + (char) ('a' + number % ZONES));
     }
 
-    /** An entry, from 0. */
+    /** Returns an entry host. */
     public Host entry(int number) {
         return host(Role.ENTRY, "entry-" + number, number, FIRST_ENTRY);
     }
 
-    /** A steward, from 0. */
+    /** Returns a steward host. */
     public Host steward(int number) {
         return host(Role.STEWARD, "steward-" + number, number, FIRST_STEWARD);
     }
 
-    /** A store, from 0. */
+    /** Returns a store host. */
     public Host store(int number) {
         return host(Role.STORE, "store-" + number, number, FIRST_STORE);
     }
 
-    /** The host list of a number of entries, stewards and stores. */
+    /** Returns the hosts of a fleet with a number of entries, stewards and stores. */
     public List<Host> hosts(int entries, int stewards, int stores) {
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
@@ -106,7 +106,7 @@
         return hosts;
     }
 
-    /** The operators' text. */
+    /** Returns the configuration text. */
     public String configuration() {
         StringBuilder text = new StringBuilder();
         text.append("# A class's tutors ask a model, its coordinators send lots, its students book.\n");
@@ -131,7 +131,7 @@
         return text.toString();
     }
 
-    /** The name of a runner, from 0. */
+    /** Returns the name of a runner. */
     public static String engineName(int number) {
         return "tutor-%02d".formatted(number);
     }
--- a/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
+++ b/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** All stand-ins of a sample fleet in one process. Thread-safe once created. */
+/** Runs all stand-ins of a sample fleet in one process. Thread-safe once created. */
 public final class SamplePlatform implements Closeable {
     private static final int THREADS = 2;
     private static final int PLAIN_ENDPOINTS = 3;
@@ -22,7 +22,7 @@
     private final List<EngineStandin> engines = new ArrayList<>();
     private final List<PlainServiceStandin> plainServices = new ArrayList<>();
 
-    /** Starts all stand-ins of a fleet with a number of own hosts of each role. */
+    /** Starts all stand-ins of a fleet and lists a number of hosts of each role. */
     public SamplePlatform(SampleFleet fleet, EngineSpeed speed, int entries, int stewards, int stores) {
         keyValue = new KeyValueStandin(group, fleet.keyValue());
         hostList = new HostListStandin(group, fleet.hostList(), 0);
@@ -38,22 +38,22 @@
         }
     }
 
-    /** The key-value service. */
+    /** Returns the key-value service. */
     public KeyValueStandin keyValue() {
         return keyValue;
     }
 
-    /** The host list. */
+    /** Returns the host list. */
     public HostListStandin hostList() {
         return hostList;
     }
 
-    /** The runners. */
+    /** Returns the runners. */
     public List<EngineStandin> engines() {
         return engines;
     }
 
-    /** The processes of the booking app. */
+    /** Returns the processes of the booking app. */
     public List<PlainServiceStandin> plainServices() {
         return plainServices;
     }
--- a/src/main/java/org/gooseberryhill/standin/StandinReplies.java
+++ b/src/main/java/org/gooseberryhill/standin/StandinReplies.java
@@ -7,7 +7,7 @@
 import org.gooseberryhill.http.WholeBody;
 import org.gooseberryhill.link.Json;
 
-/** What all stand-ins do alike with calls. Stateless. */
+/** HTTP helpers that all stand-ins share. Stateless. */
 final class StandinReplies {
     static final Map<String, String> JSON = Map.of("content-type", "application/json");
 
--- a/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
@@ -10,21 +10,21 @@
 import org.gooseberryhill.http.HttpServer;
 import org.gooseberryhill.link.Address;
 
-/** Stands in for the weight store: {@code GET /weights/{model}/{version}}, rate-limited. Thread-safe. */
+/** Simulates the weight store: {@code GET /weights/{model}/{version}}, rate-limited. Thread-safe. */
 public final class WeightStoreStandin implements Closeable {
     private final HttpServer server;
     private final CallMeter meter = new CallMeter();
     private final int maxPerMinute;
     private final ArrayDeque<Long> recentNanos = new ArrayDeque<>();
 
-    /** Starts listening; more reads a minute than the limit are refused with status 429. */
+    /** Starts listening; reads above the limit per minute are refused with status 429. */
     public WeightStoreStandin(EventLoopGroup group, Address address, int maxPerMinute) {
         this.maxPerMinute = maxPerMinute;
         server = HttpServer.start(
                 group, address, HttpLimits.DEFAULT, call -> StandinReplies.whole(call, body -> serve(call)));
     }
 
-    /** Reads so far by kind. */
+    /** Returns the number of served and refused reads so far. */
     public Map<String, Long> meter() {
         return meter.snapshot();
     }
--- a/src/main/java/org/gooseberryhill/standin/package-info.java
+++ b/src/main/java/org/gooseberryhill/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Small stand-ins for the platform and the endpoints, with the faults that the brief names, for tests and the demo. */
+/** Simulates the platform and the endpoints, with the faults that the system has to handle, for tests and the demo. */
 package org.gooseberryhill.standin;
--- a/src/test/java/org/gooseberryhill/standin/EngineStandinTest.java
+++ b/src/test/java/org/gooseberryhill/standin/EngineStandinTest.java
@@ -17,7 +17,7 @@
 class EngineStandinTest {
     private static final int TOKENS = 6;
 
-    /** Far longer than a stream is silent: only a test that would never end waits so long. */
+    /** Far longer than any pause within a stream, so that it expires only if the stream never ends. */
     private static final int PATIENT_MILLIS = 60_000;
 
     private final EventLoopGroup group = Loopback.group();
@@ -31,7 +31,7 @@
         group.shutdownGracefully();
     }
 
-    /** A stream is cut after some tokens and resumed; also after the last one, when only the end mark was missing. */
+    /** A stream was cut after some tokens and is resumed; with 6, only the {@code [DONE]} event is missing. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 5, 6})
     void aResumedStreamHasTheRestAndTheEndMark(int resumeFrom) {
--- a/src/test/java/org/gooseberryhill/standin/FreePortsTest.java
+++ b/src/test/java/org/gooseberryhill/standin/FreePortsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class FreePortsTest {
-    /** Guards against a test that listens at a port which another process on the machine was given as well. */
+    /** Guards against a test that listens at a port which another process on the machine was allocated as well. */
     @Test
     void aBlockOfAnotherProcessIsNotGivenOutWhileThatRuns() throws IOException {
         Process neighbour = new ProcessBuilder(
@@ -32,7 +32,7 @@
             assertThat(FreePorts.claim(theirs)).isEmpty();
 
             neighbour.destroyForcibly().onExit().join();
-            Loopback.await("the end of its claim", () -> {
+            Loopback.await("the release of the block", () -> {
                 Optional<ServerSocket> claim = FreePorts.claim(theirs);
                 claim.ifPresent(FreePortsTest::close);
                 return claim.isPresent();
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Takes a block and keeps it until it is ended. */
+    /** Claims a block and holds it until the process ends. */
     static final class Neighbour {
         private Neighbour() {}
 
