--- a/src/jmh/java/org/gooseberryhill/benchmark/DispatchBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/DispatchBenchmark.java
@@ -35,12 +35,12 @@
     @Param({"1", "20", "150"})
     private int jobs;
 
-    private JobBoard board;
+    private JobBoard ownedJobs;
 
     /** Creates jobs with three quarters of their items already handed out, as in a busy fleet. */
     @Setup
     public void setUp() {
-        board = new JobBoard(new EarliestDeadlineFairOrder());
+        ownedJobs = new JobBoard(new EarliestDeadlineFairOrder());
         for (int i = 0; i < jobs; i++) {
             JobRecord record = new JobRecord(
                     JobState.RUNNING,
@@ -65,16 +65,17 @@
             for (int item = 0; item < 3 * CHUNK_ITEMS; item++) {
                 job.take(STEWARD, 0);
             }
-            board.add(job);
+            ownedJobs.add(job);
         }
     }
 
     /** Hands out one item, which then yields and waits again. */
     @Benchmark
     public WorkItem handOutAndYield() {
-        WorkItem item = board.take("s", 1, STEWARD, 0, 0).get(0);
+        WorkItem item = ownedJobs.take("s", 1, STEWARD, 0, 0).get(0);
         JobKey key = JobKey.parse(item.job()).orElseThrow();
-        board.find(key)
+        ownedJobs
+                .find(key)
                 .orElseThrow()
                 .report(new ItemOutcome(item.index(), 1, item.handout(), ItemEnd.YIELDED, "", 0), 0);
         return item;
--- a/src/jmh/java/org/gooseberryhill/benchmark/HeartbeatBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/HeartbeatBenchmark.java
@@ -34,7 +34,7 @@
     private int hosts;
 
     private Membership membership;
-    private long now;
+    private long nowNanos;
 
     /** Creates the membership view. */
     @Setup
@@ -52,19 +52,19 @@
     @Benchmark
     public long period() {
         for (int tick = 0; tick < TICKS_PER_PERIOD; tick++) {
-            now += TICK_NANOS;
-            membership.tick(now, this);
+            nowNanos += TICK_NANOS;
+            membership.tick(nowNanos, this);
         }
         return membership.version();
     }
 
     @Override
     public void probe(Host target, long incarnation, List<Rumor> rumors) {
-        membership.heard(target.id(), 0, false, List.of(), now);
+        membership.heard(target.id(), 0, false, List.of(), nowNanos);
     }
 
     @Override
     public void probeThrough(Host helper, Host target) {
-        membership.reachedThrough(target.id(), now);
+        membership.reachedThrough(target.id(), nowNanos);
     }
 }
--- a/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
@@ -32,7 +32,7 @@
 
     private OnlineCore core;
     private OnlineIntake[] intakes;
-    private int next;
+    private int nextIntake;
 
     /** Creates the decision core and the requests. */
     @Setup
@@ -56,7 +56,7 @@
     /** Processes one request from its arrival to its end. */
     @Benchmark
     public OnlineDecision admitRouteAndEnd() {
-        Either<Refusal, OnlineRequest> admitted = core.admit(intakes[next++ & 1023], 0);
+        Either<Refusal, OnlineRequest> admitted = core.admit(intakes[nextIntake++ & 1023], 0);
         OnlineRequest request = admitted.get();
         OnlineDecision decision = core.next(request, 0);
         core.attemptSucceeded(request, 1_000_000);
--- a/src/main/java/org/gooseberryhill/load/Experiment.java
+++ b/src/main/java/org/gooseberryhill/load/Experiment.java
@@ -26,13 +26,13 @@
  */
 public final class Experiment {
     private static final EngineSpeed SPEED = new EngineSpeed(8, 20, 256, 16);
-    private static final int ENGINES = 12;
+    private static final int ENGINE_COUNT = 12;
     private static final int JOB_ITEMS = 20_000;
     private static final long WARM_UP_MILLIS = 1500;
     private static final long READY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
-    private static final double CRASH_AT = 0.25;
-    private static final double OUTAGE_AT = 0.65;
-    private static final double OUTAGE_END = 0.85;
+    private static final double CRASH_SHARE = 0.25;
+    private static final double OUTAGE_BEGIN_SHARE = 0.65;
+    private static final double OUTAGE_END_SHARE = 0.85;
 
     private final Deployment deployment;
     private final double seconds;
@@ -48,9 +48,9 @@
     /** Starts a new system, runs the workload once and returns the results. */
     public RunResult run(Point point, long seed) throws IOException {
         Path folder = Files.createTempDirectory("gooseberry-load");
-        SampleFleet fleet = new SampleFleet(basePort, ENGINES);
+        SampleFleet fleet = new SampleFleet(basePort, ENGINE_COUNT);
         try (SampleSystem system = new SampleSystem(fleet, SPEED, folder, point.baseline())) {
-            system.applyConfiguration(withWeight(fleet.configuration(), point.batchPercent()));
+            system.applyConfiguration(withBatchWeight(fleet.configuration(), point.batchPercent()));
             awaitReady(system);
             return measure(system, point, seed);
         } finally {
@@ -60,22 +60,22 @@
 
     private RunResult measure(SampleSystem system, Point point, long seed) {
         Measurement measurement = new Measurement();
-        List<Arrivals.Arrival> arrivals = Arrivals.of(deployment, seconds, seed);
+        List<Arrivals.Arrival> arrivals = Arrivals.generate(deployment, seconds, seed);
         try (EntryClient coordinator = system.client(0, SampleFleet.COORDINATORS_KEY);
                 OnlineSender sender = new OnlineSender(system, measurement)) {
             if (point.batchPercent() > 0) {
-                submit(coordinator);
+                submitJob(coordinator);
             }
-            pause(WARM_UP_MILLIS);
-            int servedBefore = served(system);
-            long begin = System.nanoTime();
+            sleep(WARM_UP_MILLIS);
+            int servedBefore = servedAnswers(system);
+            long beginNanos = System.nanoTime();
             FaultPlan faults = new FaultPlan(system, point.faults());
-            sender.send(arrivals, begin, faults::advance);
-            int servedAfter = served(system);
-            double elapsedSeconds = (System.nanoTime() - begin) / (double) TimeUnit.SECONDS.toNanos(1);
-            int online = measurement.wholeModelAnswers();
+            sender.send(arrivals, beginNanos, faults::injectDue);
+            int servedAfter = servedAnswers(system);
+            double elapsedSeconds = (System.nanoTime() - beginNanos) / (double) TimeUnit.SECONDS.toNanos(1);
+            int onlineAnswers = measurement.wholeModelAnswers();
             sender.awaitAnswers();
-            double itemsPerSecond = Math.max(0, servedAfter - servedBefore - online) / elapsedSeconds;
+            double itemsPerSecond = Math.max(0, servedAfter - servedBefore - onlineAnswers) / elapsedSeconds;
             return new RunResult(
                     point,
                     itemsPerSecond,
@@ -89,10 +89,10 @@
         }
     }
 
-    private void submit(EntryClient coordinator) {
+    private void submitJob(EntryClient coordinator) {
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < JOB_ITEMS; i++) {
-            String prompt = OnlineSender.text("item " + i, deployment.itemPromptCharacters());
+            String prompt = OnlineSender.promptText("item " + i, deployment.itemPromptCharacters());
             lines.append(Json.text(Map.of("prompt", prompt, "max_tokens", deployment.itemTokens())))
                     .append('\n');
         }
@@ -105,27 +105,27 @@
         }
     }
 
-    private static String withWeight(String configuration, int percent) {
+    private static String withBatchWeight(String configuration, int percent) {
         return configuration.replace(
                 "    model: tutor-7b\n", "    model: tutor-7b\n    batch-weight-percent: " + percent + "\n");
     }
 
-    private static int served(SampleSystem system) {
+    private static int servedAnswers(SampleSystem system) {
         return system.platform().engines().stream()
                 .mapToInt(EngineStandin::served)
                 .sum();
     }
 
     private static void awaitReady(SampleSystem system) {
-        long until = System.nanoTime() + READY_TIMEOUT_NANOS;
+        long deadlineNanos = System.nanoTime() + READY_TIMEOUT_NANOS;
         for (int i = 0; i < SampleSystem.HOSTS_PER_ROLE; i++) {
             try (EntryClient client = system.client(i, SampleFleet.TUTORS_KEY)) {
-                while (System.nanoTime() < until && !isReady(client)) {
-                    pause(50);
+                while (System.nanoTime() < deadlineNanos && !isReady(client)) {
+                    sleep(50);
                 }
             }
         }
-        pause(500);
+        sleep(500);
     }
 
     private static boolean isReady(EntryClient client) {
@@ -134,7 +134,7 @@
         return answer.path("ready").asBoolean(false);
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
@@ -158,28 +158,28 @@
     /** Injects the faults at fixed shares of the run. Confined to one thread. */
     private final class FaultPlan {
         private final SampleSystem system;
-        private final boolean wanted;
-        private int next;
+        private final boolean enabled;
+        private int nextFault;
 
-        FaultPlan(SampleSystem system, boolean wanted) {
+        FaultPlan(SampleSystem system, boolean enabled) {
             this.system = system;
-            this.wanted = wanted;
+            this.enabled = enabled;
         }
 
-        void advance(long nanos) {
-            double share = nanos / (seconds * TimeUnit.SECONDS.toNanos(1));
-            if (!wanted) {
+        void injectDue(long elapsedNanos) {
+            double elapsedShare = elapsedNanos / (seconds * TimeUnit.SECONDS.toNanos(1));
+            if (!enabled) {
                 return;
             }
-            if (next == 0 && share >= CRASH_AT) {
+            if (nextFault == 0 && elapsedShare >= CRASH_SHARE) {
                 system.platform().engines().get(3).crash();
-                next++;
-            } else if (next == 1 && share >= OUTAGE_AT) {
+                nextFault++;
+            } else if (nextFault == 1 && elapsedShare >= OUTAGE_BEGIN_SHARE) {
                 system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
-                next++;
-            } else if (next == 2 && share >= OUTAGE_END) {
+                nextFault++;
+            } else if (nextFault == 2 && elapsedShare >= OUTAGE_END_SHARE) {
                 system.platform().keyValue().faults(KeyValueFaults.NONE);
-                next++;
+                nextFault++;
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/load/Measurement.java
+++ b/src/main/java/org/gooseberryhill/load/Measurement.java
@@ -6,19 +6,19 @@
 
 /** Collects the measurements of a run. Thread-safe. */
 public final class Measurement {
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double MICROS_PER_MILLI = 1000;
 
-    private final Histogram firstToken = new Histogram(DIGITS);
-    private final Histogram meanGap = new Histogram(DIGITS);
-    private final Histogram plain = new Histogram(DIGITS);
+    private final Histogram firstToken = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram meanGap = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram plainDuration = new Histogram(SIGNIFICANT_DIGITS);
     private int whole;
     private int wrong;
     private int cut;
     private int refused;
 
     /** Records the end of a model answer. */
-    public synchronized void answered(CheckedStream.Result result) {
+    public synchronized void recordModelAnswer(CheckedStream.Result result) {
         switch (result.end()) {
             case WHOLE -> {
                 whole++;
@@ -32,10 +32,10 @@
     }
 
     /** Records the end of a plain call, with its duration. */
-    public synchronized void plainAnswered(boolean right, long nanos) {
-        if (right) {
+    public synchronized void recordPlainAnswer(boolean correct, long durationNanos) {
+        if (correct) {
             whole++;
-            plain.recordValue(TimeUnit.NANOSECONDS.toMicros(nanos));
+            plainDuration.recordValue(TimeUnit.NANOSECONDS.toMicros(durationNanos));
         } else {
             refused++;
         }
@@ -53,7 +53,7 @@
 
     /** Returns a percentile of the duration of correctly answered plain calls, in milliseconds. */
     public synchronized double plainMillis(double percentile) {
-        return plain.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
+        return plainDuration.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
     /** Returns the number of complete and correct model answers; plain calls are not counted. */
--- a/src/main/java/org/gooseberryhill/load/OnlineSender.java
+++ b/src/main/java/org/gooseberryhill/load/OnlineSender.java
@@ -21,17 +21,17 @@
  * complete answers. Confined to one thread.
  */
 public final class OnlineSender implements Closeable {
-    private final List<EntryClient> models = new ArrayList<>();
-    private final List<EntryClient> plains = new ArrayList<>();
+    private final List<EntryClient> modelClients = new ArrayList<>();
+    private final List<EntryClient> plainClients = new ArrayList<>();
     private final Measurement measurement;
-    private final List<CompletableFuture<?>> open = new ArrayList<>();
+    private final List<CompletableFuture<?>> pendingAnswers = new ArrayList<>();
 
     /** Creates a sender that distributes the requests over all entry hosts of a system. */
     public OnlineSender(SampleSystem system, Measurement measurement) {
         this.measurement = measurement;
         for (int i = 0; i < SampleSystem.HOSTS_PER_ROLE; i++) {
-            models.add(system.client(i, SampleFleet.TUTORS_KEY));
-            plains.add(system.client(i, SampleFleet.STUDENTS_KEY));
+            modelClients.add(system.client(i, SampleFleet.TUTORS_KEY));
+            plainClients.add(system.client(i, SampleFleet.STUDENTS_KEY));
         }
     }
 
@@ -39,43 +39,44 @@
      * Sends all arrivals. Before each one, the action is called with the intended time of sending since the beginning,
      * in nanoseconds.
      */
-    public void send(List<Arrivals.Arrival> arrivals, long beginNanos, LongConsumer between) {
+    public void send(List<Arrivals.Arrival> arrivals, long beginNanos, LongConsumer beforeEach) {
         for (Arrivals.Arrival arrival : arrivals) {
-            long intended = beginNanos + arrival.atNanos();
-            while (System.nanoTime() < intended) {
-                LockSupport.parkNanos(intended - System.nanoTime());
+            long intendedNanos = beginNanos + arrival.offsetNanos();
+            while (System.nanoTime() < intendedNanos) {
+                LockSupport.parkNanos(intendedNanos - System.nanoTime());
             }
-            between.accept(arrival.atNanos());
-            send(arrival, intended);
+            beforeEach.accept(arrival.offsetNanos());
+            send(arrival, intendedNanos);
         }
     }
 
     /** Waits until all answers have ended. */
     public void awaitAnswers() {
-        CompletableFuture.allOf(open.toArray(CompletableFuture[]::new)).join();
+        CompletableFuture.allOf(pendingAnswers.toArray(CompletableFuture[]::new))
+                .join();
     }
 
     @Override
     public void close() {
-        models.forEach(EntryClient::close);
-        plains.forEach(EntryClient::close);
+        modelClients.forEach(EntryClient::close);
+        plainClients.forEach(EntryClient::close);
     }
 
-    private void send(Arrivals.Arrival arrival, long intended) {
+    private void send(Arrivals.Arrival arrival, long intendedNanos) {
         RequestKind kind = arrival.kind();
         if (kind.plain()) {
-            sendPlain(arrival, intended);
+            sendPlain(arrival, intendedNanos);
             return;
         }
-        String prompt = text(kind.name() + " " + arrival.number(), kind.promptCharacters());
-        CheckedStream stream = new CheckedStream(SampleAnswers.chat(prompt, kind.tokens()), intended);
+        String prompt = promptText(kind.name() + " " + arrival.number(), kind.promptCharacters());
+        CheckedStream stream = new CheckedStream(SampleAnswers.chat(prompt, kind.tokens()), intendedNanos);
         byte[] body = SampleAnswers.chatBody(prompt, kind.tokens());
-        open.add(stream.result().thenAccept(measurement::answered));
-        models.get(arrival.number() % models.size()).start("POST", "/v1/chat/completions", body, stream);
+        pendingAnswers.add(stream.result().thenAccept(measurement::recordModelAnswer));
+        modelClients.get(arrival.number() % modelClients.size()).start("POST", "/v1/chat/completions", body, stream);
     }
 
-    private void sendPlain(Arrivals.Arrival arrival, long intended) {
-        EntryClient client = plains.get(arrival.number() % plains.size());
+    private void sendPlain(Arrivals.Arrival arrival, long intendedNanos) {
+        EntryClient client = plainClients.get(arrival.number() % plainClients.size());
         boolean booking = arrival.kind().name().equals("bookings");
         String name = "r" + arrival.number();
         byte[] body = booking ? Json.bytes(Map.of("seat", name)) : new byte[0];
@@ -83,17 +84,17 @@
                         ? client.call("POST", "/services/bookings/bookings", body, Map.of("idempotency-key", name))
                         : client.call("GET", "/services/bookings/records/" + name, body))
                 .handle((result, failure) -> {
-                    boolean right = failure == null
+                    boolean correct = failure == null
                             && result.isSuccess()
                             && (booking || Arrays.equals(result.body(), PlainServiceStandin.record(name)));
-                    measurement.plainAnswered(right, System.nanoTime() - intended);
+                    measurement.recordPlainAnswer(correct, System.nanoTime() - intendedNanos);
                     return null;
                 });
-        open.add(end);
+        pendingAnswers.add(end);
     }
 
     /** Returns a text of a given length that begins with a name, so that few prompts share a cached prefix. */
-    static String text(String name, int characters) {
+    static String promptText(String name, int characters) {
         StringBuilder text = new StringBuilder(name);
         while (text.length() < characters) {
             text.append(" lorem ipsum");
--- a/src/main/java/org/gooseberryhill/load/slope/MeasuredProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/FunctionProbe.java
@@ -12,7 +12,7 @@
  * @param sizes the sizes at which to measure
  * @param cost returns the cost at a size
  */
-record MeasuredProbe(String name, String unit, String varied, List<Integer> sizes, IntToDoubleFunction cost)
+record FunctionProbe(String name, String unit, String varied, List<Integer> sizes, IntToDoubleFunction cost)
         implements SlopeProbe {
     @Override
     public double measure(int size) {
--- a/src/main/java/org/gooseberryhill/load/slope/SystemCallsProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
@@ -19,16 +19,16 @@
  * Measures the writes that a job makes in the key-value service from its submission to its end, as counted by the
  * stand-in. Confined to one thread.
  */
-final class SystemCallsProbe implements SlopeProbe {
-    private static final EngineSpeed FAST = new EngineSpeed(16, 1, 1024, 16);
+final class JobWritesProbe implements SlopeProbe {
+    private static final EngineSpeed FAST_ENGINES = new EngineSpeed(16, 1, 1024, 16);
     private static final int CHUNK_ITEMS = 256;
-    private static final int ENGINES = 6;
-    private static final long READY_MILLIS = 1500;
+    private static final int ENGINE_COUNT = 6;
+    private static final long STARTUP_MILLIS = 1500;
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final int basePort;
 
-    SystemCallsProbe(int basePort) {
+    JobWritesProbe(int basePort) {
         this.basePort = basePort;
     }
 
@@ -56,29 +56,30 @@
     public double measure(int chunks) {
         try {
             Path folder = Files.createTempDirectory("gooseberry-slope");
-            try (SampleSystem system = new SampleSystem(new SampleFleet(basePort, ENGINES), FAST, folder, false);
+            try (SampleSystem system =
+                            new SampleSystem(new SampleFleet(basePort, ENGINE_COUNT), FAST_ENGINES, folder, false);
                     EntryClient client = system.client(0, SampleFleet.COORDINATORS_KEY)) {
-                pause(READY_MILLIS);
-                long before = writes(system);
-                runJob(client, chunks * CHUNK_ITEMS);
-                return writes(system) - before;
+                sleep(STARTUP_MILLIS);
+                long writesBefore = writes(system);
+                runJobToEnd(client, chunks * CHUNK_ITEMS);
+                return writes(system) - writesBefore;
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static void runJob(EntryClient client, int items) {
+    private static void runJobToEnd(EntryClient client, int items) {
         String body = "{\"prompt\":\"x\",\"max_tokens\":1}\n".repeat(items);
         HttpResult accepted = client.call(
                 "PUT", "/v1/jobs/slope?model=" + SampleFleet.MODEL.model(), body.getBytes(StandardCharsets.UTF_8));
         if (!accepted.isSuccess()) {
             throw new IllegalStateException("the job was not accepted: " + accepted.status());
         }
-        long until = System.nanoTime() + TIMEOUT_NANOS;
+        long deadlineNanos = System.nanoTime() + TIMEOUT_NANOS;
         String state = "";
-        while (!state.equals("done") && System.nanoTime() < until) {
-            pause(100);
+        while (!state.equals("done") && System.nanoTime() < deadlineNanos) {
+            sleep(100);
             HttpResult status = client.call("GET", "/v1/jobs/slope", new byte[0]);
             state = Json.tree(status.body())
                     .map(json -> json.path("state").asText())
@@ -90,7 +91,7 @@
         return system.platform().keyValue().meter().getOrDefault("/v3/kv/txn", 0L);
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(millis));
     }
 }
--- a/src/main/java/org/gooseberryhill/load/slope/SampleTexts.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SampleConfigurations.java
@@ -3,13 +3,13 @@
 import org.gooseberryhill.contract.Fingerprint;
 
 /** Generates configuration texts with a fixed number of models and any number of endpoints and callers. Stateless. */
-final class SampleTexts {
+final class SampleConfigurations {
     private static final int MODELS = 5;
 
-    private SampleTexts() {}
+    private SampleConfigurations() {}
 
     /** Returns a text with a number of endpoints, at least one for each model, and of callers. */
-    static String configuration(int endpoints, int callers) {
+    static String create(int endpoints, int callers) {
         StringBuilder text = new StringBuilder("models:\n");
         for (int i = 0; i < MODELS; i++) {
             text.append("  model-%d: {version: \"1\"}%n".formatted(i));
--- a/src/main/java/org/gooseberryhill/load/slope/Slope.java
+++ b/src/main/java/org/gooseberryhill/load/slope/Slope.java
@@ -19,27 +19,27 @@
     public static Slope of(SlopeProbe probe) {
         List<Double> points = new ArrayList<>();
         probe.sizes().forEach(size -> points.add(probe.measure(size)));
-        int number = points.size();
+        int count = points.size();
         double meanX =
                 probe.sizes().stream().mapToInt(Integer::intValue).average().orElse(0);
         double meanY =
                 points.stream().mapToDouble(Double::doubleValue).average().orElse(0);
         double covariance = 0;
         double variance = 0;
-        for (int i = 0; i < number; i++) {
-            double distance = probe.sizes().get(i) - meanX;
-            covariance += distance * (points.get(i) - meanY);
-            variance += distance * distance;
+        for (int i = 0; i < count; i++) {
+            double deviation = probe.sizes().get(i) - meanX;
+            covariance += deviation * (points.get(i) - meanY);
+            variance += deviation * deviation;
         }
         double perUnit = covariance / variance;
         double intercept = meanY - perUnit * meanX;
-        double worst = 0;
-        double largest = 0;
-        for (int i = 0; i < number; i++) {
-            double line = intercept + perUnit * probe.sizes().get(i);
-            worst = Math.max(worst, Math.abs(points.get(i) - line));
-            largest = Math.max(largest, Math.abs(points.get(i)));
+        double worstError = 0;
+        double largestCost = 0;
+        for (int i = 0; i < count; i++) {
+            double fitted = intercept + perUnit * probe.sizes().get(i);
+            worstError = Math.max(worstError, Math.abs(points.get(i) - fitted));
+            largestCost = Math.max(largestCost, Math.abs(points.get(i)));
         }
-        return new Slope(probe, points, intercept, perUnit, largest == 0 ? 0 : PERCENT * worst / largest);
+        return new Slope(probe, points, intercept, perUnit, largestCost == 0 ? 0 : PERCENT * worstError / largestCost);
     }
 }
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
@@ -36,12 +36,12 @@
 public final class SlopeProbes {
     private static final int PLANNED_ENDPOINTS = 2600;
     private static final int PLANNED_CALLERS = 2400;
-    private static final String VARIED_TEXT = "endpoints (with 2400 callers per 2600 of them)";
-    private static final List<Integer> TEXT_SIZES = List.of(130, 650, 1300, 2600);
-    private static final List<Integer> MESSAGE_SIZES = List.of(0, 1, 2, 4, 8);
-    private static final int TIMED_RUNS = 15;
+    private static final String VARIED_ENDPOINTS = "endpoints (with 2400 callers per 2600 of them)";
+    private static final List<Integer> ENDPOINT_COUNTS = List.of(130, 650, 1300, 2600);
+    private static final List<Integer> ENTRY_COUNTS = List.of(0, 1, 2, 4, 8);
+    private static final int PARSE_RUNS = 15;
     private static final double NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
-    private static final int ITEMS = 296;
+    private static final int JOB_ITEMS = 296;
     private static final int ITEM_BYTES = 500;
 
     private SlopeProbes() {}
@@ -49,45 +49,49 @@
     /** Returns all probes; the last one starts small systems on 100 ports from the base port. */
     public static List<SlopeProbe> all(int basePort) {
         return List.of(
-                message("heartbeat", "rumors", SlopeProbes::heartbeat),
-                message("online load report", "endpoints", SlopeProbes::onlineLoad),
-                message("answer to a load report", "endpoints", SlopeProbes::endpointLoads),
-                text("operators' text", "bytes", String::length),
-                text("stored configuration", "bytes", SlopeProbes::storedBytes),
-                text("push of a one-line change", "bytes", SlopeProbes::pushBytes),
-                text("reading a changed text", "ms", SlopeProbes::readMillis),
-                heap("configuration and routing table", VARIED_TEXT, TEXT_SIZES, SlopeProbes::routingTable),
-                heap("membership", "hosts", List.of(50, 100, 200, 380), SlopeProbes::membership),
-                heap(
-                        "owned jobs of " + ITEMS + " items of " + ITEM_BYTES + " bytes",
+                messageProbe("heartbeat", "rumors", SlopeProbes::heartbeat),
+                messageProbe("online load report", "endpoints", SlopeProbes::onlineLoad),
+                messageProbe("answer to a load report", "endpoints", SlopeProbes::endpointLoads),
+                configurationProbe("operators' text", "bytes", String::length),
+                configurationProbe("stored configuration", "bytes", SlopeProbes::storedBytes),
+                configurationProbe("push of a one-line change", "bytes", SlopeProbes::changeMessageBytes),
+                configurationProbe("reading a changed text", "ms", SlopeProbes::parseMillis),
+                heapProbe(
+                        "configuration and routing table",
+                        VARIED_ENDPOINTS,
+                        ENDPOINT_COUNTS,
+                        SlopeProbes::routingTable),
+                heapProbe("membership", "hosts", List.of(50, 100, 200, 380), SlopeProbes::membership),
+                heapProbe(
+                        "owned jobs of " + JOB_ITEMS + " items of " + ITEM_BYTES + " bytes",
                         "jobs",
                         List.of(10, 40, 80, 142),
                         SlopeProbes::ownedJobs),
-                new SystemCallsProbe(basePort));
+                new JobWritesProbe(basePort));
     }
 
     /** Returns a probe of the size of a peer message with a number of entries, including framing. */
-    private static SlopeProbe message(String name, String varied, IntFunction<PeerMessage> builder) {
-        return new MeasuredProbe(
-                name, "bytes", varied, MESSAGE_SIZES, size -> PeerMessageSize.bytes(builder.apply(size)));
+    private static SlopeProbe messageProbe(String name, String varied, IntFunction<PeerMessage> builder) {
+        return new FunctionProbe(
+                name, "bytes", varied, ENTRY_COUNTS, size -> PeerMessageSize.bytes(builder.apply(size)));
     }
 
     /** Returns a probe of a cost of the configuration text with endpoints and callers in the planned proportion. */
-    private static SlopeProbe text(String name, String unit, ToDoubleFunction<String> cost) {
-        return new MeasuredProbe(
+    private static SlopeProbe configurationProbe(String name, String unit, ToDoubleFunction<String> cost) {
+        return new FunctionProbe(
                 name,
                 unit,
-                VARIED_TEXT,
-                TEXT_SIZES,
-                size -> cost.applyAsDouble(SampleTexts.configuration(size, callersFor(size))));
+                VARIED_ENDPOINTS,
+                ENDPOINT_COUNTS,
+                size -> cost.applyAsDouble(SampleConfigurations.create(size, callersFor(size))));
     }
 
     /**
      * Returns a probe of the live heap of an object with a number of entries. The object is built once before the
      * measurement, so that the memory of loaded classes is not counted.
      */
-    private static SlopeProbe heap(String name, String varied, List<Integer> sizes, IntFunction<Object> builder) {
-        return new MeasuredProbe(name, "bytes of live heap", varied, sizes, size -> {
+    private static SlopeProbe heapProbe(String name, String varied, List<Integer> sizes, IntFunction<Object> builder) {
+        return new FunctionProbe(name, "bytes of live heap", varied, sizes, size -> {
             builder.apply(size);
             return LiveHeap.bytesOf(() -> builder.apply(size));
         });
@@ -97,12 +101,12 @@
         return endpoints * PLANNED_CALLERS / PLANNED_ENDPOINTS;
     }
 
-    private static PeerMessage heartbeat(int rumors) {
-        List<Rumor> list = new ArrayList<>();
-        for (int i = 0; i < rumors; i++) {
-            list.add(new Rumor(new HostId("steward-%04d".formatted(i)), HostState.SUSPECT, i));
+    private static PeerMessage heartbeat(int rumorCount) {
+        List<Rumor> rumors = new ArrayList<>();
+        for (int i = 0; i < rumorCount; i++) {
+            rumors.add(new Rumor(new HostId("steward-%04d".formatted(i)), HostState.SUSPECT, i));
         }
-        return new PeerMessage.Heartbeat(3, false, 1_000_000, list, Map.of("service-1", 1_796_256_000_000L));
+        return new PeerMessage.Heartbeat(3, false, 1_000_000, rumors, Map.of("service-1", 1_796_256_000_000L));
     }
 
     private static PeerMessage onlineLoad(int endpoints) {
@@ -125,32 +129,32 @@
         return ConfigurationCodec.encode(new ConfigurationRecord("edit", "operator", 0, text)).length;
     }
 
-    private static double pushBytes(String text) {
+    private static double changeMessageBytes(String text) {
         String changed = text.replaceFirst("slots: 16", "slots: 12");
         return PeerMessageSize.bytes(
                 new PeerMessage.ConfigurationChange(1_000_000, 1_000_001, TextChange.between(text, changed)));
     }
 
-    private static double readMillis(String text) {
-        double best = Double.MAX_VALUE;
-        for (int run = 0; run < TIMED_RUNS; run++) {
-            ConfigurationInForce inForce = new ConfigurationInForce();
+    private static double parseMillis(String text) {
+        double bestMillis = Double.MAX_VALUE;
+        for (int run = 0; run < PARSE_RUNS; run++) {
+            ConfigurationInForce activeConfiguration = new ConfigurationInForce();
             EndpointTable table = new EndpointTable();
-            long begin = System.nanoTime();
-            inForce.offer(1, text);
-            table.configure(inForce.configuration());
-            best = Math.min(best, (System.nanoTime() - begin) / NANOS_PER_MILLI);
+            long beginNanos = System.nanoTime();
+            activeConfiguration.offer(1, text);
+            table.configure(activeConfiguration.configuration());
+            bestMillis = Math.min(bestMillis, (System.nanoTime() - beginNanos) / NANOS_PER_MILLI);
         }
-        return best;
+        return bestMillis;
     }
 
     private static Object routingTable(int endpoints) {
-        String text = SampleTexts.configuration(endpoints, callersFor(endpoints));
-        ConfigurationInForce inForce = new ConfigurationInForce();
-        inForce.offer(1, text);
+        String text = SampleConfigurations.create(endpoints, callersFor(endpoints));
+        ConfigurationInForce activeConfiguration = new ConfigurationInForce();
+        activeConfiguration.offer(1, text);
         EndpointTable table = new EndpointTable();
         table.configure(ConfigurationReader.read("slope", text).get());
-        return List.of(inForce, table);
+        return List.of(activeConfiguration, table);
     }
 
     private static Object membership(int hosts) {
@@ -171,8 +175,8 @@
     private static Object ownedJobs(int jobs) {
         List<OwnedJob> owned = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
-            JobRecord record =
-                    new JobRecord(JobState.RUNNING, "hash", "s", "m", 0, 0, ITEMS, 256, List.of("chunk-0", "chunk-1"));
+            JobRecord record = new JobRecord(
+                    JobState.RUNNING, "hash", "s", "m", 0, 0, JOB_ITEMS, 256, List.of("chunk-0", "chunk-1"));
             OwnedJob job = new OwnedJob(new JobKey("caller", "job-" + i), record, 1, 1, new BitSet());
             for (int chunk = 0; chunk < 2; chunk++) {
                 job.nextChunkToLoad();
--- a/src/main/java/org/gooseberryhill/standin/EngineSpeed.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineSpeed.java
@@ -16,9 +16,9 @@
      * Returns the duration of a step with a number of active requests, in milliseconds. It grows by at most a quarter
      * up to the number of slots, and steeply above it.
      */
-    public double stepMillis(int active) {
-        double within = 1 + 0.25 * Math.min(active, slots) / slots;
-        double beyond = Math.max(0, active - slots) * 2.0 / slots;
-        return stepMillis * (within + beyond);
+    public double stepMillis(int activeRequests) {
+        double withinSlots = 1 + 0.25 * Math.min(activeRequests, slots) / slots;
+        double beyondSlots = Math.max(0, activeRequests - slots) * 2.0 / slots;
+        return stepMillis * (withinSlots + beyondSlots);
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/EngineStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineStandin.java
@@ -37,7 +37,7 @@
     private final EventLoopGroup group;
     private final Address address;
     private final EngineSpeed speed;
-    private final ScheduledExecutorService engine;
+    private final ScheduledExecutorService executor;
     private final List<Generation> active = new ArrayList<>();
     private final ArrayDeque<Generation> queue = new ArrayDeque<>();
     private final Map<String, Boolean> prefixCache;
@@ -45,19 +45,19 @@
     private final AtomicInteger served = new AtomicInteger();
     private final List<Long> orderFences = new ArrayList<>();
     private volatile EngineFaults faults = EngineFaults.NONE;
-    private volatile ModelHolding held = new ModelHolding("", "", List.of());
+    private volatile ModelHolding heldModel = new ModelHolding("", "", List.of());
     private volatile HttpServer server;
     private volatile boolean closed;
     private volatile boolean busy;
     private long highestFence;
-    private boolean stepping;
+    private boolean stepScheduled;
 
     /** Starts an engine that has no model loaded. */
     public EngineStandin(EventLoopGroup group, Address address, EngineSpeed speed) {
         this.group = group;
         this.address = address;
         this.speed = speed;
-        this.engine = Executors.newSingleThreadScheduledExecutor(task -> {
+        this.executor = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, "engine-" + address.port());
             thread.setDaemon(true);
             return thread;
@@ -77,8 +77,8 @@
     }
 
     /** Sets the loaded model without an order. */
-    public void hold(ModelHolding holding) {
-        held = holding;
+    public void setHeldModel(ModelHolding holding) {
+        heldModel = holding;
     }
 
     /** Returns the address at which the engine listens. */
@@ -88,7 +88,7 @@
 
     /** Returns the loaded model. */
     public ModelHolding held() {
-        return held;
+        return heldModel;
     }
 
     /** Returns whether no request is active or queued. */
@@ -113,28 +113,28 @@
 
     /** Closes all connections immediately, as a killed process does; restarts after the configured time, if any. */
     public void crash() {
-        engine.execute(this::crashNow);
+        executor.execute(this::crashNow);
     }
 
     /** Starts listening again after a crash. */
     public void restart() {
-        engine.execute(this::restartNow);
+        executor.execute(this::restartNow);
     }
 
     @Override
     public void close() {
         closed = true;
-        engine.shutdownNow();
+        executor.shutdownNow();
         server.close();
     }
 
     private HttpBody handle(HttpCall call) {
-        return StandinReplies.whole(call, body -> {
+        return StandinHttp.collectBody(call, body -> {
             JsonNode json = Json.tree(body).getOrElse(Json.object());
             switch (call.path()) {
                 case "/v1/chat/completions", "/v1/completions" -> submit(call, json);
-                case "/status" -> engine.execute(() -> status(call));
-                case "/orders" -> engine.execute(() -> order(call, json));
+                case "/status" -> executor.execute(() -> replyStatus(call));
+                case "/orders" -> executor.execute(() -> applyOrder(call, json));
                 case "/standin/faults" -> {
                     faults(new EngineFaults(
                             Optional.ofNullable(json.path("crashPrompt").textValue()),
@@ -142,61 +142,62 @@
                             json.path("obeysFences").asBoolean(true),
                             json.path("draining").asBoolean(false),
                             json.path("endsEarly").asBoolean(false)));
-                    StandinReplies.json(call, 200, Map.of());
+                    StandinHttp.replyJson(call, 200, Map.of());
                 }
                 case "/standin/crash" -> crash();
-                default -> StandinReplies.json(call, 404, Map.of("error", "no such call"));
+                default -> StandinHttp.replyJson(call, 404, Map.of("error", "no such call"));
             }
         });
     }
 
     private void submit(HttpCall call, JsonNode json) {
         if (!json.has("prompt") && !json.has("messages")) {
-            StandinReplies.json(call, 400, Map.of("error", "neither prompt nor messages"));
+            StandinHttp.replyJson(call, 400, Map.of("error", "neither prompt nor messages"));
             return;
         }
         int resumeFrom = call.headers().getInt("x-resume-from", 0);
         Generation generation = new Generation(call, json, resumeFrom);
-        engine.execute(() -> {
+        executor.execute(() -> {
             queue.add(generation);
             busy = true;
             scheduleStep();
         });
     }
 
-    private void status(HttpCall call) {
-        StandinReplies.json(
+    private void replyStatus(HttpCall call) {
+        StandinHttp.replyJson(
                 call,
                 200,
                 Json.object()
                         .put("active", active.size())
                         .put("queued", queue.size())
                         .put("draining", faults.draining())
-                        .set("held", Json.mapper().valueToTree(held)));
+                        .set("held", Json.mapper().valueToTree(heldModel)));
     }
 
-    private void order(HttpCall call, JsonNode json) {
+    private void applyOrder(HttpCall call, JsonNode json) {
         long fence = json.path("fence").asLong();
         synchronized (this) {
             if (faults.obeysFences() && fence < highestFence) {
-                StandinReplies.json(call, 409, Map.of("error", "old fence"));
+                StandinHttp.replyJson(call, 409, Map.of("error", "old fence"));
                 return;
             }
             highestFence = Math.max(highestFence, fence);
             orderFences.add(fence);
         }
-        held = Json.read(Json.bytes(json.path("holding")), ModelHolding.class).getOrElse(held);
-        StandinReplies.json(call, 200, Map.of());
+        heldModel =
+                Json.read(Json.bytes(json.path("holding")), ModelHolding.class).getOrElse(heldModel);
+        StandinHttp.replyJson(call, 200, Map.of());
     }
 
     private void scheduleStep() {
-        if (stepping || closed) {
+        if (stepScheduled || closed) {
             return;
         }
-        stepping = true;
+        stepScheduled = true;
         admit();
         long micros = (long) (speed.stepMillis(Math.max(1, active.size())) * 1000);
-        engine.schedule(this::step, micros, TimeUnit.MICROSECONDS);
+        executor.schedule(this::step, micros, TimeUnit.MICROSECONDS);
     }
 
     private void admit() {
@@ -206,33 +207,33 @@
             String prefix = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length()));
             boolean cached = prefixCache.put(prefix, Boolean.TRUE) != null;
             int promptTokens = prompt.length() / CHARACTERS_PER_TOKEN;
-            next.prefill(cached ? 0 : promptTokens / speed.prefillTokensPerStep() + 1);
+            next.setPrefillSteps(cached ? 0 : promptTokens / speed.prefillTokensPerStep() + 1);
             active.add(next);
         }
     }
 
     private void step() {
-        stepping = false;
-        Iterator<Generation> all = active.iterator();
-        while (all.hasNext()) {
-            Generation generation = all.next();
-            if (generation.isGone()) {
-                all.remove();
+        stepScheduled = false;
+        Iterator<Generation> generations = active.iterator();
+        while (generations.hasNext()) {
+            Generation generation = generations.next();
+            if (generation.isDisconnected()) {
+                generations.remove();
                 continue;
             }
-            if (crashes(generation)) {
+            if (triggersCrash(generation)) {
                 crashNow();
                 return;
             }
             generation.step();
-            if (faults.endsEarly() && generation.endEarly()) {
-                all.remove();
+            if (faults.endsEarly() && generation.tryEndEarly()) {
+                generations.remove();
                 continue;
             }
             if (generation.isDone()) {
                 generation.finish();
                 served.incrementAndGet();
-                all.remove();
+                generations.remove();
             }
         }
         busy = !active.isEmpty() || !queue.isEmpty();
@@ -241,7 +242,7 @@
         }
     }
 
-    private boolean crashes(Generation generation) {
+    private boolean triggersCrash(Generation generation) {
         return faults.crashPrompt().filter(generation.prompt()::contains).isPresent();
     }
 
@@ -252,7 +253,7 @@
         prefixCache.clear();
         server.close();
         if (faults.restartMillis() > 0) {
-            engine.schedule(this::restartNow, faults.restartMillis(), TimeUnit.MILLISECONDS);
+            executor.schedule(this::restartNow, faults.restartMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/org/gooseberryhill/standin/FreePorts.java
+++ b/src/main/java/org/gooseberryhill/standin/FreePorts.java
@@ -31,20 +31,20 @@
     private static final int BLOCK_STRIDE = BLOCK_PORTS + 1;
 
     /** Processes with adjacent ids start at blocks this far apart, so that they rarely try the same ones. */
-    private static final int BLOCKS_PER_PROCESS = 37;
+    private static final int START_BLOCK_STEP = 37;
 
-    private static final List<ServerSocket> CLAIMS = new ArrayList<>();
-    private static int nextBlock = (int) (ProcessHandle.current().pid() * BLOCKS_PER_PROCESS % BLOCKS);
+    private static final List<ServerSocket> HELD_CLAIMS = new ArrayList<>();
+    private static int nextBlock = (int) (ProcessHandle.current().pid() * START_BLOCK_STEP % BLOCKS);
     private static int blockFirstPort;
-    private static int givenOfBlock = BLOCK_PORTS;
+    private static int portsUsedInBlock = BLOCK_PORTS;
 
     private FreePorts() {}
 
     /** Returns an address that was not allocated before and at which nothing listens at the time of the call. */
     public static synchronized Address next() {
-        int port = nextOfBlock();
+        int port = nextPortInBlock();
         while (!isFree(port)) {
-            port = nextOfBlock();
+            port = nextPortInBlock();
         }
         return new Address("127.0.0.1", port);
     }
@@ -54,11 +54,11 @@
      * the time of the call.
      */
     public static synchronized int block() {
-        for (int tries = 0; tries < BLOCKS; tries++) {
+        for (int attempt = 0; attempt < BLOCKS; attempt++) {
             int firstPort = FIRST_PORT + Math.floorMod(nextBlock++, BLOCKS) * BLOCK_STRIDE;
             Optional<ServerSocket> claim = claim(firstPort);
             if (claim.isPresent()) {
-                CLAIMS.add(claim.get());
+                HELD_CLAIMS.add(claim.get());
                 if (IntStream.range(firstPort, firstPort + BLOCK_PORTS).allMatch(FreePorts::isFree)) {
                     return firstPort;
                 }
@@ -72,12 +72,12 @@
         return listen(firstPort + BLOCK_PORTS);
     }
 
-    private static int nextOfBlock() {
-        if (givenOfBlock == BLOCK_PORTS) {
+    private static int nextPortInBlock() {
+        if (portsUsedInBlock == BLOCK_PORTS) {
             blockFirstPort = block();
-            givenOfBlock = 0;
+            portsUsedInBlock = 0;
         }
-        return blockFirstPort + givenOfBlock++;
+        return blockFirstPort + portsUsedInBlock++;
     }
 
     /** Returns whether nothing listens at a loopback port. */
--- a/src/main/java/org/gooseberryhill/standin/Generation.java
+++ b/src/main/java/org/gooseberryhill/standin/Generation.java
@@ -17,7 +17,7 @@
  */
 final class Generation {
     private static final int DEFAULT_MAX_TOKENS = 32;
-    private static final int WORDS = 9973;
+    private static final int VOCABULARY_SIZE = 9973;
 
     private final HttpCall call;
     private final JsonNode request;
@@ -26,26 +26,26 @@
     private final boolean streamed;
     private final int resumedFrom;
     private final StringBuilder text = new StringBuilder();
-    private int generated;
+    private int generatedTokens;
     private int prefillSteps;
-    private boolean begun;
-    private volatile boolean gone;
+    private boolean streamStarted;
+    private volatile boolean disconnected;
 
     Generation(HttpCall call, JsonNode request, int resumedFrom) {
         this.call = call;
         this.request = request;
-        this.prompt = prompt(request);
+        this.prompt = promptOf(request);
         this.maxTokens = request.path("max_tokens").asInt(DEFAULT_MAX_TOKENS);
         this.streamed = request.path("stream").asBoolean(false);
         this.resumedFrom = resumedFrom;
-        this.generated = resumedFrom;
-        call.onDisconnect(() -> gone = true);
+        this.generatedTokens = resumedFrom;
+        call.onDisconnect(() -> disconnected = true);
     }
 
     /** Returns the token at an index of the answer to a prompt. */
-    static String token(String prompt, int place) {
-        long hash = Hashing.komihash5_0().hashCharsToLong(prompt + "\0" + place);
-        return "w" + Long.remainderUnsigned(hash, WORDS) + " ";
+    static String token(String prompt, int index) {
+        long hash = Hashing.komihash5_0().hashCharsToLong(prompt + "\0" + index);
+        return "w" + Long.remainderUnsigned(hash, VOCABULARY_SIZE) + " ";
     }
 
     /** Returns the complete answer to a prompt. */
@@ -57,7 +57,7 @@
         return answer.toString();
     }
 
-    static String prompt(JsonNode request) {
+    static String promptOf(JsonNode request) {
         if (request.has("prompt")) {
             return request.path("prompt").asText();
         }
@@ -72,20 +72,20 @@
         return prompt;
     }
 
-    boolean isGone() {
-        return gone;
+    boolean isDisconnected() {
+        return disconnected;
     }
 
     /** Returns whether the prompt is processed and all tokens are generated; a resumed answer may need no tokens. */
     boolean isDone() {
-        return prefillSteps == 0 && generated >= maxTokens;
+        return prefillSteps == 0 && generatedTokens >= maxTokens;
     }
 
     HttpCall call() {
         return call;
     }
 
-    void prefill(int steps) {
+    void setPrefillSteps(int steps) {
         prefillSteps = steps;
     }
 
@@ -95,33 +95,33 @@
             prefillSteps--;
             return;
         }
-        if (streamed && !begun) {
-            begun = true;
+        if (streamed && !streamStarted) {
+            streamStarted = true;
             call.beginStream(200, Map.of("content-type", "text/event-stream"));
         }
         if (isDone()) {
             return;
         }
-        String token = token(prompt, generated);
-        generated++;
+        String token = token(prompt, generatedTokens);
+        generatedTokens++;
         text.append(token);
         if (streamed) {
-            event(Optional.of(token), isDone() ? Optional.of("stop") : Optional.empty());
+            writeEvent(Optional.of(token), isDone() ? Optional.of("stop") : Optional.empty());
         }
     }
 
     /** Closes a stream of which half is generated, without the {@code [DONE]} event; returns whether it did. */
-    boolean endEarly() {
-        boolean middle = streamed && generated > resumedFrom && 2 * generated >= maxTokens;
-        if (middle) {
+    boolean tryEndEarly() {
+        boolean atMiddle = streamed && generatedTokens > resumedFrom && 2 * generatedTokens >= maxTokens;
+        if (atMiddle) {
             call.endStream();
         }
-        return middle;
+        return atMiddle;
     }
 
     void finish() {
         if (streamed) {
-            if (!begun) {
+            if (!streamStarted) {
                 call.beginStream(200, Map.of("content-type", "text/event-stream"));
             }
             call.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
@@ -132,12 +132,12 @@
         ObjectNode choice = answer.putArray("choices").addObject().put("index", 0);
         choice.putObject("message").put("role", "assistant").put("content", text.toString());
         choice.put("text", text.toString()).put("finish_reason", "stop");
-        answer.putObject("usage").put("completion_tokens", generated);
+        answer.putObject("usage").put("completion_tokens", generatedTokens);
         answer.put("model", request.path("model").asText());
-        StandinReplies.json(call, 200, answer);
+        StandinHttp.replyJson(call, 200, answer);
     }
 
-    private void event(Optional<String> content, Optional<String> finish) {
+    private void writeEvent(Optional<String> content, Optional<String> finish) {
         ObjectNode event = Json.object().put("object", "chat.completion.chunk");
         ObjectNode choice = event.putArray("choices").addObject().put("index", 0);
         ObjectNode delta = choice.putObject("delta");
--- a/src/main/java/org/gooseberryhill/standin/HostListStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/HostListStandin.java
@@ -32,8 +32,8 @@
     private final HttpServer server;
     private final CallMeter meter = new CallMeter();
     private volatile long lagMillis;
-    private volatile HostList.Listing shown = new HostList.Listing(List.of(), Set.of());
-    private HostList.Listing actual = shown;
+    private volatile HostList.Listing visibleListing = new HostList.Listing(List.of(), Set.of());
+    private HostList.Listing latestListing = visibleListing;
 
     /** Starts listening, with an empty host list. */
     public HostListStandin(EventLoopGroup group, Address address, long lagMillis) {
@@ -43,8 +43,8 @@
 
     /** Replaces the host list, with no endpoint leaving; visible immediately. */
     public synchronized void start(List<Host> hosts) {
-        actual = new HostList.Listing(hosts, Set.of());
-        shown = actual;
+        latestListing = new HostList.Listing(hosts, Set.of());
+        visibleListing = latestListing;
     }
 
     /** Sets the lag after which changes become visible. */
@@ -54,17 +54,17 @@
 
     /** Marks an endpoint as leaving; visible after the lag. */
     public synchronized void leaving(String endpoint) {
-        Set<String> names = new TreeSet<>(actual.leavingEndpoints());
+        Set<String> names = new TreeSet<>(latestListing.leavingEndpoints());
         names.add(endpoint);
-        change(new HostList.Listing(actual.hosts(), names));
+        publishAfterLag(new HostList.Listing(latestListing.hosts(), names));
     }
 
     /** Adds a host or replaces the one with the same id; visible after the lag. */
     public synchronized void add(Host host) {
-        List<Host> hosts = new ArrayList<>(actual.hosts());
+        List<Host> hosts = new ArrayList<>(latestListing.hosts());
         hosts.removeIf(other -> other.id().equals(host.id()));
         hosts.add(host);
-        change(new HostList.Listing(hosts, actual.leavingEndpoints()));
+        publishAfterLag(new HostList.Listing(hosts, latestListing.leavingEndpoints()));
     }
 
     @Override
@@ -73,16 +73,16 @@
         server.close();
     }
 
-    private void change(HostList.Listing listing) {
-        actual = listing;
-        timer.schedule(() -> shown = listing, lagMillis, TimeUnit.MILLISECONDS);
+    private void publishAfterLag(HostList.Listing listing) {
+        latestListing = listing;
+        timer.schedule(() -> visibleListing = listing, lagMillis, TimeUnit.MILLISECONDS);
     }
 
     private HttpBody handle(HttpCall call) {
-        return StandinReplies.whole(call, body -> {
+        return StandinHttp.collectBody(call, body -> {
             meter.count(call.method());
             if (call.method().equals("GET")) {
-                StandinReplies.json(call, 200, shown);
+                StandinHttp.replyJson(call, 200, visibleListing);
                 return;
             }
             if (call.path().startsWith("/leaving/")) {
@@ -90,7 +90,7 @@
             } else {
                 Json.read(body, HostList.Listing.class).forEach(listing -> start(listing.hosts()));
             }
-            StandinReplies.json(call, 200, shown);
+            StandinHttp.replyJson(call, 200, visibleListing);
         });
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
@@ -42,8 +42,8 @@
     });
     private final HttpServer server;
     private volatile KeyValueFaults faults = KeyValueFaults.NONE;
-    private KeyValueState.Event hiddenByStaleness;
-    private int cutCalls;
+    private KeyValueState.Event latestEvent;
+    private int callsToCut;
 
     /** Starts listening. */
     public KeyValueStandin(EventLoopGroup group, Address address) {
@@ -77,23 +77,23 @@
     }
 
     private HttpBody handle(HttpCall call) {
-        return StandinReplies.whole(call, body -> {
+        return StandinHttp.collectBody(call, body -> {
             JsonNode json = Json.tree(body).getOrElse(Json.object());
             if (call.path().startsWith("/standin/")) {
-                control(call, json);
+                handleControlCall(call, json);
                 return;
             }
             meter.count(call.path());
-            KeyValueFaults now = faults;
-            if (now.slowMillis() > 0) {
-                timer.schedule(() -> serve(call, json), now.slowMillis(), TimeUnit.MILLISECONDS);
+            KeyValueFaults current = faults;
+            if (current.slowMillis() > 0) {
+                timer.schedule(() -> serve(call, json), current.slowMillis(), TimeUnit.MILLISECONDS);
             } else {
                 serve(call, json);
             }
         });
     }
 
-    private void control(HttpCall call, JsonNode json) {
+    private void handleControlCall(HttpCall call, JsonNode json) {
         switch (call.path()) {
             case "/standin/faults" ->
                 faults(new KeyValueFaults(
@@ -104,32 +104,32 @@
                         json.path("staleReads").asBoolean(false)));
             case "/standin/expire-leases" -> lapseAllLeases();
             default -> {
-                StandinReplies.json(call, 200, meter());
+                StandinHttp.replyJson(call, 200, meter());
                 return;
             }
         }
-        StandinReplies.json(call, 200, Map.of());
+        StandinHttp.replyJson(call, 200, Map.of());
     }
 
     private synchronized void serve(HttpCall call, JsonNode json) {
-        if (faults.outage() || cutCalls > 0) {
-            cutCalls = Math.max(0, cutCalls - 1);
+        if (faults.outage() || callsToCut > 0) {
+            callsToCut = Math.max(0, callsToCut - 1);
             call.abortStream();
             return;
         }
         switch (call.path()) {
-            case "/v3/kv/range" -> StandinReplies.json(call, 200, range(json));
+            case "/v3/kv/range" -> StandinHttp.replyJson(call, 200, range(json));
             case "/v3/kv/txn" -> {
                 ObjectNode answer = transaction(json);
-                if (answer.path("succeeded").asBoolean() && takeLostAnswer()) {
+                if (answer.path("succeeded").asBoolean() && takeAnswerLoss()) {
                     call.abortStream();
                 } else {
-                    StandinReplies.json(call, 200, answer);
+                    StandinHttp.replyJson(call, 200, answer);
                 }
             }
             case "/v3/lease/grant" -> {
                 long id = state.grant(json.path("TTL").asLong() * MILLIS_PER_SECOND);
-                StandinReplies.json(
+                StandinHttp.replyJson(
                         call,
                         200,
                         header().put("ID", Long.toString(id))
@@ -139,25 +139,29 @@
                 long left = state.renew(json.path("ID").asLong()) / MILLIS_PER_SECOND;
                 ObjectNode result = Json.object();
                 result.putObject("result").put("ID", json.path("ID").asText()).put("TTL", Long.toString(left));
-                StandinReplies.json(call, 200, result);
+                StandinHttp.replyJson(call, 200, result);
             }
             case "/v3/lease/revoke" -> {
                 publish(state.end(json.path("ID").asLong()));
-                StandinReplies.json(call, 200, header());
+                StandinHttp.replyJson(call, 200, header());
             }
             case "/v3/watch" -> watch(call, json.path("create_request"));
-            default -> StandinReplies.json(call, 404, Map.of("error", "no such call"));
+            default -> StandinHttp.replyJson(call, 404, Map.of("error", "no such call"));
         }
     }
 
-    private boolean takeLostAnswer() {
-        KeyValueFaults now = faults;
-        if (now.loseAnswers() <= 0) {
+    private boolean takeAnswerLoss() {
+        KeyValueFaults current = faults;
+        if (current.loseAnswers() <= 0) {
             return false;
         }
-        cutCalls = now.cutAfterLost();
+        callsToCut = current.cutAfterLost();
         faults = new KeyValueFaults(
-                now.outage(), now.slowMillis(), now.loseAnswers() - 1, now.cutAfterLost(), now.staleReads());
+                current.outage(),
+                current.slowMillis(),
+                current.loseAnswers() - 1,
+                current.cutAfterLost(),
+                current.staleReads());
         return true;
     }
 
@@ -174,8 +178,8 @@
                 break;
             }
             boolean hidden = faults.staleReads()
-                    && hiddenByStaleness != null
-                    && hiddenByStaleness.key().equals(entry.getKey());
+                    && latestEvent != null
+                    && latestEvent.key().equals(entry.getKey());
             if (!hidden) {
                 ObjectNode node = keyValue(entry.getKey(), entry.getValue());
                 entries.add(json.path("keys_only").asBoolean(false) ? node.without("value") : node);
@@ -192,7 +196,7 @@
         }
         List<KeyValueState.Change> changes = new ArrayList<>();
         for (JsonNode write : json.path(holds ? "success" : "failure")) {
-            change(write).ifPresent(changes::add);
+            toChange(write).ifPresent(changes::add);
         }
         boolean unknownLease =
                 changes.stream().anyMatch(change -> change.lease() != 0 && !state.hasLease(change.lease()));
@@ -202,7 +206,7 @@
         }
         List<KeyValueState.Event> events = state.apply(changes);
         if (!events.isEmpty()) {
-            hiddenByStaleness = events.get(events.size() - 1);
+            latestEvent = events.get(events.size() - 1);
         }
         publish(events);
         return header().put("succeeded", holds);
@@ -218,7 +222,7 @@
         return actual == expected;
     }
 
-    private static Optional<KeyValueState.Change> change(JsonNode write) {
+    private static Optional<KeyValueState.Change> toChange(JsonNode write) {
         if (write.has("request_put")) {
             JsonNode put = write.path("request_put");
             return Optional.of(new KeyValueState.Change(
@@ -236,13 +240,13 @@
     private void watch(HttpCall call, JsonNode request) {
         Watch watch = new Watch(
                 call, EtcdJson.decodeText(request.path("key")), EtcdJson.decodeText(request.path("range_end")));
-        call.beginStream(200, StandinReplies.JSON);
+        call.beginStream(200, StandinHttp.JSON);
         ObjectNode created = Json.object();
         created.putObject("result").put("created", true);
         watch.writeLine(created);
         long from = request.path("start_revision").asLong(0);
         if (from > 0) {
-            state.eventsFrom(from).forEach(watch::send);
+            state.eventsFrom(from).forEach(watch::sendIfWatched);
         }
         call.onDisconnect(() -> watches.remove(watch));
         watches.add(watch);
@@ -256,7 +260,7 @@
 
     private void publish(List<KeyValueState.Event> events) {
         for (KeyValueState.Event event : events) {
-            watches.forEach(watch -> watch.send(event));
+            watches.forEach(watch -> watch.sendIfWatched(event));
         }
     }
 
@@ -274,10 +278,10 @@
                 .put("mod_revision", Long.toString(value.modRevision()));
     }
 
-    /** An open watch of the keys from {@code from} to {@code end}, exclusive. */
-    private record Watch(HttpCall call, String from, String end) {
-        void send(KeyValueState.Event event) {
-            if (event.key().compareTo(from) < 0 || event.key().compareTo(end) >= 0) {
+    /** An open watch of the keys from {@code fromKey} to {@code endKey}, exclusive. */
+    private record Watch(HttpCall call, String fromKey, String endKey) {
+        void sendIfWatched(KeyValueState.Event event) {
+            if (event.key().compareTo(fromKey) < 0 || event.key().compareTo(endKey) >= 0) {
                 return;
             }
             ObjectNode line = Json.object();
--- a/src/main/java/org/gooseberryhill/standin/KeyValueState.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueState.java
@@ -21,7 +21,7 @@
     private final Map<Long, Lease> leases = new HashMap<>();
     private final List<Event> history = new ArrayList<>();
     private long revision = 1;
-    private long nextLease = 1000;
+    private long nextLeaseId = 1000;
 
     /** Creates an empty state whose leases expire by a clock in nanoseconds. */
     public KeyValueState(LongSupplier nowNanos) {
@@ -83,7 +83,7 @@
 
     /** Grants a lease and returns its id. */
     public long grant(long ttlMillis) {
-        long id = nextLease++;
+        long id = nextLeaseId++;
         leases.put(id, new Lease(ttlMillis, nowNanos.getAsLong()));
         return id;
     }
@@ -122,12 +122,12 @@
 
     private Event put(String key, byte[] bytes, long lease) {
         Value old = values.get(key);
-        long created = old == null ? revision : old.createRevision;
-        Value value = new Value(bytes, created, revision, lease);
+        long createRevision = old == null ? revision : old.createRevision;
+        Value value = new Value(bytes, createRevision, revision, lease);
         values.put(key, value);
-        Lease holder = leases.get(lease);
-        if (holder != null) {
-            holder.keys.add(key);
+        Lease leaseOfKey = leases.get(lease);
+        if (leaseOfKey != null) {
+            leaseOfKey.keys.add(key);
         }
         return new Event(revision, key, Optional.of(value));
     }
--- a/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
@@ -23,9 +23,9 @@
 
     private final HttpServer server;
     private final List<String> bookings = new CopyOnWriteArrayList<>();
-    private final AtomicInteger loseAnswers = new AtomicInteger();
-    private final AtomicInteger holdAnswers = new AtomicInteger();
-    private final List<HttpCall> held = new CopyOnWriteArrayList<>();
+    private final AtomicInteger answersToLose = new AtomicInteger();
+    private final AtomicInteger answersToHold = new AtomicInteger();
+    private final List<HttpCall> heldCalls = new CopyOnWriteArrayList<>();
 
     /** Starts listening. */
     public PlainServiceStandin(EventLoopGroup group, Address address) {
@@ -34,18 +34,18 @@
 
     /** Makes a number of next bookings take effect without an answer. */
     public void loseAnswers(int number) {
-        loseAnswers.set(number);
+        answersToLose.set(number);
     }
 
     /** Makes a number of next bookings take effect but withholds their answers until {@link #answerHeld}. */
     public void holdAnswers(int number) {
-        holdAnswers.set(number);
+        answersToHold.set(number);
     }
 
     /** Answers the bookings whose answers are withheld. */
     public void answerHeld() {
-        held.forEach(this::answerBooking);
-        held.clear();
+        heldCalls.forEach(this::answerBooking);
+        heldCalls.clear();
     }
 
     /** Returns the bodies of all bookings that took effect. */
@@ -64,7 +64,7 @@
     }
 
     private HttpBody handle(HttpCall call) {
-        return StandinReplies.whole(call, body -> {
+        return StandinHttp.collectBody(call, body -> {
             String path = call.path();
             if (call.method().equals("POST") && path.equals("/bookings")) {
                 book(call, body);
@@ -72,25 +72,25 @@
                 byte[] record = record(path.substring("/records/".length()));
                 call.reply(200, Map.of("content-type", "text/plain", "x-record", "yes"), record);
             } else if (path.equals("/bookings")) {
-                StandinReplies.json(call, 200, bookings);
+                StandinHttp.replyJson(call, 200, bookings);
             } else {
-                StandinReplies.json(call, 404, Map.of("error", "no such call"));
+                StandinHttp.replyJson(call, 404, Map.of("error", "no such call"));
             }
         });
     }
 
     private void book(HttpCall call, byte[] body) {
         bookings.add(new String(body, StandardCharsets.UTF_8));
-        if (loseAnswers.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+        if (answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
             call.abortStream();
-        } else if (holdAnswers.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
-            held.add(call);
+        } else if (answersToHold.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+            heldCalls.add(call);
         } else {
             answerBooking(call);
         }
     }
 
     private void answerBooking(HttpCall call) {
-        call.reply(201, StandinReplies.JSON, Json.bytes(Map.of("booking", bookings.size())));
+        call.reply(201, StandinHttp.JSON, Json.bytes(Map.of("booking", bookings.size())));
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/SampleFleet.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleFleet.java
@@ -16,9 +16,9 @@
  * availability zones, some runners (usually twelve) and a booking app. Immutable.
  *
  * @param basePort the first of 100 ports
- * @param engines number of runners
+ * @param engineCount number of runners
  */
-public record SampleFleet(int basePort, int engines) {
+public record SampleFleet(int basePort, int engineCount) {
     /** The model that the runners have loaded. */
     public static final ModelHolding MODEL = new ModelHolding("tutor-7b", "3", List.of("critique"));
 
@@ -34,41 +34,41 @@
     private static final String LOOPBACK = "127.0.0.1";
     private static final int ZONES = 3;
     private static final int PLAIN_ENDPOINTS = 3;
-    private static final int FIRST_ENGINE = 10;
-    private static final int FIRST_PLAIN = 40;
-    private static final int FIRST_ENTRY_HTTP = 50;
-    private static final int FIRST_ENTRY = 60;
-    private static final int FIRST_STEWARD = 70;
-    private static final int FIRST_STORE = 80;
+    private static final int ENGINE_OFFSET = 10;
+    private static final int PLAIN_OFFSET = 40;
+    private static final int ENTRY_HTTP_OFFSET = 50;
+    private static final int ENTRY_OFFSET = 60;
+    private static final int STEWARD_OFFSET = 70;
+    private static final int STORE_OFFSET = 80;
 
     /** Returns the address of the key-value service. */
     public Address keyValue() {
-        return at(0);
+        return atOffset(0);
     }
 
     /** Returns the address of the host list. */
     public Address hostList() {
-        return at(1);
+        return atOffset(1);
     }
 
     /** Returns the address of the weight store. */
     public Address weightStore() {
-        return at(2);
+        return atOffset(2);
     }
 
     /** Returns the address of a runner. Numbers start at 0 in all methods. */
     public Address engine(int number) {
-        return at(FIRST_ENGINE + number);
+        return atOffset(ENGINE_OFFSET + number);
     }
 
     /** Returns the address of a process of the booking app. */
     public Address plainService(int number) {
-        return at(FIRST_PLAIN + number);
+        return atOffset(PLAIN_OFFSET + number);
     }
 
     /** Returns the address at which an entry host serves callers. */
     public Address entryHttp(int number) {
-        return at(FIRST_ENTRY_HTTP + number);
+        return atOffset(ENTRY_HTTP_OFFSET + number);
     }
 
     /** Returns the availability zone of the runner, process or host with a number. */
@@ -78,17 +78,17 @@
 
     /** Returns an entry host. */
     public Host entry(int number) {
-        return host(Role.ENTRY, "entry-" + number, number, FIRST_ENTRY);
+        return host(Role.ENTRY, "entry-" + number, number, ENTRY_OFFSET);
     }
 
     /** Returns a steward host. */
     public Host steward(int number) {
-        return host(Role.STEWARD, "steward-" + number, number, FIRST_STEWARD);
+        return host(Role.STEWARD, "steward-" + number, number, STEWARD_OFFSET);
     }
 
     /** Returns a store host. */
     public Host store(int number) {
-        return host(Role.STORE, "store-" + number, number, FIRST_STORE);
+        return host(Role.STORE, "store-" + number, number, STORE_OFFSET);
     }
 
     /** Returns the hosts of a fleet with a number of entries, stewards and stores. */
@@ -116,7 +116,7 @@
         text.append("    first-token-target-millis: 1000\n    between-tokens-target-millis: 71\n");
         text.append("  bookings:\n    kind: plain\n    non-idempotent: [\"POST /bookings\"]\n");
         text.append("endpoints:\n");
-        for (int i = 0; i < engines; i++) {
+        for (int i = 0; i < engineCount; i++) {
             text.append("  %s: {service: tutor, address: \"%s\", zone: %s, slots: 8, checks-fences: true}\n"
                     .formatted(engineName(i), engine(i), zone(i)));
         }
@@ -142,11 +142,11 @@
                 .formatted(name, hash, service, jobs);
     }
 
-    private Host host(Role role, String id, int number, int firstPort) {
-        return new Host(new HostId(id), role, zone(number), at(firstPort + number), false);
+    private Host host(Role role, String id, int number, int firstOffset) {
+        return new Host(new HostId(id), role, zone(number), atOffset(firstOffset + number), false);
     }
 
-    private Address at(int offset) {
+    private Address atOffset(int offset) {
         return new Address(LOOPBACK, basePort + offset);
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
+++ b/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
@@ -28,9 +28,9 @@
         hostList = new HostListStandin(group, fleet.hostList(), 0);
         hostList.start(fleet.hosts(entries, stewards, stores));
         weightStore = new WeightStoreStandin(group, fleet.weightStore(), WEIGHT_READS_PER_MINUTE);
-        for (int i = 0; i < fleet.engines(); i++) {
+        for (int i = 0; i < fleet.engineCount(); i++) {
             EngineStandin engine = new EngineStandin(group, fleet.engine(i), speed);
-            engine.hold(SampleFleet.MODEL);
+            engine.setHeldModel(SampleFleet.MODEL);
             engines.add(engine);
         }
         for (int i = 0; i < PLAIN_ENDPOINTS; i++) {
--- a/src/main/java/org/gooseberryhill/standin/StandinReplies.java
+++ b/src/main/java/org/gooseberryhill/standin/StandinHttp.java
@@ -8,18 +8,18 @@
 import org.gooseberryhill.link.Json;
 
 /** HTTP helpers that all stand-ins share. Stateless. */
-final class StandinReplies {
+final class StandinHttp {
     static final Map<String, String> JSON = Map.of("content-type", "application/json");
 
     private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-    private StandinReplies() {}
+    private StandinHttp() {}
 
-    static void json(HttpCall call, int status, Object value) {
+    static void replyJson(HttpCall call, int status, Object value) {
         call.reply(status, JSON, Json.bytes(value));
     }
 
-    static HttpBody whole(HttpCall call, Consumer<byte[]> onWhole) {
-        return new WholeBody(MAX_BODY_BYTES, onWhole, () -> call.reply(413, JSON, new byte[0]));
+    static HttpBody collectBody(HttpCall call, Consumer<byte[]> onComplete) {
+        return new WholeBody(MAX_BODY_BYTES, onComplete, () -> call.reply(413, JSON, new byte[0]));
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
@@ -15,13 +15,13 @@
     private final HttpServer server;
     private final CallMeter meter = new CallMeter();
     private final int maxPerMinute;
-    private final ArrayDeque<Long> recentNanos = new ArrayDeque<>();
+    private final ArrayDeque<Long> recentReadNanos = new ArrayDeque<>();
 
     /** Starts listening; reads above the limit per minute are refused with status 429. */
     public WeightStoreStandin(EventLoopGroup group, Address address, int maxPerMinute) {
         this.maxPerMinute = maxPerMinute;
         server = HttpServer.start(
-                group, address, HttpLimits.DEFAULT, call -> StandinReplies.whole(call, body -> serve(call)));
+                group, address, HttpLimits.DEFAULT, call -> StandinHttp.collectBody(call, body -> serve(call)));
     }
 
     /** Returns the number of served and refused reads so far. */
@@ -35,18 +35,18 @@
     }
 
     private synchronized void serve(HttpCall call) {
-        long now = System.nanoTime();
-        long minute = TimeUnit.MINUTES.toNanos(1);
-        while (!recentNanos.isEmpty() && now - recentNanos.peekFirst() > minute) {
-            recentNanos.pollFirst();
+        long nowNanos = System.nanoTime();
+        long minuteNanos = TimeUnit.MINUTES.toNanos(1);
+        while (!recentReadNanos.isEmpty() && nowNanos - recentReadNanos.peekFirst() > minuteNanos) {
+            recentReadNanos.pollFirst();
         }
-        if (recentNanos.size() >= maxPerMinute) {
+        if (recentReadNanos.size() >= maxPerMinute) {
             meter.count("refused");
             call.reply(429, Map.of("retry-after", "5"), new byte[0]);
             return;
         }
-        recentNanos.addLast(now);
+        recentReadNanos.addLast(nowNanos);
         meter.count("served");
-        StandinReplies.json(call, 200, Map.of("weights", call.path()));
+        StandinHttp.replyJson(call, 200, Map.of("weights", call.path()));
     }
 }
--- a/src/test/java/org/gooseberryhill/standin/EngineStandinTest.java
+++ b/src/test/java/org/gooseberryhill/standin/EngineStandinTest.java
@@ -18,7 +18,7 @@
     private static final int TOKENS = 6;
 
     /** Far longer than any pause within a stream, so that it expires only if the stream never ends. */
-    private static final int PATIENT_MILLIS = 60_000;
+    private static final int STREAM_TIMEOUT_MILLIS = 60_000;
 
     private final EventLoopGroup group = Loopback.group();
     private final EngineStandin engine = new EngineStandin(group, Loopback.freeAddress(), new EngineSpeed(4, 1, 16, 4));
@@ -34,7 +34,7 @@
     /** A stream was cut after some tokens and is resumed; with 6, only the {@code [DONE]} event is missing. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 5, 6})
-    void aResumedStreamHasTheRestAndTheEndMark(int resumeFrom) {
+    void aResumedStreamHasTheRemainingTokensAndTheDoneEvent(int resumeFrom) {
         byte[] body = Json.bytes(Map.of("prompt", "a long prompt ".repeat(20), "max_tokens", TOKENS, "stream", true));
         ExchangeRequest request = new ExchangeRequest(
                 engine.address(),
@@ -42,7 +42,7 @@
                 "/v1/completions",
                 Map.of("x-resume-from", Integer.toString(resumeFrom)),
                 body,
-                PATIENT_MILLIS,
+                STREAM_TIMEOUT_MILLIS,
                 false);
 
         HttpResult result = http.call(request, 100_000).join();
--- a/src/test/java/org/gooseberryhill/standin/FreePortsTest.java
+++ b/src/test/java/org/gooseberryhill/standin/FreePortsTest.java
@@ -18,37 +18,37 @@
 class FreePortsTest {
     /** Guards against a test that listens at a port which another process on the machine was allocated as well. */
     @Test
-    void aBlockOfAnotherProcessIsNotGivenOutWhileThatRuns() throws IOException {
-        Process neighbour = new ProcessBuilder(
+    void aBlockOfARunningProcessIsNotAllocatedByAnother() throws IOException {
+        Process otherProcess = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Neighbour.class.getName())
+                        OtherProcess.class.getName())
                 .start();
         try (BufferedReader output =
-                new BufferedReader(new InputStreamReader(neighbour.getInputStream(), StandardCharsets.UTF_8))) {
-            int theirs = Integer.parseInt(output.readLine());
+                new BufferedReader(new InputStreamReader(otherProcess.getInputStream(), StandardCharsets.UTF_8))) {
+            int firstPort = Integer.parseInt(output.readLine());
 
-            assertThat(FreePorts.claim(theirs)).isEmpty();
+            assertThat(FreePorts.claim(firstPort)).isEmpty();
 
-            neighbour.destroyForcibly().onExit().join();
+            otherProcess.destroyForcibly().onExit().join();
             Loopback.await("the release of the block", () -> {
-                Optional<ServerSocket> claim = FreePorts.claim(theirs);
+                Optional<ServerSocket> claim = FreePorts.claim(firstPort);
                 claim.ifPresent(FreePortsTest::close);
                 return claim.isPresent();
             });
         } finally {
-            neighbour.destroyForcibly();
+            otherProcess.destroyForcibly();
         }
     }
 
     @Test
-    void aBlockIsNotGivenOutTwice() {
+    void aBlockIsNotAllocatedTwice() {
         assertThat(FreePorts.claim(FreePorts.block())).isEmpty();
     }
 
     @Test
-    void noAddressIsGivenTwice() {
+    void noAddressIsAllocatedTwice() {
         Set<Integer> ports = new HashSet<>();
         for (int i = 0; i < 2 * FreePorts.BLOCK_PORTS; i++) {
             ports.add(FreePorts.next().port());
@@ -66,8 +66,8 @@
     }
 
     /** Claims a block and holds it until the process ends. */
-    static final class Neighbour {
-        private Neighbour() {}
+    static final class OtherProcess {
+        private OtherProcess() {}
 
         public static void main(String... arguments) throws IOException {
             System.out.println(FreePorts.block());
