--- a/src/jmh/java/org/gooseberryhill/benchmark/HeartbeatBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/HeartbeatBenchmark.java
@@ -22,7 +22,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** One heartbeat period of one host: its ticks, its probe and its peers' probes. */
+/** Measures one heartbeat period of one host: its ticks, and its probes with their replies. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -34,9 +34,9 @@
     private int hosts;
 
     private Membership membership;
-    private long now;
+    private long nowNanos;
 
-    /** Builds the view. */
+    /** Creates the membership view. */
     @Setup
     public void setUp() {
         List<Host> all = new ArrayList<>();
@@ -48,23 +48,23 @@
         membership.candidates(all, 0);
     }
 
-    /** One period. */
+    /** Executes the ticks of one period. */
     @Benchmark
     public long period() {
         for (int tick = 0; tick < TICKS_PER_PERIOD; tick++) {
-            now += TICK_NANOS;
-            membership.tick(now, this);
+            nowNanos += TICK_NANOS;
+            membership.tick(nowNanos, this);
         }
         return membership.version();
     }
 
     @Override
     public void probe(Host target, long incarnation, List<Rumor> rumors) {
-        membership.heard(target.id(), 0, false, List.of(), now);
+        membership.heard(target.id(), 0, false, List.of(), nowNanos);
     }
 
     @Override
     public void probeThrough(Host helper, Host target) {
-        membership.reachedThrough(target.id(), now);
+        membership.reachedThrough(target.id(), nowNanos);
     }
 }
--- a/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
@@ -22,7 +22,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Taking in, routing and ending one online request, over services of different sizes. */
+/** Measures the admission, routing and end of one online request in services of different sizes. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -32,9 +32,9 @@
 
     private OnlineCore core;
     private OnlineIntake[] intakes;
-    private int next;
+    private int nextIntake;
 
-    /** Builds the core. */
+    /** Creates the decision core and the requests. */
     @Setup
     public void setUp() {
         StringBuilder text =
@@ -53,10 +53,10 @@
         }
     }
 
-    /** One request, from its arrival to its end. */
+    /** Processes one request from its arrival to its end. */
     @Benchmark
     public OnlineDecision admitRouteAndEnd() {
-        Either<Refusal, OnlineRequest> admitted = core.admit(intakes[next++ & 1023], 0);
+        Either<Refusal, OnlineRequest> admitted = core.admit(intakes[nextIntake++ & 1023], 0);
         OnlineRequest request = admitted.get();
         OnlineDecision decision = core.next(request, 0);
         core.attemptSucceeded(request, 1_000_000);
--- a/src/main/java/org/gooseberryhill/load/Measurement.java
+++ b/src/main/java/org/gooseberryhill/load/Measurement.java
@@ -4,21 +4,21 @@
 import org.HdrHistogram.Histogram;
 import org.gooseberryhill.program.CheckedStream;
 
-/** What a run measured. Thread-safe. */
+/** Collects the measurements of a run. Thread-safe. */
 public final class Measurement {
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double MICROS_PER_MILLI = 1000;
 
-    private final Histogram firstToken = new Histogram(DIGITS);
-    private final Histogram meanGap = new Histogram(DIGITS);
-    private final Histogram plain = new Histogram(DIGITS);
+    private final Histogram firstToken = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram meanGap = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram plainDuration = new Histogram(SIGNIFICANT_DIGITS);
     private int whole;
     private int wrong;
     private int cut;
     private int refused;
 
-    /** A model's answer ended. */
-    public synchronized void answered(CheckedStream.Result result) {
+    /** Records the end of a model answer. */
+    public synchronized void recordModelAnswer(CheckedStream.Result result) {
         switch (result.end()) {
             case WHOLE -> {
                 whole++;
@@ -31,37 +31,37 @@
         }
     }
 
-    /** A plain call ended. */
-    public synchronized void plainAnswered(boolean right, long nanos) {
-        if (right) {
+    /** Records the end of a plain call, with its duration. */
+    public synchronized void recordPlainAnswer(boolean correct, long durationNanos) {
+        if (correct) {
             whole++;
-            plain.recordValue(TimeUnit.NANOSECONDS.toMicros(nanos));
+            plainDuration.recordValue(TimeUnit.NANOSECONDS.toMicros(durationNanos));
         } else {
             refused++;
         }
     }
 
-    /** First-token time at a percentile, in milliseconds. */
+    /** Returns a percentile of the time to the first token, in milliseconds. */
     public synchronized double firstTokenMillis(double percentile) {
         return firstToken.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
-    /** Mean time between tokens of an answer at a percentile, in milliseconds. */
+    /** Returns a percentile of the answers' mean time between tokens, in milliseconds. */
     public synchronized double gapMillis(double percentile) {
         return meanGap.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
-    /** Time of plain calls at a percentile, in milliseconds. */
+    /** Returns a percentile of the duration of correctly answered plain calls, in milliseconds. */
     public synchronized double plainMillis(double percentile) {
-        return plain.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
+        return plainDuration.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
-    /** Model answers that were whole; plain answers not counted. */
+    /** Returns the number of complete and correct model answers; plain calls are not counted. */
     public synchronized int wholeModelAnswers() {
         return (int) firstToken.getTotalCount();
     }
 
-    /** Answers by their end: whole, wrong, cut, refused. */
+    /** Returns the number of answers that were whole, wrong, cut and refused, in this order. */
     public synchronized int[] ends() {
         return new int[] {whole, wrong, cut, refused};
     }
--- a/src/main/java/org/gooseberryhill/standin/HostListStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/HostListStandin.java
@@ -19,9 +19,9 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Stands in for the platform's host list. Thread-safe; changes show after a lag.
+ * Simulates the platform's host list, where changes become visible after a lag. Thread-safe.
  *
- * <p>{@code GET /hosts}, {@code PUT /hosts} with a listing, {@code POST /leaving/{endpoint}}.
+ * <p>Serves {@code GET /hosts}, {@code PUT /hosts} with a listing and {@code POST /leaving/{endpoint}}.
  */
 public final class HostListStandin implements Closeable {
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -32,39 +32,39 @@
     private final HttpServer server;
     private final CallMeter meter = new CallMeter();
     private volatile long lagMillis;
-    private volatile HostList.Listing shown = new HostList.Listing(List.of(), Set.of());
-    private HostList.Listing actual = shown;
+    private volatile HostList.Listing visibleListing = new HostList.Listing(List.of(), Set.of());
+    private HostList.Listing latestListing = visibleListing;
 
-    /** Starts listening. */
+    /** Starts listening, with an empty host list. */
     public HostListStandin(EventLoopGroup group, Address address, long lagMillis) {
         this.lagMillis = lagMillis;
         server = HttpServer.start(group, address, HttpLimits.DEFAULT, this::handle);
     }
 
-    /** Sets the hosts, shown at once: the fleet's beginning. */
+    /** Replaces the host list, with no endpoint leaving; visible immediately. */
     public synchronized void start(List<Host> hosts) {
-        actual = new HostList.Listing(hosts, Set.of());
-        shown = actual;
+        latestListing = new HostList.Listing(hosts, Set.of());
+        visibleListing = latestListing;
     }
 
-    /** Sets how long a change takes to show. */
+    /** Sets the lag after which changes become visible. */
     public void lag(long millis) {
         lagMillis = millis;
     }
 
-    /** An endpoint is leaving; shows after the lag. */
+    /** Marks an endpoint as leaving; visible after the lag. */
     public synchronized void leaving(String endpoint) {
-        Set<String> names = new TreeSet<>(actual.leavingEndpoints());
+        Set<String> names = new TreeSet<>(latestListing.leavingEndpoints());
         names.add(endpoint);
-        change(new HostList.Listing(actual.hosts(), names));
+        publishAfterLag(new HostList.Listing(latestListing.hosts(), names));
     }
 
-    /** A host came or changed; shows after the lag. */
+    /** Adds a host or replaces the one with the same id; visible after the lag. */
     public synchronized void add(Host host) {
-        List<Host> hosts = new ArrayList<>(actual.hosts());
+        List<Host> hosts = new ArrayList<>(latestListing.hosts());
         hosts.removeIf(other -> other.id().equals(host.id()));
         hosts.add(host);
-        change(new HostList.Listing(hosts, actual.leavingEndpoints()));
+        publishAfterLag(new HostList.Listing(hosts, latestListing.leavingEndpoints()));
     }
 
     @Override
@@ -73,16 +73,16 @@
         server.close();
     }
 
-    private void change(HostList.Listing listing) {
-        actual = listing;
-        timer.schedule(() -> shown = listing, lagMillis, TimeUnit.MILLISECONDS);
+    private void publishAfterLag(HostList.Listing listing) {
+        latestListing = listing;
+        timer.schedule(() -> visibleListing = listing, lagMillis, TimeUnit.MILLISECONDS);
     }
 
     private HttpBody handle(HttpCall call) {
-        return StandinReplies.whole(call, body -> {
+        return StandinHttp.collectBody(call, body -> {
             meter.count(call.method());
             if (call.method().equals("GET")) {
-                StandinReplies.json(call, 200, shown);
+                StandinHttp.replyJson(call, 200, visibleListing);
                 return;
             }
             if (call.path().startsWith("/leaving/")) {
@@ -90,7 +90,7 @@
             } else {
                 Json.read(body, HostList.Listing.class).forEach(listing -> start(listing.hosts()));
             }
-            StandinReplies.json(call, 200, shown);
+            StandinHttp.replyJson(call, 200, visibleListing);
         });
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/SampleFleet.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleFleet.java
@@ -12,86 +12,86 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * The addresses and the configuration of a small fleet on loopback, after Easel &amp; Ochre's today: three zones, a
- * dozen runners, a booking app. Immutable.
+ * The addresses and the configuration of a small fleet on loopback, modeled on the Easel &amp; Ochre deployment: three
+ * availability zones, some runners (usually twelve) and a booking app. Immutable.
  *
  * @param basePort the first of 100 ports
- * @param engines how many runners
+ * @param engineCount number of runners
  */
-public record SampleFleet(int basePort, int engines) {
-    /** The model that the engines hold. */
+public record SampleFleet(int basePort, int engineCount) {
+    /** The model that the runners have loaded. */
     public static final ModelHolding MODEL = new ModelHolding("tutor-7b", "3", List.of("critique"));
 
-    /** Bearer keys of the sample callers; samples only, never for a real deployment. */
+    /** Bearer key of the caller of the model; the keys are samples, not for real deployments. */
     public static final String TUTORS_KEY = "sample-tutors-key";
 
-    /** The key of the caller that books. */
+    /** Bearer key of the caller of the booking app. */
     public static final String STUDENTS_KEY = "sample-students-key";
 
-    /** The key of the caller that submits jobs. */
+    /** Bearer key of the caller that submits jobs. */
     public static final String COORDINATORS_KEY = "sample-coordinators-key";
 
     private static final String LOOPBACK = "127.0.0.1";
     private static final int ZONES = 3;
     private static final int PLAIN_ENDPOINTS = 3;
-    private static final int FIRST_ENGINE = 10;
-    private static final int FIRST_PLAIN = 40;
-    private static final int FIRST_ENTRY_HTTP = 50;
-    private static final int FIRST_ENTRY = 60;
-    private static final int FIRST_STEWARD = 70;
-    private static final int FIRST_STORE = 80;
-
-    /** The key-value service. */
+    private static final int ENGINE_OFFSET = 10;
+    private static final int PLAIN_OFFSET = 40;
+    private static final int ENTRY_HTTP_OFFSET = 50;
+    private static final int ENTRY_OFFSET = 60;
+    private static final int STEWARD_OFFSET = 70;
+    private static final int STORE_OFFSET = 80;
+
+    /** Returns the address of the key-value service. */
     public Address keyValue() {
-        return at(0);
+        return atOffset(0);
     }
 
-    /** The host list. */
+    /** Returns the address of the host list. */
     public Address hostList() {
-        return at(1);
+        return atOffset(1);
     }
 
-    /** The weight store. */
+    /** Returns the address of the weight store. */
     public Address weightStore() {
-        return at(2);
+        return atOffset(2);
     }
 
-    /** A runner, from 0. */
+    /** Returns the address of a runner. Numbers start at 0 in all methods. */
     public Address engine(int number) {
-        return at(FIRST_ENGINE + number);
+        return atOffset(ENGINE_OFFSET + number);
     }
 
-    /** A process of the booking app, from 0. */
+    /** Returns the address of a process of the booking app. */
     public Address plainService(int number) {
-        return at(FIRST_PLAIN + number);
+        return atOffset(PLAIN_OFFSET + number);
     }
 
-    /** Where an entry serves callers, from 0. */
+    /** Returns the address at which an entry host serves callers. */
     public Address entryHttp(int number) {
-        return at(FIRST_ENTRY_HTTP + number);
+        return atOffset(ENTRY_HTTP_OFFSET + number);
     }
 
-    /** The zone of the n-th of anything. */
+    /** Returns the availability zone of the runner, process or host with a number. */
     public static AvailabilityZone zone(int number) {
         return new AvailabilityZone("tas-" + (char) ('a' + number % ZONES));
     }
 
-    /** An entry, from 0. */
+    /** Returns an entry host. */
     public Host entry(int number) {
-        return host(Role.ENTRY, "entry-" + number, number, FIRST_ENTRY);
+        return host(Role.ENTRY, "entry-" + number, number, ENTRY_OFFSET);
     }
 
-    /** A steward, from 0. */
+    /** Returns a steward host. */
     public Host steward(int number) {
-        return host(Role.STEWARD, "steward-" + number, number, FIRST_STEWARD);
+        return host(Role.STEWARD, "steward-" + number, number, STEWARD_OFFSET);
     }
 
-    /** A store, from 0. */
+    /** Returns a store host. */
     public Host store(int number) {
-        return host(Role.STORE, "store-" + number, number, FIRST_STORE);
+        return host(Role.STORE, "store-" + number, number, STORE_OFFSET);
     }
 
-    /** The host list of a number of entries, stewards and stores. */
+    /** Returns the hosts of a fleet with a number of entries, stewards and stores. */
     public List<Host> hosts(int entries, int stewards, int stores) {
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
@@ -106,7 +106,7 @@
         return hosts;
     }
 
-    /** The operators' text. */
+    /** Returns the configuration text. */
     public String configuration() {
         StringBuilder text = new StringBuilder();
         text.append("# A class's tutors ask a model, its coordinators send lots, its students book.\n");
@@ -116,7 +116,7 @@
         text.append("    first-token-target-millis: 1000\n    between-tokens-target-millis: 71\n");
         text.append("  bookings:\n    kind: plain\n    non-idempotent: [\"POST /bookings\"]\n");
         text.append("endpoints:\n");
-        for (int i = 0; i < engines; i++) {
+        for (int i = 0; i < engineCount; i++) {
             text.append("  %s: {service: tutor, address: \"%s\", zone: %s, slots: 8, checks-fences: true}\n"
                     .formatted(engineName(i), engine(i), zone(i)));
         }
@@ -131,7 +131,7 @@
         return text.toString();
     }
 
-    /** The name of a runner, from 0. */
+    /** Returns the name of a runner. */
     public static String engineName(int number) {
         return "tutor-%02d".formatted(number);
     }
@@ -142,11 +142,11 @@
                 .formatted(name, hash, service, jobs);
     }
 
-    private Host host(Role role, String id, int number, int firstPort) {
-        return new Host(new HostId(id), role, zone(number), at(firstPort + number), false);
+    private Host host(Role role, String id, int number, int firstOffset) {
+        return new Host(new HostId(id), role, zone(number), atOffset(firstOffset + number), false);
     }
 
-    private Address at(int offset) {
+    private Address atOffset(int offset) {
         return new Address(LOOPBACK, basePort + offset);
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
@@ -10,21 +10,21 @@
 import org.gooseberryhill.http.HttpServer;
 import org.gooseberryhill.link.Address;
 
-/** Stands in for the weight store: {@code GET /weights/{model}/{version}}, rate-limited. Thread-safe. */
+/** Simulates the weight store: {@code GET /weights/{model}/{version}}, rate-limited. Thread-safe. */
 public final class WeightStoreStandin implements Closeable {
     private final HttpServer server;
     private final CallMeter meter = new CallMeter();
     private final int maxPerMinute;
-    private final ArrayDeque<Long> recentNanos = new ArrayDeque<>();
+    private final ArrayDeque<Long> recentReadNanos = new ArrayDeque<>();
 
-    /** Starts listening; more reads a minute than the limit are refused with status 429. */
+    /** Starts listening; reads above the limit per minute are refused with status 429. */
     public WeightStoreStandin(EventLoopGroup group, Address address, int maxPerMinute) {
         this.maxPerMinute = maxPerMinute;
         server = HttpServer.start(
-                group, address, HttpLimits.DEFAULT, call -> StandinReplies.whole(call, body -> serve(call)));
+                group, address, HttpLimits.DEFAULT, call -> StandinHttp.collectBody(call, body -> serve(call)));
     }
 
-    /** Reads so far by kind. */
+    /** Returns the number of served and refused reads so far. */
     public Map<String, Long> meter() {
         return meter.snapshot();
     }
@@ -35,18 +35,18 @@
     }
 
     private synchronized void serve(HttpCall call) {
-        long now = System.nanoTime();
-        long minute = TimeUnit.MINUTES.toNanos(1);
-        while (!recentNanos.isEmpty() && now - recentNanos.peekFirst() > minute) {
-            recentNanos.pollFirst();
+        long nowNanos = System.nanoTime();
+        long minuteNanos = TimeUnit.MINUTES.toNanos(1);
+        while (!recentReadNanos.isEmpty() && nowNanos - recentReadNanos.peekFirst() > minuteNanos) {
+            recentReadNanos.pollFirst();
         }
-        if (recentNanos.size() >= maxPerMinute) {
+        if (recentReadNanos.size() >= maxPerMinute) {
             meter.count("refused");
             call.reply(429, Map.of("retry-after", "5"), new byte[0]);
             return;
         }
-        recentNanos.addLast(now);
+        recentReadNanos.addLast(nowNanos);
         meter.count("served");
-        StandinReplies.json(call, 200, Map.of("weights", call.path()));
+        StandinHttp.replyJson(call, 200, Map.of("weights", call.path()));
     }
 }
