--- a/src/main/java/org/gooseberryhill/configuration/CallersSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/CallersSection.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.regex.Pattern;
 
-/** The section {@code callers}. Stateless. */
+/** Reads the section {@code callers}. Stateless. */
 final class CallersSection implements ConfigurationSection<CallerSettings> {
     static final String KEY = "callers";
 
--- a/src/main/java/org/gooseberryhill/configuration/Configuration.java
+++ b/src/main/java/org/gooseberryhill/configuration/Configuration.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * A checked configuration. Immutable and thread-safe; every reference in it holds.
+ * A validated configuration: every service and model that it refers to exists. Immutable and thread-safe.
  *
  * @param models the models by name
  * @param services the services by name
@@ -17,24 +17,24 @@
         Map<String, ServiceSettings> services,
         Map<String, EndpointSettings> endpoints,
         Map<String, CallerSettings> callers) {
-    /** A configuration without anything, in force until the first one arrives. */
+    /** The empty configuration, in force until the first one is received. */
     public static final Configuration EMPTY = new Configuration(Map.of(), Map.of(), Map.of(), Map.of());
 
-    /** The service that answers for a model's name; the first by name if several do. */
+    /** Returns the service that serves a model; the first in the order of {@link #services} if there are several. */
     public Optional<ServiceSettings> serviceOfModel(String model) {
         return services.values().stream()
                 .filter(service -> service.model().equals(Optional.of(model)))
                 .findFirst();
     }
 
-    /** The caller with a key of this hash. */
+    /** Returns the caller whose bearer key has this SHA-256. */
     public Optional<CallerSettings> callerWithKeyHash(String keySha256) {
         return callers.values().stream()
                 .filter(caller -> caller.keySha256().equals(keySha256))
                 .findFirst();
     }
 
-    /** The endpoints of a service, in the order of the text. */
+    /** Returns the endpoints of a service, in the order of the text. */
     public List<EndpointSettings> endpointsOf(String service) {
         return endpoints.values().stream()
                 .filter(endpoint -> endpoint.service().equals(service))
--- a/src/main/java/org/gooseberryhill/configuration/ConfigurationReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/ConfigurationReader.java
@@ -8,12 +8,12 @@
 import java.util.Optional;
 
 /**
- * Reads and checks the operators' text. Thread-safe, keeps no state.
+ * Parses and validates a configuration text. Stateless and thread-safe.
  *
- * <p>All findings of a text are reported together. Example: {@code ConfigurationReader.read("fleet.yaml", text)}.
+ * <p>All errors in a text are reported together. Example: {@code ConfigurationReader.read("fleet.yaml", text)}.
  */
 public final class ConfigurationReader {
-    /** The largest text in bytes; the key-value service holds values up to a megabyte (brief). */
+    /** The maximum size of a text in bytes; the key-value service limits values to one megabyte. */
     public static final int MAX_BYTES = 900_000;
 
     private static final Place START = new Place(1, 1);
@@ -22,7 +22,7 @@
 
     private ConfigurationReader() {}
 
-    /** The configuration, or every finding in the order of the text. */
+    /** Returns the configuration, or all findings in the order of the text. */
     public static Either<List<Finding>, Configuration> read(String file, String text) {
         Findings findings = new Findings(file);
         int bytes = text.getBytes(StandardCharsets.UTF_8).length;
--- a/src/main/java/org/gooseberryhill/configuration/ConfigurationRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/ConfigurationRule.java
@@ -1,11 +1,13 @@
 package org.gooseberryhill.configuration;
 
-/** A contract for one rule between sections of the text. Implementations are stateless. */
+/** A validation rule that spans sections of the configuration. Implementations are stateless. */
 interface ConfigurationRule {
-    /** Adds a finding for each place that breaks the rule. */
+    /** Adds a finding for each violation of the rule. */
     void check(Configuration configuration, PlacedNode.Mapping root, Findings findings);
 
-    /** Where a property of a named entry stands; the entry or the text's start if it is not written. */
+    /**
+     * Returns the position of a property's value; that of the closest enclosing node if the text does not contain it.
+     */
     static Place placeOf(PlacedNode.Mapping root, String section, String name, String property) {
         PlacedNode.Mapping current = root;
         for (String key : new String[] {section, name}) {
--- a/src/main/java/org/gooseberryhill/configuration/ConfigurationSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/ConfigurationSection.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * A contract for one top-level section of the text, a mapping of names. Implementations are stateless.
+ * Reader of one top-level section of the configuration, a mapping from names to entries. Implementations are stateless.
  *
- * @param <T> what an entry becomes
+ * @param <T> the type of the settings read from an entry
  */
 interface ConfigurationSection<T> {
-    /** The section's key in the text. */
+    /** Returns the section's key in the text. */
     String key();
 
-    /** Reads one entry; mistakes become findings and are replaced by defaults. */
+    /** Reads one entry; adds a finding for each invalid value and uses a default in its place. */
     T readEntry(String name, PropertyReader entry);
 
-    /** Reads all entries of the section. */
+    /** Reads all entries of the section, in the order of the text. */
     default Map<String, T> read(PropertyReader root, Findings findings) {
         Map<String, T> entries = new LinkedHashMap<>();
         root.forEachNamed(key(), (name, node) -> {
--- a/src/main/java/org/gooseberryhill/configuration/EndpointSettings.java
+++ b/src/main/java/org/gooseberryhill/configuration/EndpointSettings.java
@@ -4,15 +4,15 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * An endpoint: one runner of a model engine, or one process of a plain service. Immutable.
+ * The settings of an endpoint: one instance of a model engine, or one process of a plain service. Immutable.
  *
- * @param name its name
- * @param service the service that it serves
- * @param address where it listens
- * @param zone where it runs
- * @param slots how many requests it runs at once before its answers slow down
- * @param checksFences whether it refuses an order with an old fencing number
- * @param leaving whether the operators take it out of service
+ * @param name the endpoint's name
+ * @param service the name of the service that it serves
+ * @param address the address on which it listens
+ * @param zone the availability zone in which it runs
+ * @param slots the number of requests that it runs concurrently before its response times rise
+ * @param checksFences whether it rejects orders with an outdated fencing token
+ * @param leaving whether operators are taking it out of service
  */
 public record EndpointSettings(
         String name,
--- a/src/main/java/org/gooseberryhill/configuration/EndpointsSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/EndpointsSection.java
@@ -2,7 +2,7 @@
 
 import org.gooseberryhill.zone.AvailabilityZone;
 
-/** The section {@code endpoints}. Stateless. */
+/** Reads the section {@code endpoints}. Stateless. */
 final class EndpointsSection implements ConfigurationSection<EndpointSettings> {
     static final String KEY = "endpoints";
 
--- a/src/main/java/org/gooseberryhill/configuration/Findings.java
+++ b/src/main/java/org/gooseberryhill/configuration/Findings.java
@@ -7,9 +7,9 @@
 import java.util.ResourceBundle;
 
 /**
- * Collects the findings of one text, so that all of them are reported together. Not thread-safe.
+ * Collects all findings of one text, so that they are reported together. Not thread-safe.
  *
- * <p>Each message and its remedy are texts of the bundle {@code configuration-messages}.
+ * <p>Messages and remedies come from the resource bundle {@code configuration-messages}.
  */
 public final class Findings {
     private static final ResourceBundle TEXTS = ResourceBundle.getBundle("configuration-messages");
@@ -18,24 +18,24 @@
     private final String file;
     private final List<Finding> list = new ArrayList<>();
 
-    /** An empty collection for one file. */
+    /** Creates an empty collection for one file. */
     public Findings(String file) {
         this.file = file;
     }
 
-    /** Adds a finding; the arguments fill the placeholders of the keyed message and remedy. */
+    /** Adds a finding; the arguments fill the placeholders of both the message and the remedy. */
     public void add(Place place, String key, String messageKey, Object... arguments) {
         String message = MessageFormat.format(TEXTS.getString(messageKey), arguments);
         String remedy = MessageFormat.format(TEXTS.getString(messageKey + REMEDY_SUFFIX), arguments);
         list.add(new Finding(file, place, key, messageKey, message, remedy));
     }
 
-    /** Whether nothing was found. */
+    /** Returns whether there are no findings. */
     public boolean isEmpty() {
         return list.isEmpty();
     }
 
-    /** The findings in the order of the text. */
+    /** Returns the findings in the order of the text. */
     public List<Finding> sorted() {
         return list.stream()
                 .sorted(Comparator.comparingInt(
--- a/src/main/java/org/gooseberryhill/configuration/ModelSettings.java
+++ b/src/main/java/org/gooseberryhill/configuration/ModelSettings.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A model that endpoints hold. Immutable.
+ * The settings of a model that endpoints load. Immutable.
  *
- * @param name its name, as callers give it
- * @param version the version that endpoints shall hold
- * @param adapters the adapters that endpoints shall hold
+ * @param name the name by which callers request it
+ * @param version the version that endpoints must have loaded
+ * @param adapters the adapters that endpoints must have loaded
  */
 public record ModelSettings(String name, String version, List<String> adapters) {}
--- a/src/main/java/org/gooseberryhill/configuration/ModelsSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/ModelsSection.java
@@ -1,6 +1,6 @@
 package org.gooseberryhill.configuration;
 
-/** The section {@code models}. Stateless. */
+/** Reads the section {@code models}. Stateless. */
 final class ModelsSection implements ConfigurationSection<ModelSettings> {
     static final String KEY = "models";
 
--- a/src/main/java/org/gooseberryhill/configuration/Place.java
+++ b/src/main/java/org/gooseberryhill/configuration/Place.java
@@ -1,9 +1,9 @@
 package org.gooseberryhill.configuration;
 
 /**
- * A place in the text. Immutable.
+ * A position in the configuration text. Immutable.
  *
- * @param line counted from 1
- * @param column counted from 1
+ * @param line the line number, from 1
+ * @param column the column number, from 1
  */
 public record Place(int line, int column) {}
--- a/src/main/java/org/gooseberryhill/configuration/PlacedNode.java
+++ b/src/main/java/org/gooseberryhill/configuration/PlacedNode.java
@@ -3,32 +3,32 @@
 import java.util.List;
 import java.util.Map;
 
-/** A part of the parsed text that knows its place. Immutable and thread-safe. */
+/** A node of the parsed YAML, with its position in the text. Immutable and thread-safe. */
 public sealed interface PlacedNode {
-    /** Where the part begins. */
+    /** Returns the position at which the node begins. */
     Place place();
 
     /**
      * A mapping, in the order of the text.
      *
-     * @param place where it begins
+     * @param place the position at which it begins
      * @param entries the values by key
-     * @param keyPlaces where each key stands
+     * @param keyPlaces the positions of the keys
      */
     record Mapping(Place place, Map<String, PlacedNode> entries, Map<String, Place> keyPlaces) implements PlacedNode {}
 
     /**
-     * A list.
+     * A sequence.
      *
-     * @param place where it begins
-     * @param items its items
+     * @param place the position at which it begins
+     * @param items the items in order
      */
     record Sequence(Place place, List<PlacedNode> items) implements PlacedNode {}
 
     /**
-     * A single value.
+     * A scalar value.
      *
-     * @param place where it stands
+     * @param place the position of the value
      * @param text the value as written, without quotes
      */
     record Scalar(Place place, String text) implements PlacedNode {}
--- a/src/main/java/org/gooseberryhill/configuration/PlacedYamlReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/PlacedYamlReader.java
@@ -12,14 +12,16 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads YAML into {@link PlacedNode}s; a library parses, this class keeps the places. Thread-safe, keeps no state. */
+/**
+ * Parses YAML into {@link PlacedNode}s, which keep the positions that the parser reports. Stateless and thread-safe.
+ */
 final class PlacedYamlReader {
     private static final YAMLFactory FACTORY = new YAMLFactory();
     private static final Place START = new Place(1, 1);
 
     private PlacedYamlReader() {}
 
-    /** The tree of the text; empty if it can't be parsed, with the finding added. */
+    /** Returns the root node of the text; adds a finding and returns empty if the text cannot be parsed. */
     static Optional<PlacedNode> read(String text, Findings findings) {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) {
--- a/src/main/java/org/gooseberryhill/configuration/PropertyReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/PropertyReader.java
@@ -11,9 +11,9 @@
 import org.gooseberryhill.link.Address;
 
 /**
- * Reads the properties of one mapping, checks each and adds a finding for each mistake. Not thread-safe.
+ * Reads and validates the properties of one mapping; adds a finding for each error. Not thread-safe.
  *
- * <p>A getter always returns a usable value, so that reading goes on and all mistakes are found in one run.
+ * <p>A getter always returns a usable value, so that reading continues and all errors are found in one pass.
  */
 final class PropertyReader {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,63}");
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Adds a finding for each key that is not in the set. */
+    /** Adds a finding for each key of the mapping that is not among the given ones. */
     PropertyReader allow(String... keys) {
         Set<String> known = Set.of(keys);
         for (String key : mapping.entries().keySet()) {
@@ -50,7 +50,7 @@
         return this;
     }
 
-    /** Where the key's value stands, or the mapping itself if the key is missing. */
+    /** Returns the position of the key's value, or of the mapping if the key is missing. */
     Place placeOf(String key) {
         PlacedNode node = mapping.entries().get(key);
         return node == null ? mapping.place() : node.place();
@@ -60,7 +60,7 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Calls the consumer for each entry of a mapping of names. */
+    /** Calls the consumer for each entry of a mapping whose keys are names; adds a finding for each invalid name. */
     void forEachNamed(String key, BiConsumer<String, PlacedNode> consumer) {
         PlacedNode node = mapping.entries().get(key);
         if (node == null || isBlank(node)) {
@@ -117,7 +117,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // falls through to the finding below, which names the text and the range
+            // Falls through to the finding below, which reports the text and the allowed range.
             text = Optional.of(text.get().trim());
         }
         findings.add(
@@ -149,7 +149,7 @@
         return address.orElse(NO_ADDRESS);
     }
 
-    /** The texts of a list with their places; empty if the key is missing. */
+    /** Returns the scalars of a list with their positions; empty if the key is missing. */
     List<PlacedNode.Scalar> texts(String key) {
         PlacedNode node = mapping.entries().get(key);
         if (node == null || isBlank(node)) {
--- a/src/main/java/org/gooseberryhill/configuration/ReferencesRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/ReferencesRule.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The rule that each service and model that is named exists. Stateless. */
+/** Checks that every service and model that is referred to exists. Stateless. */
 final class ReferencesRule implements ConfigurationRule {
     @Override
     public void check(Configuration configuration, PlacedNode.Mapping root, Findings findings) {
--- a/src/main/java/org/gooseberryhill/configuration/ServiceHasEndpointRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/ServiceHasEndpointRule.java
@@ -1,6 +1,6 @@
 package org.gooseberryhill.configuration;
 
-/** The rule that each service has an endpoint, since its callers would only ever be refused. Stateless. */
+/** Checks that each service has an endpoint; without one, all its requests would be refused. Stateless. */
 final class ServiceHasEndpointRule implements ConfigurationRule {
     @Override
     public void check(Configuration configuration, PlacedNode.Mapping root, Findings findings) {
--- a/src/main/java/org/gooseberryhill/configuration/ServiceSettings.java
+++ b/src/main/java/org/gooseberryhill/configuration/ServiceSettings.java
@@ -4,14 +4,15 @@
 import java.util.Optional;
 
 /**
- * A service that callers use. Immutable.
+ * The settings of a service. Immutable.
  *
- * @param name its name
+ * @param name the service's name
  * @param model the model that serves it; empty for a plain service
- * @param nonIdempotentCalls method and path prefix of the calls that may not be repeated, such as {@code POST /bookings}
- * @param firstTokenTargetMillis the class target for the first token, in milliseconds
- * @param betweenTokensTargetMillis the class target between tokens, in milliseconds
- * @param batchWeightPercent how much of the capacity that online leaves batch may fill, in percent
+ * @param nonIdempotentCalls the method and path prefix of each call that must not be retried, such as
+ *     {@code POST /bookings}
+ * @param firstTokenTargetMillis the latency target for the first token, in milliseconds
+ * @param betweenTokensTargetMillis the latency target between tokens, in milliseconds
+ * @param batchWeightPercent the share of the capacity left by online requests that batch work may use, in percent
  */
 public record ServiceSettings(
         String name,
@@ -20,7 +21,7 @@
         int firstTokenTargetMillis,
         int betweenTokensTargetMillis,
         int batchWeightPercent) {
-    /** Whether a call of this service may have an effect each time it runs. */
+    /** Returns whether a call of this service may have an effect each time it runs. */
     public boolean isNonIdempotent(String method, String path) {
         for (String call : nonIdempotentCalls) {
             int space = call.indexOf(' ');
--- a/src/main/java/org/gooseberryhill/configuration/ServicesSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/ServicesSection.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** The section {@code services}. Stateless. */
+/** Reads the section {@code services}. Stateless. */
 final class ServicesSection implements ConfigurationSection<ServiceSettings> {
     static final String KEY = "services";
 
-    /** The users' target for the first token, letter 1. */
+    /** The users' target for the time to the first token. */
     private static final int DEFAULT_FIRST_TOKEN_MILLIS = 1000;
 
-    /** The users' target between tokens, letter 1. */
+    /** The users' target for the time between tokens. */
     private static final int DEFAULT_BETWEEN_TOKENS_MILLIS = 71;
 
     private static final int MAX_MILLIS = 600_000;
--- a/src/main/java/org/gooseberryhill/configuration/UniqueAddressRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/UniqueAddressRule.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.gooseberryhill.link.Address;
 
-/** The rule that no two endpoints share an address, since slots are counted for each endpoint. Stateless. */
+/** Checks that no two endpoints share an address, since slots are counted per endpoint. Stateless. */
 final class UniqueAddressRule implements ConfigurationRule {
     @Override
     public void check(Configuration configuration, PlacedNode.Mapping root, Findings findings) {
--- a/src/main/java/org/gooseberryhill/configuration/UniqueKeyRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/UniqueKeyRule.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The rule that no two callers share a key, since a caller sees only its own jobs. Stateless. */
+/** Checks that no two callers share a key, since a caller may see only its own jobs. Stateless. */
 final class UniqueKeyRule implements ConfigurationRule {
     @Override
     public void check(Configuration configuration, PlacedNode.Mapping root, Findings findings) {
--- a/src/main/java/org/gooseberryhill/configuration/package-info.java
+++ b/src/main/java/org/gooseberryhill/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' one text: what it may say, and every finding with its place when it says something else. */
+/** Parsing and validation of the configuration text; each error is reported with its position. */
 package org.gooseberryhill.configuration;
--- a/src/main/java/org/gooseberryhill/contract/Fingerprint.java
+++ b/src/main/java/org/gooseberryhill/contract/Fingerprint.java
@@ -6,14 +6,14 @@
 import java.util.HexFormat;
 
 /**
- * A digest that is equal for equal requests, on every host. Immutable.
+ * A digest that is equal for equal requests on all hosts. Immutable.
  *
  * @param value the first 16 bytes of a SHA-256, in hexadecimal
  */
 public record Fingerprint(String value) {
     private static final int BYTES = 16;
 
-    /** The fingerprint of a request to a service or model. */
+    /** Computes the fingerprint of a request to a service or model. */
     public static Fingerprint of(String service, byte[] body) {
         MessageDigest digest = sha256();
         digest.update(service.getBytes(StandardCharsets.UTF_8));
@@ -22,7 +22,7 @@
         return new Fingerprint(HexFormat.of().formatHex(hash, 0, BYTES));
     }
 
-    /** The full SHA-256 of some bytes, in hexadecimal. */
+    /** Computes the full SHA-256 of the bytes, in hexadecimal. */
     public static String sha256Hex(byte[] bytes) {
         return HexFormat.of().formatHex(sha256().digest(bytes));
     }
@@ -31,7 +31,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is required on every Java platform", e);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/contract/JobKey.java
+++ b/src/main/java/org/gooseberryhill/contract/JobKey.java
@@ -7,20 +7,20 @@
  * The identity of a job: the caller's name and the id that the caller chose. Immutable.
  *
  * @param caller the name of the caller in the configuration
- * @param id the caller's id for the job, {@value #ID_PATTERN}
+ * @param id the id that the caller gave the job, {@value #ID_PATTERN}
  */
 public record JobKey(String caller, String id) {
-    /** Ids are safe in paths, file names and keys. */
+    /** The pattern of valid ids, which are safe in paths, file names and keys. */
     public static final String ID_PATTERN = "[A-Za-z0-9][A-Za-z0-9_-]{0,63}";
 
     private static final Pattern VALID_ID = Pattern.compile(ID_PATTERN);
 
-    /** The key as one path-like text, {@code caller/id}. */
+    /** Returns the key as a path, {@code caller/id}. */
     public String path() {
         return caller + "/" + id;
     }
 
-    /** Reads {@link #path()} back; empty if the text is not of that form. */
+    /** Parses the result of {@link #path()}; empty if the text does not have that form. */
     public static Optional<JobKey> parse(String path) {
         int slash = path.indexOf('/');
         if (slash <= 0 || !isValidId(path.substring(slash + 1))) {
@@ -29,7 +29,7 @@
         return Optional.of(new JobKey(path.substring(0, slash), path.substring(slash + 1)));
     }
 
-    /** Whether the text may be a job's id. */
+    /** Returns whether the text is a valid job id. */
     public static boolean isValidId(String id) {
         return VALID_ID.matcher(id).matches();
     }
--- a/src/main/java/org/gooseberryhill/contract/Prompt.java
+++ b/src/main/java/org/gooseberryhill/contract/Prompt.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What a request for tokens says of its prompt. Immutable.
+ * The prompt of a generation request, as far as routing needs it. Immutable.
  *
- * @param model the model
- * @param promptTokens the tokens to read
- * @param maxOutputTokens the most tokens to generate
- * @param parts the prompt's parts in order; the last belongs to the request or its session alone
+ * @param model the name of the model
+ * @param promptTokens the number of prompt tokens
+ * @param maxOutputTokens the maximum number of tokens to generate
+ * @param parts the parts of the prompt in order; the last is specific to the request or its session
  */
 public record Prompt(String model, int promptTokens, int maxOutputTokens, List<PromptPart> parts) {
     private static final int OUTPUT_TOKEN_WEIGHT = 10;
 
-    /** The work that the request asks for, in prompt tokens: generating one costs about ten times reading one. */
+    /** Returns the work in prompt tokens; generating a token costs about ten times as much as reading one. */
     public long work() {
         return promptTokens + (long) OUTPUT_TOKEN_WEIGHT * maxOutputTokens;
     }
--- a/src/main/java/org/gooseberryhill/contract/PromptPart.java
+++ b/src/main/java/org/gooseberryhill/contract/PromptPart.java
@@ -1,9 +1,9 @@
 package org.gooseberryhill.contract;
 
 /**
- * A part of a prompt; requests with equal first parts share what an endpoint keeps of them. Immutable.
+ * A part of a prompt. Requests with equal leading parts share what an endpoint caches of them. Immutable.
  *
  * @param id equal for equal parts
- * @param tokens how many tokens it has
+ * @param tokens the number of tokens
  */
 public record PromptPart(String id, int tokens) {}
--- a/src/main/java/org/gooseberryhill/contract/package-info.java
+++ b/src/main/java/org/gooseberryhill/contract/package-info.java
@@ -1,2 +1,2 @@
-/** What callers, endpoints and the system promise each other: outcomes, errors, identities. */
+/** Types shared by callers, endpoints and the system: outcomes, errors and identities. */
 package org.gooseberryhill.contract;
--- a/src/main/java/org/gooseberryhill/host/Host.java
+++ b/src/main/java/org/gooseberryhill/host/Host.java
@@ -5,16 +5,16 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 
 /**
- * One process of the system as the host list names it. Immutable.
+ * An entry of the host list: one process of the system. Immutable.
  *
- * @param id its identity
- * @param role what it does
- * @param zone where it runs
- * @param address where its peer protocol listens
+ * @param id the identity of the process
+ * @param role the role of the process
+ * @param zone the availability zone in which it runs
+ * @param address the address on which it listens for the peer protocol
  * @param leaving whether the platform has announced its planned stop
  */
 public record Host(HostId id, Role role, AvailabilityZone zone, Address address, boolean leaving) {
-    /** The same host, announced as leaving. */
+    /** Returns a copy that is marked as leaving. */
     @JsonIgnore
     public Host asLeaving() {
         return new Host(id, role, zone, address, true);
--- a/src/main/java/org/gooseberryhill/host/HostId.java
+++ b/src/main/java/org/gooseberryhill/host/HostId.java
@@ -6,10 +6,10 @@
 /**
  * The identity of one process of the system on one host. Immutable, ordered by its text.
  *
- * @param value unique in the fleet, from the process's settings
+ * @param value a text that is unique in the fleet, from the process's settings
  */
 public record HostId(@JsonValue String value) implements Comparable<HostId> {
-    /** Reads the identity from a message. */
+    /** Creates an identity; also used to deserialize messages. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public HostId {}
 
@@ -23,8 +23,7 @@
         return value;
     }
 
-    // Written out: the generated ones are linked at their first use, which takes some ten milliseconds of a host's
-    // start.
+    // Explicit, since linking the generated methods at their first use adds some ten milliseconds to a host's start.
     @Override
     public boolean equals(Object other) {
         return other instanceof HostId that && value.equals(that.value);
--- a/src/main/java/org/gooseberryhill/host/Role.java
+++ b/src/main/java/org/gooseberryhill/host/Role.java
@@ -1,13 +1,13 @@
 package org.gooseberryhill.host;
 
-/** What a process of the system does. Immutable. */
+/** The role of a process. Immutable. */
 public enum Role {
-    /** Takes callers' requests and routes online work. */
+    /** Accepts requests from callers and routes online requests. */
     ENTRY,
-    /** Sends batch items and model orders, owns jobs. */
+    /** Owns jobs, and sends batch items and model orders to endpoints. */
     STEWARD,
-    /** Keeps segments on its disk. */
+    /** Stores segments on its disk. */
     STORE,
-    /** Routes requests by host and path, takes request batches in and runs them. */
+    /** Routes requests by host and path; accepts and runs request batches. */
     GATEWAY
 }
--- a/src/main/java/org/gooseberryhill/host/package-info.java
+++ b/src/main/java/org/gooseberryhill/host/package-info.java
@@ -1,2 +1,2 @@
-/** The system's own hosts: identity, role, address. */
+/** The processes of the system: identity, role and address. */
 package org.gooseberryhill.host;
--- a/src/main/java/org/gooseberryhill/logging/DroppingQueueFullPolicy.java
+++ b/src/main/java/org/gooseberryhill/logging/DroppingQueueFullPolicy.java
@@ -6,15 +6,16 @@
 import org.apache.logging.log4j.core.async.EventRoute;
 
 /**
- * Drops and counts lines while the log's ring is full. Thread-safe.
+ * Drops and counts log messages while the ring buffer of the asynchronous loggers is full. Thread-safe.
  *
- * <p>Failure: nobody reads standard output, its writer waits, the ring fills, and the control thread waits with it: a host
- * that serves nothing since its log is blocked. Lines are lost instead, and their number is told afterwards.
+ * <p>Failure: if nobody reads standard output, its writer blocks, the ring buffer fills, and the control thread blocks
+ * on it: the host stops serving because its log is blocked. Messages are dropped instead, and their number can be
+ * queried.
  */
 public final class DroppingQueueFullPolicy implements AsyncQueueFullPolicy {
     private static final LongAdder DROPPED = new LongAdder();
 
-    /** How many lines were dropped so far. */
+    /** Returns the number of messages dropped so far. */
     public static long dropped() {
         return DROPPED.sum();
     }
--- a/src/main/java/org/gooseberryhill/logging/LineAppender.java
+++ b/src/main/java/org/gooseberryhill/logging/LineAppender.java
@@ -6,7 +6,8 @@
 import org.apache.logging.log4j.core.config.Property;
 
 /**
- * Writes lines to standard output. Used by the log's own thread only, which is the one that waits when nobody reads.
+ * Writes log lines to standard output. Used by the logging thread only, which blocks while nobody reads standard
+ * output.
  */
 final class LineAppender extends AbstractAppender {
     private final PrintStream out = System.out;
--- a/src/main/java/org/gooseberryhill/logging/LineConfiguration.java
+++ b/src/main/java/org/gooseberryhill/logging/LineConfiguration.java
@@ -7,13 +7,13 @@
 import org.apache.logging.log4j.core.config.LoggerConfig;
 
 /**
- * The log's configuration, made without a file.
+ * The Log4j configuration, built in code.
  *
- * <p>Reading a file, and looking for all plug-ins that one could name, took half of a process's time to start; a host that
- * was lost is back that much sooner.
+ * <p>Reading a configuration file and scanning for the plug-ins that it could name took half of a process's start-up
+ * time; without them, a lost host is back sooner.
  */
 final class LineConfiguration extends AbstractConfiguration {
-    /** The environment variable with the least level that is written; INFO if it is not set. */
+    /** The environment variable with the minimum level that is written; INFO if it is not set. */
     static final String LEVEL_VARIABLE = "GOOSEBERRY_LOG_LEVEL";
 
     LineConfiguration(LoggerContext context) {
@@ -28,7 +28,7 @@
         getRootLogger().setLevel(Level.toLevel(System.getenv(LEVEL_VARIABLE), Level.INFO));
         getRootLogger().addAppender(appender, null, null);
         addLogger("io.netty", new LoggerConfig("io.netty", Level.WARN, true));
-        // Connections that end after their threads have: nothing is lost by it.
+        // Connections closed after their event loop has terminated: harmless at shutdown.
         String ended = "io.netty.util.concurrent.DefaultPromise.rejectedExecution";
         addLogger(ended, new LoggerConfig(ended, Level.OFF, false));
         setState(State.INITIALIZED);
--- a/src/main/java/org/gooseberryhill/logging/LineConfigurationFactory.java
+++ b/src/main/java/org/gooseberryhill/logging/LineConfigurationFactory.java
@@ -7,11 +7,11 @@
 import org.apache.logging.log4j.core.config.ConfigurationSource;
 import org.apache.logging.log4j.core.config.Configurator;
 
-/** Gives every logger context the {@link LineConfiguration}. Thread-safe. */
+/** Supplies the {@link LineConfiguration} to every logger context. Thread-safe. */
 public final class LineConfigurationFactory extends ConfigurationFactory {
     /**
-     * Has all logging go through the line configuration; to be called before the first logger is made. Without it the same
-     * configuration is found, after a search through all plug-ins.
+     * Initializes Log4j with the line configuration; must be called before the first logger is created. Otherwise Log4j
+     * finds the same configuration only after a scan of all plug-ins.
      */
     public static void install() {
         Configurator.initialize(new LineConfiguration(null));
--- a/src/main/java/org/gooseberryhill/logging/LineLayout.java
+++ b/src/main/java/org/gooseberryhill/logging/LineLayout.java
@@ -9,7 +9,7 @@
 import org.apache.logging.log4j.core.layout.AbstractStringLayout;
 import org.gooseberryhill.link.Json;
 
-/** One JSON object a line, with a message's level and place. Thread-safe. */
+/** Formats a log message as one JSON object per line, with its level, logger and thread. Thread-safe. */
 final class LineLayout extends AbstractStringLayout {
     LineLayout() {
         super(StandardCharsets.UTF_8);
--- a/src/main/java/org/gooseberryhill/logging/LineOutput.java
+++ b/src/main/java/org/gooseberryhill/logging/LineOutput.java
@@ -12,16 +12,16 @@
 import org.gooseberryhill.timeline.TimelineLines;
 
 /**
- * Writes events as lines to a stream, on a thread of its own. Thread-safe.
+ * Writes events as lines to a stream on a separate thread. Thread-safe.
  *
- * <p>Failure: nobody reads standard output, its writer waits, and whoever hands events over waits with it: a host that serves
- * nothing since its log is blocked. Here only the thread of the output waits; hand-overs beyond a bound are dropped and
- * counted.
+ * <p>Failure: if nobody reads standard output and callers wrote to it directly, they would block and the host would
+ * stop serving. Only the writer thread blocks on the stream; batches that do not fit into the bounded queue are dropped
+ * and their lines counted.
  *
- * <p>Invariant: lines are whole and in the order of their hand-over.
+ * <p>Invariant: lines are written whole and in the order in which they were queued.
  */
 final class LineOutput {
-    /** Hand-overs that may wait, each of some lines. */
+    /** The number of batches of lines that the queue holds. */
     static final int MAX_WAITING = 1024;
 
     private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
@@ -31,7 +31,7 @@
     private final OutputStream out;
     private volatile boolean writing;
 
-    /** An output to a stream that nobody else closes. */
+    /** Starts a writer to a stream, which must not be closed elsewhere. */
     LineOutput(OutputStream out) {
         this.out = out;
         Thread thread = new Thread(this::run, "log");
@@ -39,19 +39,19 @@
         thread.start();
     }
 
-    /** Hands events over; never waits. */
+    /** Queues a batch of events; drops it if the queue is full. Never blocks. */
     void write(List<TimelineEvent> events) {
         if (!waiting.offer(List.copyOf(events))) {
             droppedLines.add(events.size());
         }
     }
 
-    /** How many lines were dropped, since nobody read them. */
+    /** Returns the number of lines that were dropped. */
     long droppedLines() {
         return droppedLines.sum();
     }
 
-    /** Waits until all that was handed over is written, for a time in milliseconds at the most. */
+    /** Waits until all queued events are written, or until a time-out in milliseconds has passed. */
     void await(long millis) {
         long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while ((writing || !waiting.isEmpty()) && System.nanoTime() - untilNanos < 0) {
@@ -69,7 +69,7 @@
                 out.flush();
             }
         } catch (IOException e) {
-            // Standard output is closed: there is no place left to tell it.
+            // The stream is closed: there is nowhere left to report the error.
             droppedLines.increment();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/org/gooseberryhill/logging/LogSink.java
+++ b/src/main/java/org/gooseberryhill/logging/LogSink.java
@@ -15,18 +15,20 @@
 import org.gooseberryhill.timeline.TimelineEvent;
 
 /**
- * Writes a process's events to its standard output. Thread-safe.
+ * Writes a process's events to standard output. Thread-safe.
  *
- * <p>Each hand-over wakes the thread that writes, which costs more than the lines: events of the ordinary course wait for
- * others until {@link #flush} or until they are many; any other event goes at once, and those before it with it.
+ * <p>Waking the writer thread costs more than formatting a line. Routine events are therefore buffered until {@link
+ * #flush} or until the buffer reaches a threshold; any other event is written at once, together with the events before
+ * it.
  *
- * <p>Not through the logging library: its start takes a sixth of a process's start, and a process that starts again after a
- * loss has callers waiting. The library writes all messages that are no events, and starts with the first of them.
+ * <p>Events bypass the logging library, whose initialization takes one sixth of a process's start-up time, while
+ * callers wait for a restarted process. The library writes all other messages and is initialized with the first of
+ * them.
  *
- * <p>Invariant: events are written in the order in which they came.
+ * <p>Invariant: events are written in the order in which they were accepted.
  */
 public final class LogSink implements EventSink {
-    /** So many are worth a hand-over of their own. */
+    /** The number of buffered events at which the buffer is flushed. */
     static final int MANY = 64;
 
     private static final Set<String> ROUTINE_KINDS = Arrays.stream(EventKind.values())
@@ -34,21 +36,21 @@
             .map(EventKind::wireName)
             .collect(Collectors.toUnmodifiableSet());
 
-    /** Levels above that of events, which is INFO. */
+    /** The levels above INFO, the level of events. */
     private static final Set<String> LEVELS_WITHOUT_EVENTS = Set.of("WARN", "ERROR", "FATAL", "OFF");
 
     private final boolean written;
     private final LineOutput output;
     private final List<TimelineEvent> waiting = new ArrayList<>();
 
-    /** A sink to this process's standard output, at the level that its environment asks for. */
+    /** Creates a sink to standard output with the minimum level set in the environment. */
     public LogSink() {
         this(
                 new FileOutputStream(FileDescriptor.out),
                 System.getenv().getOrDefault(LineConfiguration.LEVEL_VARIABLE, "INFO"));
     }
 
-    /** A sink that writes nothing if the least level that is written lies above that of events. */
+    /** Creates a sink that writes nothing if the minimum level is above that of events. */
     LogSink(OutputStream out, String leastLevel) {
         this.written = !LEVELS_WITHOUT_EVENTS.contains(leastLevel.toUpperCase(Locale.ROOT));
         this.output = new LineOutput(out);
@@ -73,12 +75,12 @@
         }
     }
 
-    /** How many lines were dropped, since nobody read them. */
+    /** Returns the number of lines dropped because nobody read standard output. */
     public long droppedLines() {
         return output.droppedLines();
     }
 
-    /** Writes all that was taken, in a time in milliseconds at the most: nobody may be reading. */
+    /** Writes all accepted events; gives up after a time-out in milliseconds, since nobody may be reading. */
     public void finish(long millis) {
         flush();
         output.await(millis);
--- a/src/main/java/org/gooseberryhill/logging/Logs.java
+++ b/src/main/java/org/gooseberryhill/logging/Logs.java
@@ -7,10 +7,10 @@
 import org.apache.logging.log4j.core.LoggerContext;
 
 /**
- * Loggers that are made with their first line. Thread-safe.
+ * Supplies loggers that are created on first use. Thread-safe.
  *
- * <p>Starting the log takes a third of a process's time to start, and a process that is started again after a loss has
- * callers waiting: what needs no line yet must not start it.
+ * <p>Initializing the logging library takes one third of a process's start-up time, while callers wait for a restarted
+ * process. It is therefore put off until the first message is logged.
  */
 public final class Logs {
     private static final Lazy<Boolean> STARTED = Lazy.of(() -> {
@@ -20,15 +20,15 @@
 
     private Logs() {}
 
-    /** The logger of a class. */
+    /** Returns the logger of a class. */
     public static Lazy<Logger> of(Class<?> owner) {
         return named(owner.getName());
     }
 
     /**
-     * Writes what is still in the log's ring, for a process that ends.
+     * Writes the messages that remain in the ring buffer and stops logging, at the end of a process.
      *
-     * @param millis how long that may take; nobody may be reading
+     * @param millis the time-out in milliseconds, since nobody may be reading standard output
      */
     public static void stop(long millis) {
         if (STARTED.isEvaluated() && LogManager.getContext(false) instanceof LoggerContext context) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The logger of a name. */
+    /** Returns the logger of a name. */
     static Lazy<Logger> named(String name) {
         return Lazy.of(() -> {
             STARTED.get();
--- a/src/main/java/org/gooseberryhill/logging/NettyLogger.java
+++ b/src/main/java/org/gooseberryhill/logging/NettyLogger.java
@@ -4,7 +4,7 @@
 import io.vavr.Lazy;
 import org.apache.logging.log4j.Logger;
 
-/** One logger of the network library: warnings and errors are written, anything less is not. Thread-safe. */
+/** Adapts Netty's logging to Log4j; logs warnings and errors only. Thread-safe. */
 final class NettyLogger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/gooseberryhill/logging/NettyLogs.java
+++ b/src/main/java/org/gooseberryhill/logging/NettyLogs.java
@@ -3,7 +3,7 @@
 import io.netty.util.internal.logging.InternalLogger;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
-/** Has the network library log its warnings and errors through this log. Thread-safe. */
+/** Routes Netty's warnings and errors to the lazily created loggers of {@link Logs}. Thread-safe. */
 public final class NettyLogs extends InternalLoggerFactory {
     private static final String MACHINE_ID_PROPERTY = "io.netty.machineId";
 
@@ -13,9 +13,10 @@
     private NettyLogs() {}
 
     /**
-     * To be called before the first connection is made. Without it the library looks for a log by itself, and starts it
-     * with its first class. Its connections are told apart within the process only, so all hosts may have the same machine
-     * id; on a host without a hardware address the search for one ends in a warning, which would start the log.
+     * Installs this factory; must be called before the first connection is made. Otherwise Netty searches for a logging
+     * library and initializes it with its first class. The machine id is fixed, since channel ids are compared within
+     * one process only; on a host without a hardware address, the search for one logs a warning, which would initialize
+     * logging.
      */
     public static void install() {
         System.setProperty(MACHINE_ID_PROPERTY, MACHINE_ID);
--- a/src/main/java/org/gooseberryhill/logging/package-info.java
+++ b/src/main/java/org/gooseberryhill/logging/package-info.java
@@ -1,2 +1,2 @@
-/** The processes' log: one JSON object a line on standard output, through a bounded ring that never holds anybody up. */
+/** Logging to standard output as JSON lines, through bounded buffers that never block the threads that log. */
 package org.gooseberryhill.logging;
--- a/src/main/java/org/gooseberryhill/metrics/CallbackGauge.java
+++ b/src/main/java/org/gooseberryhill/metrics/CallbackGauge.java
@@ -5,7 +5,7 @@
 import io.prometheus.metrics.model.snapshots.MetricSnapshot;
 import java.util.function.DoubleSupplier;
 
-/** A value that is asked for when the metrics are read. Thread-safe if its source is. */
+/** A gauge whose value is computed when the metrics are read. Thread-safe if its supplier is. */
 final class CallbackGauge implements MetricSource {
     private final String name;
     private final String help;
--- a/src/main/java/org/gooseberryhill/metrics/DurationBuckets.java
+++ b/src/main/java/org/gooseberryhill/metrics/DurationBuckets.java
@@ -3,9 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How many durations fell into each of some ranges. Thread-safe. */
+/** Counts durations by histogram bucket. Thread-safe. */
 final class DurationBuckets {
-    /** Upper bounds in seconds, the usual ones of services that answer in milliseconds to seconds; the last has none. */
+    /**
+     * The inclusive upper bounds, as usual for response times of milliseconds to seconds; the last bucket is unbounded.
+     */
     private static final double[] UPPER_BOUNDS_SECONDS = {
         0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, Double.POSITIVE_INFINITY
     };
@@ -13,17 +15,17 @@
     private final long[] counts = new long[UPPER_BOUNDS_SECONDS.length];
     private double sumSeconds;
 
-    /** The greatest duration of a range, in seconds. */
-    static double upperBoundSeconds(int range) {
-        return UPPER_BOUNDS_SECONDS[range];
+    /** Returns the inclusive upper bound of a bucket, in seconds. */
+    static double upperBoundSeconds(int bucket) {
+        return UPPER_BOUNDS_SECONDS[bucket];
     }
 
     synchronized void add(double seconds) {
-        int range = 0;
-        while (seconds > UPPER_BOUNDS_SECONDS[range]) {
-            range++;
+        int bucket = 0;
+        while (seconds > UPPER_BOUNDS_SECONDS[bucket]) {
+            bucket++;
         }
-        counts[range]++;
+        counts[bucket]++;
         sumSeconds += seconds;
     }
 
@@ -36,9 +38,9 @@
     }
 
     /**
-     * All that is known at one time.
+     * A consistent snapshot of the counts.
      *
-     * @param counts how many durations fell into each range alone
+     * @param counts the number of durations in each bucket, not cumulative
      * @param sumSeconds the sum of all durations
      */
     record Reading(List<Long> counts, double sumSeconds) {}
--- a/src/main/java/org/gooseberryhill/metrics/LabelSet.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabelSet.java
@@ -3,14 +3,16 @@
 import io.prometheus.metrics.model.snapshots.Labels;
 import java.util.List;
 
-/** The names of a metric's labels, and combinations of their values. Immutable. */
+/** The label names of a metric; checks and converts combinations of label values. Immutable. */
 record LabelSet(List<String> names) {
-    /** Labels as the exposition library has them. */
+    /** Converts a combination of values to the labels of the Prometheus library. */
     Labels labels(List<String> values) {
         return Labels.of(names, values);
     }
 
-    /** A combination of values; fails with {@link IllegalArgumentException} if it has not a value for each name. */
+    /**
+     * Returns the values as a list; throws {@link IllegalArgumentException} unless there is one value for each name.
+     */
     List<String> values(String... values) {
         if (values.length != names.size()) {
             throw new IllegalArgumentException(values.length + " values for the labels " + names);
--- a/src/main/java/org/gooseberryhill/metrics/LabeledCounter.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabeledCounter.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** A count for each combination of label values. Thread-safe. */
+/** A counter with a separate count for each combination of label values. Thread-safe. */
 public final class LabeledCounter implements MetricSource {
     private final String name;
     private final String help;
@@ -21,7 +21,7 @@
         this.labels = labels;
     }
 
-    /** Counts one more, with a value for each label. */
+    /** Increments the count for a combination of label values, one for each label. */
     public void add(String... labelValues) {
         counts.computeIfAbsent(labels.values(labelValues), key -> new LongAdder())
                 .increment();
--- a/src/main/java/org/gooseberryhill/metrics/LabeledHistogram.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabeledHistogram.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A histogram of durations for each combination of label values. Thread-safe. */
+/** A histogram of durations with separate buckets for each combination of label values. Thread-safe. */
 public final class LabeledHistogram implements MetricSource {
     private final String name;
     private final String help;
@@ -21,7 +21,7 @@
         this.labels = labels;
     }
 
-    /** Takes in a duration in seconds, with a value for each label. */
+    /** Records a duration in seconds for a combination of label values, one for each label. */
     public void observe(double seconds, String... labelValues) {
         buckets.computeIfAbsent(labels.values(labelValues), key -> new DurationBuckets())
                 .add(seconds);
--- a/src/main/java/org/gooseberryhill/metrics/MetricSet.java
+++ b/src/main/java/org/gooseberryhill/metrics/MetricSet.java
@@ -10,7 +10,7 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The metrics of one process, in the Prometheus text format. Thread-safe.
+ * The registry of the metrics of one process, exposed in the Prometheus text format. Thread-safe.
  *
  * <p>Example: {@code metrics.counter("requests", "Requests by route", "route").add("summaries")}.
  */
@@ -20,7 +20,7 @@
 
     private final List<MetricSource> sources = new CopyOnWriteArrayList<>();
 
-    /** Adds a counter; its name is shown with {@code _total}. */
+    /** Adds a counter; the suffix {@code _total} is appended to its name in the text. */
     public LabeledCounter counter(String name, String help, String... labelNames) {
         LabeledCounter counter = new LabeledCounter(name, help, new LabelSet(List.of(labelNames)));
         sources.add(counter);
@@ -34,12 +34,12 @@
         return histogram;
     }
 
-    /** Adds a value that is asked for when the metrics are read. */
+    /** Adds a gauge whose value is computed when the metrics are read. */
     public void gauge(String name, String help, DoubleSupplier value) {
         sources.add(new CallbackGauge(name, help, value));
     }
 
-    /** All metrics now, in the text format. */
+    /** Returns the present values of all metrics in the text format. */
     public byte[] text() {
         MetricSnapshots.Builder snapshots = MetricSnapshots.builder();
         sources.forEach(source -> snapshots.metricSnapshot(source.snapshot()));
--- a/src/main/java/org/gooseberryhill/metrics/MetricSource.java
+++ b/src/main/java/org/gooseberryhill/metrics/MetricSource.java
@@ -3,12 +3,12 @@
 import io.prometheus.metrics.model.snapshots.MetricSnapshot;
 
 /**
- * A metric that can tell its present values.
+ * A metric that can take a snapshot of its values.
  *
- * <p>Nothing of the exposition library is loaded before the first reading: that takes some tens of milliseconds of a
- * process's start, during which callers of a host that starts again wait.
+ * <p>The Prometheus library is not loaded before the first snapshot: loading takes some tens of milliseconds, which
+ * would lengthen the start of a restarted host while its callers wait.
  */
 interface MetricSource {
-    /** The values now. */
+    /** Returns the present values. */
     MetricSnapshot snapshot();
 }
--- a/src/main/java/org/gooseberryhill/metrics/package-info.java
+++ b/src/main/java/org/gooseberryhill/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Metrics that are counted cheaply and take the exposition library's form only when somebody reads them. */
+/** Metrics with inexpensive updates, which are converted to the Prometheus library's types only when they are read. */
 package org.gooseberryhill.metrics;
--- a/src/main/java/org/gooseberryhill/timeline/EventBuilder.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventBuilder.java
@@ -7,7 +7,7 @@
 import org.gooseberryhill.link.HybridTimestamp;
 
 /**
- * Puts an event together. Used by one thread.
+ * Builder of a time line event. Not thread-safe.
  *
  * <p>Example: {@code timeline.event(EventKind.ATTEMPT_SENT).request(id).endpoint(name).with("attempt", 1).write()}.
  */
@@ -24,31 +24,31 @@
         this.target = target;
     }
 
-    /** The request concerned. */
+    /** Sets the request concerned. */
     public EventBuilder request(String id) {
         request = Optional.of(id);
         return this;
     }
 
-    /** The job or request batch concerned. */
+    /** Sets the job or request batch concerned. */
     public EventBuilder job(String id) {
         job = Optional.of(id);
         return this;
     }
 
-    /** The endpoint concerned. */
+    /** Sets the endpoint concerned. */
     public EventBuilder endpoint(String name) {
         endpoint = Optional.of(name);
         return this;
     }
 
-    /** An input or the outcome; durations carry their unit in the name. */
+    /** Adds an input or the outcome of the decision; names of durations end in their unit. */
     public EventBuilder with(String name, Object value) {
         details.put(name, value instanceof Number || value instanceof Boolean ? value : String.valueOf(value));
         return this;
     }
 
-    /** Writes the event; never waits. */
+    /** Writes the event; never blocks. */
     public void write() {
         target.accept(this);
     }
--- a/src/main/java/org/gooseberryhill/timeline/EventKind.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventKind.java
@@ -1,77 +1,77 @@
 package org.gooseberryhill.timeline;
 
-/** What an event tells. Immutable; the wire name is a stable part of the lines. */
+/** The kind of an event. Immutable; wire names are a stable part of the line format. */
 public enum EventKind {
-    /** The process began to serve. */
+    /** The process started to serve. */
     PROCESS_STARTED("process.started", Importance.STATE),
-    /** A planned stop was asked for. */
+    /** A planned stop was requested. */
     PROCESS_STOPPING("process.stopping", Importance.STATE),
-    /** The process ends now. */
+    /** The process is about to exit. */
     PROCESS_ENDED("process.ended", Importance.STATE),
-    /** The settings were read again. */
+    /** The settings were reloaded. */
     SETTINGS_RELOADED("settings.reloaded", Importance.STATE),
-    /** The settings could not be read again; the earlier ones stay. */
+    /** The settings could not be reloaded; the previous ones stay in force. */
     SETTINGS_REJECTED("settings.rejected", Importance.FAILURE),
-    /** The host tells the balancer something else than before. */
+    /** The readiness that the host reports to the load balancer changed. */
     READINESS_CHANGED("readiness.changed", Importance.STATE),
-    /** The process had no processor for a while, was suspended, or was busy with one thing for too long. */
+    /** A thread was delayed: it got no CPU time, the process was suspended, or one task ran for too long. */
     PROCESS_DELAYED("process.delayed", Importance.STATE),
-    /** Lines were left out. */
+    /** Events were dropped by the rate limit. */
     LINES_DROPPED("lines.dropped", Importance.STATE),
 
-    /** A host has a submission on its disk. */
+    /** A host stored a submission on its disk. */
     SUBMISSION_KEPT("submission.kept", Importance.ROUTINE),
-    /** A host found or created the record of a submission that it kept. */
+    /** A host found or created the record of a submission that it had stored. */
     SUBMISSION_RECORDED("submission.recorded", Importance.STATE),
-    /** A submission on a disk is too old to be told from one that was deleted. */
+    /** A stored submission is too old to be distinguished from a deleted one. */
     SUBMISSION_EXPIRED("submission.expired", Importance.FAILURE),
-    /** A disk did not do what it was asked to. */
+    /** A disk operation failed. */
     DISK_FAILED("disk.failed", Importance.FAILURE),
 
     /** A request was sent to an endpoint. */
     ATTEMPT_SENT("attempt.sent", Importance.ROUTINE),
-    /** An attempt ended without the whole answer. */
+    /** An attempt ended without a complete answer. */
     ATTEMPT_FAILED("attempt.failed", Importance.FAILURE),
-    /** A request got an endpoint's whole answer, or its caller left. */
+    /** A request received an endpoint's complete answer, or its caller disconnected. */
     REQUEST_ENDED("request.ended", Importance.ROUTINE),
-    /** A request got no endpoint's answer. */
+    /** A request received no answer from any endpoint. */
     REQUEST_FAILED("request.failed", Importance.FAILURE),
-    /** A request was refused before it was looked at by the dispatch. */
+    /** A request was refused before dispatch. */
     REQUEST_REFUSED("request.refused", Importance.FAILURE),
 
-    /** A host has died, by what the others say of it. */
+    /** The membership state of a host changed. */
     MEMBERSHIP_CHANGED("membership.changed", Importance.STATE),
-    /** A host was not heard for too long. */
+    /** No message was received from a host for too long. */
     PEER_SILENT("peer.silent", Importance.STATE),
-    /** A host is heard again, or for the first time. */
+    /** A message was received from a host for the first time, or again after a silence. */
     PEER_HEARD("peer.heard", Importance.STATE),
-    /** A configuration came into force. */
+    /** A configuration took effect. */
     CONFIGURATION_IN_FORCE("configuration.in-force", Importance.STATE),
-    /** A configuration can't be used. */
+    /** A configuration was rejected as invalid. */
     CONFIGURATION_INVALID("configuration.invalid", Importance.FAILURE),
-    /** The endpoints that may be used have changed. */
+    /** The set of usable endpoints changed. */
     DIRECTORY_CHANGED("directory.changed", Importance.STATE),
-    /** A registration names no endpoint that may be used. */
+    /** A registration does not describe a usable endpoint. */
     REGISTRATION_INVALID("registration.invalid", Importance.FAILURE),
-    /** A view of the key-value store was read anew. */
+    /** A view of the key-value store was reloaded in full. */
     VIEW_LISTED("view.listed", Importance.STATE),
-    /** The key-value store no longer answers this host. */
+    /** The key-value store stopped answering this host. */
     STORE_LOST("store.lost", Importance.STATE),
     /** The key-value store answers this host again. */
     STORE_REGAINED("store.regained", Importance.STATE),
-    /** A question for changes of a view was not answered. */
+    /** A call for the changes of a view was not answered. */
     VIEW_UNANSWERED("view.unanswered", Importance.FAILURE),
-    /** A call that keeps this host's lease was not answered. */
+    /** A call to grant or renew this host's lease was not answered. */
     LEASE_UNANSWERED("lease.unanswered", Importance.FAILURE),
     /** A lease was granted. */
     LEASE_GRANTED("lease.granted", Importance.STATE),
-    /** A lease has ended. */
+    /** A lease was lost or expired. */
     LEASE_LOST("lease.lost", Importance.STATE),
-    /** An endpoint is left out for a while, or back. */
+    /** An endpoint was excluded for a time, or included again. */
     ENDPOINT_HEALTH("endpoint.health", Importance.STATE),
-    /** An endpoint broke off with requests in flight. */
+    /** An endpoint crashed with requests in flight. */
     ENDPOINT_CRASHED("endpoint.crashed", Importance.FAILURE),
-    /** A host with a disk was said to be empty. */
+    /** The platform was notified that a host with a disk is empty. */
     HOST_EVACUATED("host.evacuated", Importance.STATE),
     /** An order was sent to an endpoint. */
     ORDER_SENT("order.sent", Importance.STATE),
@@ -82,15 +82,15 @@
     JOB_ACCEPTED("job.accepted", Importance.STATE),
     /** A job was cancelled. */
     JOB_CANCELLED("job.cancelled", Importance.STATE),
-    /** A host owns a job from now on. */
+    /** A host became the owner of a job. */
     JOB_OWNED("job.owned", Importance.STATE),
-    /** A host does not own a job any more. */
+    /** A host is no longer the owner of a job. */
     JOB_STOPPED("job.stopped", Importance.STATE),
-    /** All items of a job have their completion. */
+    /** All items of a job are complete. */
     JOB_DONE("job.done", Importance.STATE),
     /** A chunk of a job was committed. */
     CHUNK_COMMITTED("chunk.committed", Importance.ROUTINE),
-    /** A steward reported how the run of an item ended. */
+    /** A steward reported the result of an item's run. */
     ITEM_REPORTED("item.reported", Importance.ROUTINE),
     /** A segment was copied to another store. */
     SEGMENT_COPIED("segment.copied", Importance.ROUTINE),
@@ -101,27 +101,27 @@
     BATCH_REFUSED("batch.refused", Importance.FAILURE),
     /** Results of a request batch were committed. */
     BATCH_COMMITTED("batch.committed", Importance.ROUTINE),
-    /** A write for a request batch was not answered; it is tried again. */
+    /** A write for a request batch was not answered; it is retried. */
     BATCH_WRITE_UNANSWERED("batch.write-unanswered", Importance.FAILURE),
     /** The caller ended a request batch. */
     BATCH_ENDED("batch.ended", Importance.STATE),
-    /** Another process owns a request batch now. */
+    /** This process found that a request batch was ended or that another process owns it. */
     BATCH_LOST("batch.lost", Importance.STATE),
     /** A request batch was offered to another host. */
     BATCH_HANDED_OVER("batch.handed-over", Importance.STATE),
-    /** This host owns a request batch from now on that another had. */
+    /** This host became the owner of a request batch that another host had owned. */
     BATCH_TAKEN_OVER("batch.taken-over", Importance.STATE),
     /** A request batch could not be read from the store. */
     BATCH_LOAD_FAILED("batch.load-failed", Importance.FAILURE),
-    /** A request batch was deleted: nothing of it is owed any more. */
+    /** A finished request batch was deleted after the retention period of its results. */
     BATCH_DELETED("batch.deleted", Importance.STATE),
     /** A run of an item began. */
     ITEM_STARTED("item.started", Importance.ROUTINE),
-    /** A run of an item ended with its output, or gave way. */
+    /** A run of an item ended with its output, or was preempted. */
     ITEM_RUN_ENDED("item.run-ended", Importance.ROUTINE),
     /** A run of an item failed. */
     ITEM_RUN_FAILED("item.run-failed", Importance.FAILURE),
-    /** An item was given up for good. */
+    /** Items were abandoned; they are not run again. */
     ITEM_GIVEN_UP("item.given-up", Importance.FAILURE);
 
     private final String wireName;
@@ -132,12 +132,12 @@
         this.importance = importance;
     }
 
-    /** The kind's name in the lines. */
+    /** Returns the name of the kind in a line. */
     public String wireName() {
         return wireName;
     }
 
-    /** Which events of many are kept. */
+    /** Returns the importance, which determines the rate limit. */
     public Importance importance() {
         return importance;
     }
--- a/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds how many events a second are written, by kind. Not thread-safe.
+ * Limits the number of events written per second, separately for each kind. Not thread-safe.
  *
- * <p>Failure: under a flood of requests the lines about them take the processor from the requests. Each kind has a bound,
- * so that one flooding kind leaves the others' lines alone, and failures have a wider one than successes: a request that
- * failed must be explainable when most others did not.
+ * <p>Failure: at a high request rate, logging takes CPU time from the requests. Each kind has its own limit, so that a
+ * frequent kind does not displace the others. The limit of failures is higher than that of successes, since a failed
+ * request must be explainable even if most others succeed.
  */
 final class EventLimiter {
-    /** Successes a second and kind: enough to see the traffic's shape; a line costs some ten microseconds. */
+    /** The limit for routine events: enough to show the traffic pattern; a line costs about ten microseconds. */
     static final int ROUTINE_PER_SECOND = 200;
 
-    /** Failures a second and kind: more than one host of the planned size is offered in all. */
+    /** The limit for all other events: higher than the total request rate offered to a host of the planned size. */
     static final int FAILURES_PER_SECOND = 1000;
 
     private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -24,7 +24,7 @@
     private final Map<EventKind, Integer> dropped = new EnumMap<>(EventKind.class);
     private long windowNanos = Long.MIN_VALUE;
 
-    /** Whether an event of a kind may be written now. */
+    /** Counts an event and returns whether it may be written now. */
     boolean mayWrite(EventKind kind, long nowNanos) {
         startWindow(nowNanos);
         int bound = kind.importance() == Importance.ROUTINE ? ROUTINE_PER_SECOND : FAILURES_PER_SECOND;
@@ -37,7 +37,7 @@
         return true;
     }
 
-    /** How many events were left out since the last call, by kind; empty within the second in which they were. */
+    /** Returns and clears the number of dropped events by kind; empty until the window in which they fell is over. */
     Map<EventKind, Integer> takeDropped(long nowNanos) {
         if (dropped.isEmpty() || nowNanos - windowNanos < WINDOW_NANOS) {
             return Map.of();
--- a/src/main/java/org/gooseberryhill/timeline/EventSink.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventSink.java
@@ -1,13 +1,13 @@
 package org.gooseberryhill.timeline;
 
-/** Takes the events of one process. Thread-safe; never waits for a disk, a reader or a lock held for long. */
+/** Receives the events of one process. Thread-safe; never blocks on a disk, a reader or a long-held lock. */
 @FunctionalInterface
 public interface EventSink {
-    /** Takes an event. */
+    /** Accepts an event. */
     void take(TimelineEvent event);
 
-    /** Writes what waits for more; to be called some times a second. */
+    /** Writes buffered events; must be called several times a second. */
     default void flush() {
-        // A sink that keeps nothing has nothing to do.
+        // A sink without a buffer has nothing to flush.
     }
 }
--- a/src/main/java/org/gooseberryhill/timeline/FileSink.java
+++ b/src/main/java/org/gooseberryhill/timeline/FileSink.java
@@ -12,9 +12,10 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Writes events to a file of their own, for a system that runs inside another program. Thread-safe.
+ * Writes events to a separate file, for a system that is embedded in another program. Thread-safe.
  *
- * <p>Invariant: lines are whole and flushed one by one. A disk error is logged once and never stops a request.
+ * <p>Invariant: each line is written whole and flushed. The first disk error is logged and ends writing; it fails no
+ * request.
  */
 public final class FileSink implements EventSink, Closeable {
     private static final Logger LOG = LogManager.getLogger(FileSink.class);
@@ -22,7 +23,9 @@
     private final BufferedWriter writer;
     private boolean failed;
 
-    /** A sink that appends to {@code timeline-<process>.jsonl} in a folder, which is created if it is missing. */
+    /**
+     * Creates a sink that appends to {@code timeline-<process>.jsonl} in a folder, which is created if it is missing.
+     */
     public FileSink(Path folder, String process) {
         try {
             Files.createDirectories(folder);
@@ -46,7 +49,7 @@
             writer.flush();
         } catch (IOException e) {
             failed = true;
-            LOG.warn("the time line can't be written any more: {}", e.toString());
+            LOG.warn("cannot write the time line; later events are dropped: {}", e.toString());
         }
     }
 
--- a/src/main/java/org/gooseberryhill/timeline/Importance.java
+++ b/src/main/java/org/gooseberryhill/timeline/Importance.java
@@ -1,11 +1,14 @@
 package org.gooseberryhill.timeline;
 
-/** Which events are kept when there are more of them than may be written. Immutable. */
+/** The importance of an event, which determines the rate limit for its kind. Immutable. */
 public enum Importance {
-    /** A request, item or call failed, or was refused: kept before all others, since each has to be explained. */
+    /**
+     * A request, item or call failed or was refused; kept in preference to routine events, since each must be
+     * explainable.
+     */
     FAILURE,
-    /** What the process believes has changed; seldom by itself. */
+    /** The state known to the process changed; infrequent. */
     STATE,
-    /** All went as it should; left out first. */
+    /** An operation succeeded; dropped first. */
     ROUTINE
 }
--- a/src/main/java/org/gooseberryhill/timeline/LineWriter.java
+++ b/src/main/java/org/gooseberryhill/timeline/LineWriter.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes flat JSON objects, one a line, in UTF-8. Not thread-safe.
+ * Writes flat JSON objects in UTF-8, one per line. Not thread-safe.
  *
- * <p>Failure: a process writes its first thousand lines before the virtual machine has compiled what writes them, and the
- * library's generator goes through each character in several calls, which made the log a fiftieth of all that a process does
- * under load. Here texts are copied whole, and only those that need it are escaped, by the library.
+ * <p>Failure: a process writes its first thousand lines in interpreted code, and the generator of the JSON library
+ * makes several calls for each character; with it, logging took one fiftieth of a process's work under load. This class
+ * copies each text as a whole and has the library escape only texts that need it.
  */
 final class LineWriter {
-    /** Up to the seconds: 2026-01-31T12:34:56. */
+    /** The length of an ISO 8601 time up to the seconds, such as 2026-01-31T12:34:56. */
     private static final int SECONDS_CHARACTERS = 19;
 
     private static final int FIRST_PRINTABLE = 0x20;
@@ -49,7 +49,7 @@
         raw(value);
         if (!isPlain(from)) {
             length = from;
-            // Not quoted as UTF-8 at once: that fails for half of a surrogate pair, and the line would be lost.
+            // quoteAsUTF8() fails for an unpaired surrogate, which would lose the line.
             String quoted = new String(JsonStringEncoder.getInstance().quoteAsString(value));
             raw(quoted.getBytes(StandardCharsets.UTF_8));
         }
@@ -61,7 +61,7 @@
         raw(Long.toString(value));
     }
 
-    /** A number that JSON has no form for is written as a text. */
+    /** Writes a number; as a text if it is not finite, which JSON cannot represent. */
     void number(String name, double value) {
         if (!Double.isFinite(value)) {
             text(name, Double.toString(value));
@@ -76,7 +76,7 @@
         raw(value ? "true" : "false");
     }
 
-    /** A time of day in UTC with milliseconds, from epoch milliseconds. */
+    /** Writes epoch milliseconds as an ISO 8601 time in UTC with milliseconds. */
     void time(String name, long epochMillis) {
         name(name);
         raw("\"");
@@ -86,12 +86,12 @@
         raw("Z\"");
     }
 
-    /** All lines. */
+    /** Returns all lines written so far. */
     byte[] bytes() {
         return Arrays.copyOf(out, length);
     }
 
-    /** Names are those of the code: they need no escaping. */
+    /** Appends a field name. Names are constants of the code, which need no escaping. */
     private void name(String name) {
         raw(first ? "\"" : ",\"");
         first = false;
@@ -117,7 +117,7 @@
         return secondText;
     }
 
-    /** The low bytes of a text's characters in one copy; what that spoils is found by {@link #isPlain}. */
+    /** Appends a text as ISO 8859-1; {@link #isPlain} detects characters that this cannot represent. */
     private void raw(String text) {
         raw(text.getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -134,7 +134,10 @@
         }
     }
 
-    /** Whether what was written from a place on is ASCII that needs no escaping; all else is negative or a question mark. */
+    /**
+     * Returns whether the bytes from an offset on are ASCII that needs no escaping. In ISO 8859-1, any other character
+     * is a negative byte or a question mark.
+     */
     private boolean isPlain(int from) {
         for (int i = from; i < length; i++) {
             byte character = out[i];
--- a/src/main/java/org/gooseberryhill/timeline/Timeline.java
+++ b/src/main/java/org/gooseberryhill/timeline/Timeline.java
@@ -5,9 +5,9 @@
 import org.gooseberryhill.link.HybridClock;
 
 /**
- * The part of the time line that one process writes. Thread-safe.
+ * Records the time line events of one process. Thread-safe.
  *
- * <p>Invariant: writing never waits, and what the bounds leave out is counted and told in an event of its own.
+ * <p>Invariant: writing never blocks; events dropped by the rate limit are counted and reported in a separate event.
  */
 public final class Timeline {
     private final String process;
@@ -16,7 +16,7 @@
     private final LongSupplier nowNanos;
     private final EventLimiter limiter = new EventLimiter();
 
-    /** A time line of a process. */
+    /** Creates the time line of a process. */
     public Timeline(String process, HybridClock clock, EventSink sink) {
         this(process, clock, sink, System::nanoTime);
     }
@@ -28,7 +28,7 @@
         this.nowNanos = nowNanos;
     }
 
-    /** Begins an event; it is there once {@link EventBuilder#write} was called. */
+    /** Begins an event, which is recorded when {@link EventBuilder#write} is called. */
     public EventBuilder event(EventKind kind) {
         return new EventBuilder(kind, this::take);
     }
--- a/src/main/java/org/gooseberryhill/timeline/TimelineEvent.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineEvent.java
@@ -5,15 +5,15 @@
 import org.gooseberryhill.link.HybridTimestamp;
 
 /**
- * One event of one process. Immutable.
+ * One time line event of a process. Immutable.
  *
- * @param at the hybrid timestamp
+ * @param at the hybrid logical timestamp
  * @param process the process that wrote it
  * @param kind the kind's wire name, such as {@code attempt.sent}
  * @param request the request concerned, if any
  * @param job the job or request batch concerned, if any
  * @param endpoint the endpoint concerned, if any
- * @param details what decided it, how old that was, and what came of it; never a body or a key
+ * @param details the inputs of the decision, their age and the outcome; never a body or a key
  */
 public record TimelineEvent(
         HybridTimestamp at,
@@ -23,7 +23,7 @@
         Optional<String> job,
         Optional<String> endpoint,
         Map<String, Object> details) {
-    /** A detail as text; empty if there is none of that name. */
+    /** Returns a detail as text; an empty text if there is none of that name. */
     public String detail(String name) {
         return String.valueOf(details.getOrDefault(name, ""));
     }
--- a/src/main/java/org/gooseberryhill/timeline/TimelineLines.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineLines.java
@@ -11,7 +11,7 @@
 import org.gooseberryhill.link.HybridTimestamp;
 import org.gooseberryhill.link.Json;
 
-/** The form of an event in a log: one JSON object a line. Stateless. */
+/** Formats events as log lines, one JSON object per line, and parses them. Stateless. */
 public final class TimelineLines {
     private static final String AT = "at";
     private static final String TIME = "time";
@@ -25,19 +25,19 @@
 
     private TimelineLines() {}
 
-    /** An event as a line, without its end. */
+    /** Formats an event as one line, without the line terminator. */
     public static String line(TimelineEvent event) {
         return new String(lines(List.of(event)), StandardCharsets.UTF_8).stripTrailing();
     }
 
-    /** Events as lines, each with its end, in UTF-8. */
+    /** Formats events as lines in UTF-8, each with a line terminator. */
     public static byte[] lines(List<TimelineEvent> events) {
         LineWriter writer = new LineWriter(events.size() * USUAL_LINE_CHARACTERS);
         events.forEach(event -> write(event, writer));
         return writer.bytes();
     }
 
-    /** The event of a line; empty for any other line, such as one that a killed process left half written. */
+    /** Parses a line; empty if it is not an event, such as a line truncated when its process was killed. */
     public static Optional<TimelineEvent> parse(String line) {
         Try<JsonNode> json = Json.tree(line.getBytes(StandardCharsets.UTF_8));
         if (json.isFailure()
@@ -64,7 +64,7 @@
 
     private static void write(TimelineEvent event, LineWriter line) {
         line.begin();
-        // For people; the order of events is that of the hybrid timestamp.
+        // For readers only; events are ordered by the hybrid timestamp.
         line.time(TIME, event.at().epochMillis());
         line.number(AT, event.at().packed());
         line.text(PROCESS, event.process());
--- a/src/main/java/org/gooseberryhill/timeline/TimelineQuery.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineQuery.java
@@ -9,13 +9,13 @@
 import java.util.stream.Collectors;
 
 /**
- * Which events of a time line somebody asks for. Immutable.
+ * A filter for time line events. Immutable.
  *
- * @param request only those of this request
- * @param job only those of this job or request batch
- * @param item only those of this item of it
- * @param endpoint only those of this endpoint
- * @param surroundings also what processes believed about themselves, the store and the endpoints concerned at that time
+ * @param request only events of this request
+ * @param job only events of this job or request batch
+ * @param item only events of this item of the job or batch
+ * @param endpoint only events of this endpoint
+ * @param surroundings also state changes of processes, the store and the endpoints concerned at that time
  */
 public record TimelineQuery(
         Optional<String> request,
@@ -23,10 +23,12 @@
         Optional<String> item,
         Optional<String> endpoint,
         boolean surroundings) {
-    /** A belief that led to a decision is seldom older: hosts report each second, the store is given up after some. */
+    /**
+     * Covers the state behind a decision: hosts report each second, and the store counts as lost after some seconds.
+     */
     private static final long BEFORE_MILLIS = TimeUnit.SECONDS.toMillis(5);
 
-    /** A host that was lost with a request is missed and started again within this time. */
+    /** Covers the detection and the restart of a host that was lost together with a request. */
     private static final long AFTER_MILLIS = TimeUnit.SECONDS.toMillis(5);
 
     private static final Set<String> STATE_KINDS = Arrays.stream(EventKind.values())
@@ -39,7 +41,7 @@
             EventKind.ENDPOINT_HEALTH.wireName(),
             EventKind.ENDPOINT_CRASHED.wireName());
 
-    /** The events asked for, in the order in which they are given. */
+    /** Returns the selected events, in their given order. */
     public List<TimelineEvent> select(List<TimelineEvent> events) {
         List<TimelineEvent> found = events.stream().filter(this::matches).toList();
         if (!surroundings || found.isEmpty()) {
--- a/src/main/java/org/gooseberryhill/timeline/package-info.java
+++ b/src/main/java/org/gooseberryhill/timeline/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The time line: one record for each decision that touches a request or changes what a process believes, written as one
- * JSON line and merged over all processes in causal order.
+ * The time line: a structured event for each decision that affects a request or changes the state known to a process.
+ * Events are written as JSON lines and merged across processes in causal order.
  */
 package org.gooseberryhill.timeline;
--- a/src/main/java/org/gooseberryhill/zone/AvailabilityZone.java
+++ b/src/main/java/org/gooseberryhill/zone/AvailabilityZone.java
@@ -6,10 +6,10 @@
 /**
  * The name of an availability zone. Immutable.
  *
- * @param name the name that the platform gives it, as in the process's settings
+ * @param name the platform's name of the zone, as in the process's settings
  */
 public record AvailabilityZone(@JsonValue String name) {
-    /** Reads the name from a message. */
+    /** Creates a zone name; also used to deserialize messages. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public AvailabilityZone {}
 
@@ -18,8 +18,7 @@
         return name;
     }
 
-    // Written out: the generated ones are linked at their first use, which takes some ten milliseconds of a host's
-    // start.
+    // Explicit, since linking the generated methods at their first use adds some ten milliseconds to a host's start.
     @Override
     public boolean equals(Object other) {
         return other instanceof AvailabilityZone that && name.equals(that.name);
--- a/src/main/java/org/gooseberryhill/zone/package-info.java
+++ b/src/main/java/org/gooseberryhill/zone/package-info.java
@@ -1,2 +1,2 @@
-/** Availability zones: the units of failure that copies are spread over. */
+/** Availability zones: the failure domains across which replicas are distributed. */
 package org.gooseberryhill.zone;
--- a/src/test/java/org/gooseberryhill/configuration/ConfigurationReaderTest.java
+++ b/src/test/java/org/gooseberryhill/configuration/ConfigurationReaderTest.java
@@ -31,7 +31,7 @@
                 .isFalse();
     }
 
-    /** An operator's text has twenty mistakes: all of them come back at once, each with its place and its remedy. */
+    /** A text with twenty errors: all of them are reported at once, each with its position and a remedy. */
     @Test
     void allMistakesAreReportedTogetherWithTheirPlaces() throws IOException {
         List<Finding> findings = ConfigurationReader.read("fleet.yaml", resource("twenty-mistakes.yaml"))
@@ -66,7 +66,7 @@
         assertThat(ConfigurationReader.read("f", "").get().services()).isEmpty();
     }
 
-    /** Whatever an operator's editor or a broken copy makes of the text, reading it ends with findings, not a crash. */
+    /** Guards against exceptions on texts damaged by an editor or a broken copy. */
     @Property(seed = "20261203")
     void anyDamagedTextEndsInAConfigurationOrFindings(@ForAll long seed) {
         Random random = new Random(seed);
--- a/src/test/java/org/gooseberryhill/logging/BlockedOutputTest.java
+++ b/src/test/java/org/gooseberryhill/logging/BlockedOutputTest.java
@@ -17,8 +17,8 @@
     private static final int LINES = 200_000;
 
     /**
-     * Nobody reads a process's standard output: the pipe fills, and the writer of the log waits for ever. The threads that
-     * log go on to their end, and count what is dropped.
+     * Nobody reads a process's standard output, so the pipe fills and the logging thread blocks forever. Threads that
+     * log must run to completion, and dropped messages are counted.
      */
     @Test
     void aBlockedStandardOutputHoldsNobodyUp() throws IOException, InterruptedException {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Logs far more than a pipe and the ring hold, then says how much was dropped. */
+    /** Logs far more than a pipe and the ring buffer hold, then prints the number of dropped messages. */
     static final class Flood {
         private Flood() {}
 
--- a/src/test/java/org/gooseberryhill/logging/LineOutputTest.java
+++ b/src/test/java/org/gooseberryhill/logging/LineOutputTest.java
@@ -15,7 +15,7 @@
     private static final TimelineEvent EVENT = new TimelineEvent(
             new HybridTimestamp(1), "p", "kind", Optional.empty(), Optional.empty(), Optional.empty(), Map.of());
 
-    /** Nobody reads a process's standard output, and its writer waits for ever: who hands events over must not. */
+    /** Nobody reads standard output, so the writer thread blocks forever; callers that queue events must not block. */
     @Test
     void aBlockedStreamHoldsNobodyUpAndIsCounted() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
@@ -31,7 +31,7 @@
         stream.released.countDown();
     }
 
-    /** A process ends while nobody reads: the end waits no longer than it was told to. */
+    /** A process ends while nobody reads standard output: the wait ends after its time-out. */
     @Test
     void theEndDoesNotWaitForABlockedStream() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
@@ -45,7 +45,7 @@
         stream.released.countDown();
     }
 
-    /** A stream whose first write waits until it is released. */
+    /** A stream whose writes block until it is released. */
     private static final class BlockedStream extends OutputStream {
         private final CountDownLatch blocked = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
--- a/src/test/java/org/gooseberryhill/logging/LogSinkTest.java
+++ b/src/test/java/org/gooseberryhill/logging/LogSinkTest.java
@@ -27,7 +27,9 @@
         assertThat(written()).containsExactly("request.ended", "second", "third");
     }
 
-    /** Two lines for each of some hundred requests a second: each hand-over wakes a thread, and the lines can wait. */
+    /**
+     * At some hundred requests a second with two events each, waking the writer thread for every event is too costly.
+     */
     @Test
     void eventsOfTheOrdinaryCourseAreHandedOverTogether() {
         for (int i = 0; i < 10; i++) {
@@ -52,7 +54,7 @@
         assertThat(kinds()).hasSize(LogSink.MANY);
     }
 
-    /** A host that fails writes why before it is lost, with what led to it. */
+    /** A failing host must write the reason and the events before it while it still can. */
     @Test
     void aFailureGoesAtOnceWithWhatCameBefore() {
         sink.take(event("attempt.sent"));
@@ -88,7 +90,7 @@
                 new HybridTimestamp(1), "p", kind, Optional.empty(), Optional.empty(), Optional.empty(), Map.of());
     }
 
-    /** Counts how often something was written to it. Thread-safe. */
+    /** A stream that counts the writes to it. Thread-safe. */
     private static final class CountingStream extends ByteArrayOutputStream {
         private int writes;
 
--- a/src/test/java/org/gooseberryhill/timeline/LineWriterProperties.java
+++ b/src/test/java/org/gooseberryhill/timeline/LineWriterProperties.java
@@ -15,7 +15,7 @@
 import org.gooseberryhill.link.HybridTimestamp;
 import org.gooseberryhill.link.Json;
 
-/** What the log writes is JSON, whatever callers put into their headers. */
+/** Checks that lines are valid JSON for any text that callers send in headers. */
 class LineWriterProperties {
     @Property
     void anyTextIsReadAsItWasWritten(@ForAll String value, @ForAll String other) {
@@ -62,7 +62,7 @@
         anyTextIsReadAsItWasWritten("\ud800", "a\udc00\"b");
     }
 
-    /** A caller's request id ends the text and begins a field of its own, as somebody does who wants to forge a line. */
+    /** Log injection: a request id contains a quote and a line break in order to add a field and a line. */
     @Example
     void aTextCanNotForgeAField() {
         String forged = "x\",\"kind\":\"request.ended\"}\n{\"kind\":\"y";
@@ -81,7 +81,7 @@
         assertThat(TimelineLines.parse(lines)).contains(event);
     }
 
-    /** Half of a surrogate pair is no text that UTF-8 has a form for; the library writes what it writes for it. */
+    /** Replaces unpaired surrogates, which UTF-8 cannot represent, as the Java library does. */
     private static String readable(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         return new String(bytes, StandardCharsets.UTF_8);
--- a/src/test/java/org/gooseberryhill/timeline/TimelineQueryTest.java
+++ b/src/test/java/org/gooseberryhill/timeline/TimelineQueryTest.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * A request was in progress at a host that was lost: the host wrote no line about its end. The story shows the host
-     * missed by another and started again, and what was known of the endpoint concerned.
+     * A host is lost with a request in progress and writes no event about its end. The surroundings show that another
+     * host detected the loss, that the host restarted, and the state of the endpoint concerned.
      */
     @Test
     void theStoryOfARequestShowsWhatProcessesBelievedMeanwhile() {
--- a/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
+++ b/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
@@ -42,7 +42,7 @@
                 .isEmpty();
     }
 
-    /** A flood of answered requests within a second: their lines are bounded, counted, and the count is told. */
+    /** Many requests end within one second: their events are limited, and the number of dropped events is reported. */
     @Test
     void aFloodOfSuccessesIsBoundedAndCounted() {
         for (int i = 0; i < 1000; i++) {
@@ -58,7 +58,7 @@
         assertThat(dropped.detail("request.ended")).isEqualTo("800");
     }
 
-    /** One request in a flood of others fails: its line is there, whatever the others' number. */
+    /** One request fails among many successful ones: its event is written, however many the others are. */
     @Test
     void aFailedRequestKeepsItsLineInAFlood() {
         for (int i = 0; i < 5000; i++) {
