--- a/src/main/java/org/gooseberryhill/configuration/CallersSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/CallersSection.java
@@ -24,15 +24,15 @@
 
     @Override
     public CallerSettings readEntry(String name, PropertyReader entry) {
-        entry.allow("key-sha256", "services", "max-in-flight", "may-submit-jobs");
+        entry.allowOnly("key-sha256", "services", "max-in-flight", "may-submit-jobs");
         String hash = entry.requiredText("key-sha256").toLowerCase(Locale.ROOT);
         if (!hash.isEmpty() && !HASH.matcher(hash).matches()) {
-            findings.add(entry.placeOf("key-sha256"), entry.pathOf("key-sha256"), "value.hash", hash);
+            findings.add(entry.positionOf("key-sha256"), entry.pathOf("key-sha256"), "value.hash", hash);
         }
         return new CallerSettings(
                 name,
                 hash,
-                entry.texts("services").stream().map(PlacedNode.Scalar::text).toList(),
+                entry.textList("services").stream().map(YamlNode.Scalar::text).toList(),
                 entry.number("max-in-flight", DEFAULT_MAX_IN_FLIGHT, 1, MAX_IN_FLIGHT),
                 entry.flag("may-submit-jobs", false));
     }
--- a/src/main/java/org/gooseberryhill/configuration/ConfigurationReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/ConfigurationReader.java
@@ -16,7 +16,7 @@
     /** The maximum size of a text in bytes; the key-value service limits values to one megabyte. */
     public static final int MAX_BYTES = 900_000;
 
-    private static final Place START = new Place(1, 1);
+    private static final TextPosition START = new TextPosition(1, 1);
     private static final List<ConfigurationRule> RULES =
             List.of(new ReferencesRule(), new ServiceHasEndpointRule(), new UniqueAddressRule(), new UniqueKeyRule());
 
@@ -30,28 +30,28 @@
             findings.add(START, "", "yaml.too-large", Integer.toString(bytes), Integer.toString(MAX_BYTES));
             return Either.left(findings.sorted());
         }
-        Optional<PlacedNode> tree = PlacedYamlReader.read(text, findings);
+        Optional<YamlNode> tree = YamlNodeReader.read(text, findings);
         if (tree.isEmpty()) {
             return Either.left(findings.sorted());
         }
         Configuration configuration = readSections(tree.get(), findings);
-        if (tree.get() instanceof PlacedNode.Mapping root) {
+        if (tree.get() instanceof YamlNode.Mapping root) {
             RULES.forEach(rule -> rule.check(configuration, root, findings));
         }
         return findings.isEmpty() ? Either.right(configuration) : Either.left(findings.sorted());
     }
 
-    private static Configuration readSections(PlacedNode tree, Findings findings) {
+    private static Configuration readSections(YamlNode tree, Findings findings) {
         PropertyReader root = new PropertyReader(tree, "", findings)
-                .allow(ModelsSection.KEY, ServicesSection.KEY, EndpointsSection.KEY, CallersSection.KEY);
+                .allowOnly(ModelsSection.KEY, ServicesSection.KEY, EndpointsSection.KEY, CallersSection.KEY);
         return new Configuration(
-                frozen(new ModelsSection().read(root, findings)),
-                frozen(new ServicesSection(findings).read(root, findings)),
-                frozen(new EndpointsSection().read(root, findings)),
-                frozen(new CallersSection(findings).read(root, findings)));
+                unmodifiable(new ModelsSection().read(root, findings)),
+                unmodifiable(new ServicesSection(findings).read(root, findings)),
+                unmodifiable(new EndpointsSection().read(root, findings)),
+                unmodifiable(new CallersSection(findings).read(root, findings)));
     }
 
-    private static <T> Map<String, T> frozen(Map<String, T> map) {
+    private static <T> Map<String, T> unmodifiable(Map<String, T> map) {
         return Collections.unmodifiableMap(map);
     }
 }
--- a/src/main/java/org/gooseberryhill/configuration/ConfigurationRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/ConfigurationRule.java
@@ -3,21 +3,21 @@
 /** A validation rule that spans sections of the configuration. Implementations are stateless. */
 interface ConfigurationRule {
     /** Adds a finding for each violation of the rule. */
-    void check(Configuration configuration, PlacedNode.Mapping root, Findings findings);
+    void check(Configuration configuration, YamlNode.Mapping root, Findings findings);
 
     /**
      * Returns the position of a property's value; that of the closest enclosing node if the text does not contain it.
      */
-    static Place placeOf(PlacedNode.Mapping root, String section, String name, String property) {
-        PlacedNode.Mapping current = root;
+    static TextPosition positionOf(YamlNode.Mapping root, String section, String name, String property) {
+        YamlNode.Mapping current = root;
         for (String key : new String[] {section, name}) {
-            PlacedNode next = current.entries().get(key);
-            if (!(next instanceof PlacedNode.Mapping mapping)) {
-                return next == null ? current.place() : next.place();
+            YamlNode next = current.entries().get(key);
+            if (!(next instanceof YamlNode.Mapping mapping)) {
+                return next == null ? current.position() : next.position();
             }
             current = mapping;
         }
-        PlacedNode value = current.entries().get(property);
-        return value == null ? current.place() : value.place();
+        YamlNode value = current.entries().get(property);
+        return value == null ? current.position() : value.position();
     }
 }
--- a/src/main/java/org/gooseberryhill/configuration/ConfigurationSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/ConfigurationSection.java
@@ -18,7 +18,7 @@
     /** Reads all entries of the section, in the order of the text. */
     default Map<String, T> read(PropertyReader root, Findings findings) {
         Map<String, T> entries = new LinkedHashMap<>();
-        root.forEachNamed(key(), (name, node) -> {
+        root.forEachEntry(key(), (name, node) -> {
             String path = key() + "." + name;
             entries.put(name, readEntry(name, new PropertyReader(node, path, findings)));
         });
--- a/src/main/java/org/gooseberryhill/configuration/EndpointsSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/EndpointsSection.java
@@ -16,7 +16,7 @@
 
     @Override
     public EndpointSettings readEntry(String name, PropertyReader entry) {
-        entry.allow("service", "address", "zone", "slots", "checks-fences", "leaving");
+        entry.allowOnly("service", "address", "zone", "slots", "checks-fences", "leaving");
         return new EndpointSettings(
                 name,
                 entry.requiredText("service"),
--- a/src/main/java/org/gooseberryhill/configuration/Finding.java
+++ b/src/main/java/org/gooseberryhill/configuration/Finding.java
@@ -10,7 +10,7 @@
  * @param message what is wrong
  * @param remedy how to fix it
  */
-public record Finding(String file, Place place, String key, String messageKey, String message, String remedy) {
+public record Finding(String file, TextPosition place, String key, String messageKey, String message, String remedy) {
     /** Formats the finding as one line, {@code file:line:column: key: message (remedy) [message key]}. */
     public String line() {
         return "%s:%d:%d: %s: %s (%s) [%s]"
--- a/src/main/java/org/gooseberryhill/configuration/Findings.java
+++ b/src/main/java/org/gooseberryhill/configuration/Findings.java
@@ -16,7 +16,7 @@
     private static final String REMEDY_SUFFIX = ".remedy";
 
     private final String file;
-    private final List<Finding> list = new ArrayList<>();
+    private final List<Finding> findings = new ArrayList<>();
 
     /** Creates an empty collection for one file. */
     public Findings(String file) {
@@ -24,20 +24,20 @@
     }
 
     /** Adds a finding; the arguments fill the placeholders of both the message and the remedy. */
-    public void add(Place place, String key, String messageKey, Object... arguments) {
+    public void add(TextPosition position, String key, String messageKey, Object... arguments) {
         String message = MessageFormat.format(TEXTS.getString(messageKey), arguments);
         String remedy = MessageFormat.format(TEXTS.getString(messageKey + REMEDY_SUFFIX), arguments);
-        list.add(new Finding(file, place, key, messageKey, message, remedy));
+        findings.add(new Finding(file, position, key, messageKey, message, remedy));
     }
 
     /** Returns whether there are no findings. */
     public boolean isEmpty() {
-        return list.isEmpty();
+        return findings.isEmpty();
     }
 
     /** Returns the findings in the order of the text. */
     public List<Finding> sorted() {
-        return list.stream()
+        return findings.stream()
                 .sorted(Comparator.comparingInt(
                                 (Finding finding) -> finding.place().line())
                         .thenComparingInt(finding -> finding.place().column())
--- a/src/main/java/org/gooseberryhill/configuration/ModelsSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/ModelsSection.java
@@ -11,10 +11,10 @@
 
     @Override
     public ModelSettings readEntry(String name, PropertyReader entry) {
-        entry.allow("version", "adapters");
+        entry.allowOnly("version", "adapters");
         return new ModelSettings(
                 name,
                 entry.requiredText("version"),
-                entry.texts("adapters").stream().map(PlacedNode.Scalar::text).toList());
+                entry.textList("adapters").stream().map(YamlNode.Scalar::text).toList());
     }
 }
--- a/src/main/java/org/gooseberryhill/configuration/PropertyReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/PropertyReader.java
@@ -19,41 +19,41 @@
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,63}");
     private static final Address NO_ADDRESS = new Address("0.0.0.0", 1);
 
-    private final PlacedNode.Mapping mapping;
+    private final YamlNode.Mapping mapping;
     private final String path;
     private final Findings findings;
-    private final boolean readable;
+    private final boolean mappingOrBlank;
 
-    PropertyReader(PlacedNode node, String path, Findings findings) {
+    PropertyReader(YamlNode node, String path, Findings findings) {
         this.path = path;
         this.findings = findings;
-        if (node instanceof PlacedNode.Mapping found) {
+        if (node instanceof YamlNode.Mapping found) {
             this.mapping = found;
-            this.readable = true;
+            this.mappingOrBlank = true;
         } else {
-            this.mapping = new PlacedNode.Mapping(node.place(), Map.of(), Map.of());
-            this.readable = isBlank(node);
-            if (!readable) {
-                findings.add(node.place(), path, "value.mapping");
+            this.mapping = new YamlNode.Mapping(node.position(), Map.of(), Map.of());
+            this.mappingOrBlank = isBlank(node);
+            if (!mappingOrBlank) {
+                findings.add(node.position(), path, "value.mapping");
             }
         }
     }
 
     /** Adds a finding for each key of the mapping that is not among the given ones. */
-    PropertyReader allow(String... keys) {
+    PropertyReader allowOnly(String... keys) {
         Set<String> known = Set.of(keys);
         for (String key : mapping.entries().keySet()) {
             if (!known.contains(key)) {
-                findings.add(mapping.keyPlaces().get(key), pathOf(key), "key.unknown", sortedList(known));
+                findings.add(mapping.keyPositions().get(key), pathOf(key), "key.unknown", sortedList(known));
             }
         }
         return this;
     }
 
     /** Returns the position of the key's value, or of the mapping if the key is missing. */
-    Place placeOf(String key) {
-        PlacedNode node = mapping.entries().get(key);
-        return node == null ? mapping.place() : node.place();
+    TextPosition positionOf(String key) {
+        YamlNode node = mapping.entries().get(key);
+        return node == null ? mapping.position() : node.position();
     }
 
     String pathOf(String key) {
@@ -61,38 +61,38 @@
     }
 
     /** Calls the consumer for each entry of a mapping whose keys are names; adds a finding for each invalid name. */
-    void forEachNamed(String key, BiConsumer<String, PlacedNode> consumer) {
-        PlacedNode node = mapping.entries().get(key);
+    void forEachEntry(String key, BiConsumer<String, YamlNode> consumer) {
+        YamlNode node = mapping.entries().get(key);
         if (node == null || isBlank(node)) {
             return;
         }
-        if (!(node instanceof PlacedNode.Mapping named)) {
-            findings.add(node.place(), pathOf(key), "value.mapping");
+        if (!(node instanceof YamlNode.Mapping named)) {
+            findings.add(node.position(), pathOf(key), "value.mapping");
             return;
         }
         named.entries().forEach((name, value) -> {
             if (!NAME.matcher(name).matches()) {
-                findings.add(named.keyPlaces().get(name), pathOf(key) + "." + name, "value.name", name);
+                findings.add(named.keyPositions().get(name), pathOf(key) + "." + name, "value.name", name);
             }
             consumer.accept(name, value);
         });
     }
 
     Optional<String> optionalText(String key) {
-        PlacedNode node = mapping.entries().get(key);
+        YamlNode node = mapping.entries().get(key);
         if (node == null) {
             return Optional.empty();
         }
-        if (node instanceof PlacedNode.Scalar scalar) {
+        if (node instanceof YamlNode.Scalar scalar) {
             return Optional.of(scalar.text());
         }
-        findings.add(node.place(), pathOf(key), "value.text");
+        findings.add(node.position(), pathOf(key), "value.text");
         return Optional.empty();
     }
 
     String requiredText(String key) {
-        if (readable && !mapping.entries().containsKey(key)) {
-            findings.add(mapping.place(), pathOf(key), "key.missing", key);
+        if (mappingOrBlank && !mapping.entries().containsKey(key)) {
+            findings.add(mapping.position(), pathOf(key), "key.missing", key);
         }
         return optionalText(key).orElse("");
     }
@@ -100,7 +100,7 @@
     String choice(String key, String defaultValue, String... choices) {
         String value = optionalText(key).orElse(defaultValue);
         if (!Set.of(choices).contains(value)) {
-            findings.add(placeOf(key), pathOf(key), "value.choice", value, String.join(", ", choices));
+            findings.add(positionOf(key), pathOf(key), "value.choice", value, String.join(", ", choices));
             return defaultValue;
         }
         return value;
@@ -121,7 +121,7 @@
             text = Optional.of(text.get().trim());
         }
         findings.add(
-                placeOf(key), pathOf(key), "value.number", text.get(), Integer.toString(min), Integer.toString(max));
+                positionOf(key), pathOf(key), "value.number", text.get(), Integer.toString(min), Integer.toString(max));
         return defaultValue;
     }
 
@@ -133,7 +133,7 @@
         if (text.get().equals("true") || text.get().equals("false")) {
             return Boolean.parseBoolean(text.get());
         }
-        findings.add(placeOf(key), pathOf(key), "value.boolean", text.get());
+        findings.add(positionOf(key), pathOf(key), "value.boolean", text.get());
         return defaultValue;
     }
 
@@ -144,27 +144,27 @@
         }
         Optional<Address> address = Address.parse(text);
         if (address.isEmpty()) {
-            findings.add(placeOf(key), pathOf(key), "value.address", text);
+            findings.add(positionOf(key), pathOf(key), "value.address", text);
         }
         return address.orElse(NO_ADDRESS);
     }
 
     /** Returns the scalars of a list with their positions; empty if the key is missing. */
-    List<PlacedNode.Scalar> texts(String key) {
-        PlacedNode node = mapping.entries().get(key);
+    List<YamlNode.Scalar> textList(String key) {
+        YamlNode node = mapping.entries().get(key);
         if (node == null || isBlank(node)) {
             return List.of();
         }
-        if (!(node instanceof PlacedNode.Sequence sequence)) {
-            findings.add(node.place(), pathOf(key), "value.list");
+        if (!(node instanceof YamlNode.Sequence sequence)) {
+            findings.add(node.position(), pathOf(key), "value.list");
             return List.of();
         }
-        List<PlacedNode.Scalar> texts = new ArrayList<>();
-        for (PlacedNode item : sequence.items()) {
-            if (item instanceof PlacedNode.Scalar scalar) {
+        List<YamlNode.Scalar> texts = new ArrayList<>();
+        for (YamlNode item : sequence.items()) {
+            if (item instanceof YamlNode.Scalar scalar) {
                 texts.add(scalar);
             } else {
-                findings.add(item.place(), pathOf(key), "value.text");
+                findings.add(item.position(), pathOf(key), "value.text");
             }
         }
         return texts;
@@ -174,7 +174,7 @@
         return names.stream().sorted().collect(Collectors.joining(", "));
     }
 
-    private static boolean isBlank(PlacedNode node) {
-        return node instanceof PlacedNode.Scalar scalar && scalar.text().isBlank();
+    private static boolean isBlank(YamlNode node) {
+        return node instanceof YamlNode.Scalar scalar && scalar.text().isBlank();
     }
 }
--- a/src/main/java/org/gooseberryhill/configuration/ServicesSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/ServicesSection.java
@@ -33,7 +33,7 @@
 
     @Override
     public ServiceSettings readEntry(String name, PropertyReader entry) {
-        entry.allow(
+        entry.allowOnly(
                 "kind",
                 "model",
                 "non-idempotent",
@@ -43,7 +43,7 @@
         String kind = entry.choice("kind", KIND_MODEL, KIND_MODEL, KIND_PLAIN);
         Optional<String> model = entry.optionalText("model");
         if (kind.equals(KIND_MODEL) && model.isEmpty()) {
-            findings.add(entry.placeOf("kind"), entry.pathOf("model"), "service.model-missing");
+            findings.add(entry.positionOf("kind"), entry.pathOf("model"), "service.model-missing");
         }
         return new ServiceSettings(
                 name,
@@ -55,14 +55,14 @@
     }
 
     private List<String> nonIdempotentCalls(PropertyReader entry) {
-        List<PlacedNode.Scalar> calls = entry.texts("non-idempotent");
-        for (PlacedNode.Scalar call : calls) {
+        List<YamlNode.Scalar> calls = entry.textList("non-idempotent");
+        for (YamlNode.Scalar call : calls) {
             if (!CALL.matcher(call.text()).matches()) {
-                findings.add(call.place(), entry.pathOf("non-idempotent"), "value.call", call.text());
+                findings.add(call.position(), entry.pathOf("non-idempotent"), "value.call", call.text());
             }
         }
         return calls.stream()
-                .map(PlacedNode.Scalar::text)
+                .map(YamlNode.Scalar::text)
                 .filter(text -> CALL.matcher(text).matches())
                 .toList();
     }
--- a/src/main/java/org/gooseberryhill/configuration/Place.java
+++ b/src/main/java/org/gooseberryhill/configuration/TextPosition.java
@@ -6,4 +6,4 @@
  * @param line the line number, from 1
  * @param column the column number, from 1
  */
-public record Place(int line, int column) {}
+public record TextPosition(int line, int column) {}
--- a/src/main/java/org/gooseberryhill/configuration/UniqueAddressRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/UniqueAddressRule.java
@@ -7,14 +7,15 @@
 /** Checks that no two endpoints share an address, since slots are counted per endpoint. Stateless. */
 final class UniqueAddressRule implements ConfigurationRule {
     @Override
-    public void check(Configuration configuration, PlacedNode.Mapping root, Findings findings) {
+    public void check(Configuration configuration, YamlNode.Mapping root, Findings findings) {
         Map<Address, String> owners = new HashMap<>();
         for (EndpointSettings endpoint : configuration.endpoints().values()) {
             String owner = owners.putIfAbsent(endpoint.address(), endpoint.name());
             if (owner != null) {
-                Place place = ConfigurationRule.placeOf(root, EndpointsSection.KEY, endpoint.name(), "address");
+                TextPosition position =
+                        ConfigurationRule.positionOf(root, EndpointsSection.KEY, endpoint.name(), "address");
                 String key = EndpointsSection.KEY + "." + endpoint.name() + ".address";
-                findings.add(place, key, "endpoint.address-taken", endpoint.address(), owner);
+                findings.add(position, key, "endpoint.address-taken", endpoint.address(), owner);
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/configuration/PlacedYamlReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/YamlNodeReader.java
@@ -13,23 +13,23 @@
 import java.util.Optional;
 
 /**
- * Parses YAML into {@link PlacedNode}s, which keep the positions that the parser reports. Stateless and thread-safe.
+ * Parses YAML into {@link YamlNode}s, which keep the positions that the parser reports. Stateless and thread-safe.
  */
-final class PlacedYamlReader {
+final class YamlNodeReader {
     private static final YAMLFactory FACTORY = new YAMLFactory();
-    private static final Place START = new Place(1, 1);
+    private static final TextPosition START = new TextPosition(1, 1);
 
-    private PlacedYamlReader() {}
+    private YamlNodeReader() {}
 
     /** Returns the root node of the text; adds a finding and returns empty if the text cannot be parsed. */
-    static Optional<PlacedNode> read(String text, Findings findings) {
+    static Optional<YamlNode> read(String text, Findings findings) {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) {
-                return Optional.of(new PlacedNode.Mapping(START, Map.of(), Map.of()));
+                return Optional.of(new YamlNode.Mapping(START, Map.of(), Map.of()));
             }
             return Optional.of(node(parser, "", findings));
         } catch (JsonProcessingException e) {
-            findings.add(place(e.getLocation()), "", "yaml.syntax", firstLine(e.getOriginalMessage()));
+            findings.add(position(e.getLocation()), "", "yaml.syntax", firstLine(e.getOriginalMessage()));
             return Optional.empty();
         } catch (IOException e) {
             findings.add(START, "", "yaml.syntax", firstLine(String.valueOf(e.getMessage())));
@@ -37,50 +37,50 @@
         }
     }
 
-    private static PlacedNode node(JsonParser parser, String path, Findings findings) throws IOException {
-        Place place = place(parser.currentTokenLocation());
+    private static YamlNode node(JsonParser parser, String path, Findings findings) throws IOException {
+        TextPosition position = position(parser.currentTokenLocation());
         JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
-            return mapping(parser, place, path, findings);
+            return mapping(parser, position, path, findings);
         }
         if (token == JsonToken.START_ARRAY) {
-            return sequence(parser, place, path, findings);
+            return sequence(parser, position, path, findings);
         }
-        return new PlacedNode.Scalar(place, token == JsonToken.VALUE_NULL ? "" : parser.getText());
+        return new YamlNode.Scalar(position, token == JsonToken.VALUE_NULL ? "" : parser.getText());
     }
 
-    private static PlacedNode mapping(JsonParser parser, Place place, String path, Findings findings)
+    private static YamlNode mapping(JsonParser parser, TextPosition position, String path, Findings findings)
             throws IOException {
-        Map<String, PlacedNode> entries = new LinkedHashMap<>();
-        Map<String, Place> keyPlaces = new LinkedHashMap<>();
+        Map<String, YamlNode> entries = new LinkedHashMap<>();
+        Map<String, TextPosition> keyPositions = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String key = parser.currentName();
-            Place keyPlace = place(parser.currentTokenLocation());
+            TextPosition keyPosition = position(parser.currentTokenLocation());
             String keyPath = path.isEmpty() ? key : path + "." + key;
             parser.nextToken();
-            PlacedNode value = node(parser, keyPath, findings);
+            YamlNode value = node(parser, keyPath, findings);
             if (entries.putIfAbsent(key, value) != null) {
-                findings.add(keyPlace, keyPath, "key.duplicate");
+                findings.add(keyPosition, keyPath, "key.duplicate");
             }
-            keyPlaces.putIfAbsent(key, keyPlace);
+            keyPositions.putIfAbsent(key, keyPosition);
         }
-        return new PlacedNode.Mapping(place, entries, keyPlaces);
+        return new YamlNode.Mapping(position, entries, keyPositions);
     }
 
-    private static PlacedNode sequence(JsonParser parser, Place place, String path, Findings findings)
+    private static YamlNode sequence(JsonParser parser, TextPosition position, String path, Findings findings)
             throws IOException {
-        List<PlacedNode> items = new ArrayList<>();
+        List<YamlNode> items = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             items.add(node(parser, path + "[" + items.size() + "]", findings));
         }
-        return new PlacedNode.Sequence(place, items);
+        return new YamlNode.Sequence(position, items);
     }
 
-    private static Place place(JsonLocation location) {
+    private static TextPosition position(JsonLocation location) {
         if (location == null) {
             return START;
         }
-        return new Place(Math.max(1, location.getLineNr()), Math.max(1, location.getColumnNr()));
+        return new TextPosition(Math.max(1, location.getLineNr()), Math.max(1, location.getColumnNr()));
     }
 
     private static String firstLine(String message) {
--- a/src/main/java/org/gooseberryhill/logging/LineOutput.java
+++ b/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
@@ -20,19 +20,19 @@
  *
  * <p>Invariant: lines are written whole and in the order in which they were queued.
  */
-final class LineOutput {
+final class AsyncLineWriter {
     /** The number of batches of lines that the queue holds. */
-    static final int MAX_WAITING = 1024;
+    static final int QUEUE_CAPACITY = 1024;
 
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
-    private final BlockingQueue<List<TimelineEvent>> waiting = new ArrayBlockingQueue<>(MAX_WAITING);
+    private final BlockingQueue<List<TimelineEvent>> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final LongAdder droppedLines = new LongAdder();
     private final OutputStream out;
     private volatile boolean writing;
 
     /** Starts a writer to a stream, which must not be closed elsewhere. */
-    LineOutput(OutputStream out) {
+    AsyncLineWriter(OutputStream out) {
         this.out = out;
         Thread thread = new Thread(this::run, "log");
         thread.setDaemon(true);
@@ -40,8 +40,8 @@
     }
 
     /** Queues a batch of events; drops it if the queue is full. Never blocks. */
-    void write(List<TimelineEvent> events) {
-        if (!waiting.offer(List.copyOf(events))) {
+    void enqueue(List<TimelineEvent> events) {
+        if (!queue.offer(List.copyOf(events))) {
             droppedLines.add(events.size());
         }
     }
@@ -52,20 +52,20 @@
     }
 
     /** Waits until all queued events are written, or until a time-out in milliseconds has passed. */
-    void await(long millis) {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while ((writing || !waiting.isEmpty()) && System.nanoTime() - untilNanos < 0) {
-            LockSupport.parkNanos(LOOK_NANOS);
+    void awaitWritten(long timeoutMillis) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        while ((writing || !queue.isEmpty()) && System.nanoTime() - deadlineNanos < 0) {
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
     private void run() {
         try {
             while (true) {
-                writing = !waiting.isEmpty();
-                List<TimelineEvent> events = waiting.take();
+                writing = !queue.isEmpty();
+                List<TimelineEvent> events = queue.take();
                 writing = true;
-                out.write(TimelineLines.lines(events));
+                out.write(TimelineLines.formatUtf8(events));
                 out.flush();
             }
         } catch (IOException e) {
--- a/src/main/java/org/gooseberryhill/logging/DroppingQueueFullPolicy.java
+++ b/src/main/java/org/gooseberryhill/logging/DroppingQueueFullPolicy.java
@@ -16,7 +16,7 @@
     private static final LongAdder DROPPED = new LongAdder();
 
     /** Returns the number of messages dropped so far. */
-    public static long dropped() {
+    public static long droppedCount() {
         return DROPPED.sum();
     }
 
--- a/src/main/java/org/gooseberryhill/logging/LogSink.java
+++ b/src/main/java/org/gooseberryhill/logging/LogSink.java
@@ -17,9 +17,9 @@
 /**
  * Writes a process's events to standard output. Thread-safe.
  *
- * <p>Waking the writer thread costs more than formatting a line. Routine events are therefore buffered until {@link
- * #flush} or until the buffer reaches a threshold; any other event is written at once, together with the events before
- * it.
+ * <p>Waking the writer thread costs more than formatting a line. Routine events are therefore buffered until
+ * {@link #flush} or until the buffer reaches a threshold; any other event is written at once, together with the events
+ * before it.
  *
  * <p>Events bypass the logging library, whose initialization takes one sixth of a process's start-up time, while
  * callers wait for a restarted process. The library writes all other messages and is initialized with the first of
@@ -29,7 +29,7 @@
  */
 public final class LogSink implements EventSink {
     /** The number of buffered events at which the buffer is flushed. */
-    static final int MANY = 64;
+    static final int FLUSH_THRESHOLD = 64;
 
     private static final Set<String> ROUTINE_KINDS = Arrays.stream(EventKind.values())
             .filter(kind -> kind.importance() == Importance.ROUTINE)
@@ -39,9 +39,9 @@
     /** The levels above INFO, the level of events. */
     private static final Set<String> LEVELS_WITHOUT_EVENTS = Set.of("WARN", "ERROR", "FATAL", "OFF");
 
-    private final boolean written;
-    private final LineOutput output;
-    private final List<TimelineEvent> waiting = new ArrayList<>();
+    private final boolean enabled;
+    private final AsyncLineWriter writer;
+    private final List<TimelineEvent> buffer = new ArrayList<>();
 
     /** Creates a sink to standard output with the minimum level set in the environment. */
     public LogSink() {
@@ -51,38 +51,38 @@
     }
 
     /** Creates a sink that writes nothing if the minimum level is above that of events. */
-    LogSink(OutputStream out, String leastLevel) {
-        this.written = !LEVELS_WITHOUT_EVENTS.contains(leastLevel.toUpperCase(Locale.ROOT));
-        this.output = new LineOutput(out);
+    LogSink(OutputStream out, String minimumLevel) {
+        this.enabled = !LEVELS_WITHOUT_EVENTS.contains(minimumLevel.toUpperCase(Locale.ROOT));
+        this.writer = new AsyncLineWriter(out);
     }
 
     @Override
-    public synchronized void take(TimelineEvent event) {
-        if (!written) {
+    public synchronized void accept(TimelineEvent event) {
+        if (!enabled) {
             return;
         }
-        waiting.add(event);
-        if (!ROUTINE_KINDS.contains(event.kind()) || waiting.size() >= MANY) {
+        buffer.add(event);
+        if (!ROUTINE_KINDS.contains(event.kind()) || buffer.size() >= FLUSH_THRESHOLD) {
             flush();
         }
     }
 
     @Override
     public synchronized void flush() {
-        if (!waiting.isEmpty()) {
-            output.write(waiting);
-            waiting.clear();
+        if (!buffer.isEmpty()) {
+            writer.enqueue(buffer);
+            buffer.clear();
         }
     }
 
     /** Returns the number of lines dropped because nobody read standard output. */
     public long droppedLines() {
-        return output.droppedLines();
+        return writer.droppedLines();
     }
 
     /** Writes all accepted events; gives up after a time-out in milliseconds, since nobody may be reading. */
-    public void finish(long millis) {
+    public void finish(long timeoutMillis) {
         flush();
-        output.await(millis);
+        writer.awaitWritten(timeoutMillis);
     }
 }
--- a/src/main/java/org/gooseberryhill/logging/Logs.java
+++ b/src/main/java/org/gooseberryhill/logging/Logs.java
@@ -28,11 +28,11 @@
     /**
      * Writes the messages that remain in the ring buffer and stops logging, at the end of a process.
      *
-     * @param millis the time-out in milliseconds, since nobody may be reading standard output
+     * @param timeoutMillis the time-out in milliseconds, since nobody may be reading standard output
      */
-    public static void stop(long millis) {
+    public static void stop(long timeoutMillis) {
         if (STARTED.isEvaluated() && LogManager.getContext(false) instanceof LoggerContext context) {
-            context.stop(millis, TimeUnit.MILLISECONDS);
+            context.stop(timeoutMillis, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/org/gooseberryhill/metrics/DurationBuckets.java
+++ b/src/main/java/org/gooseberryhill/metrics/DurationBuckets.java
@@ -20,7 +20,7 @@
         return UPPER_BOUNDS_SECONDS[bucket];
     }
 
-    synchronized void add(double seconds) {
+    synchronized void observe(double seconds) {
         int bucket = 0;
         while (seconds > UPPER_BOUNDS_SECONDS[bucket]) {
             bucket++;
@@ -29,12 +29,12 @@
         sumSeconds += seconds;
     }
 
-    synchronized Reading read() {
+    synchronized Snapshot snapshot() {
         List<Long> copy = new ArrayList<>();
         for (long count : counts) {
             copy.add(count);
         }
-        return new Reading(copy, sumSeconds);
+        return new Snapshot(copy, sumSeconds);
     }
 
     /**
@@ -43,5 +43,5 @@
      * @param counts the number of durations in each bucket, not cumulative
      * @param sumSeconds the sum of all durations
      */
-    record Reading(List<Long> counts, double sumSeconds) {}
+    record Snapshot(List<Long> counts, double sumSeconds) {}
 }
--- a/src/main/java/org/gooseberryhill/metrics/LabeledCounter.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabeledCounter.java
@@ -23,7 +23,7 @@
 
     /** Increments the count for a combination of label values, one for each label. */
     public void add(String... labelValues) {
-        counts.computeIfAbsent(labels.values(labelValues), key -> new LongAdder())
+        counts.computeIfAbsent(labels.checkedValues(labelValues), key -> new LongAdder())
                 .increment();
     }
 
@@ -31,7 +31,7 @@
     public MetricSnapshot snapshot() {
         CounterSnapshot.Builder snapshot = CounterSnapshot.builder().name(name).help(help);
         counts.forEach((values, count) -> snapshot.dataPoint(CounterDataPointSnapshot.builder()
-                .labels(labels.labels(values))
+                .labels(labels.toLabels(values))
                 .value(count.sum())
                 .build()));
         return snapshot.build();
--- a/src/main/java/org/gooseberryhill/metrics/LabeledHistogram.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabeledHistogram.java
@@ -23,26 +23,26 @@
 
     /** Records a duration in seconds for a combination of label values, one for each label. */
     public void observe(double seconds, String... labelValues) {
-        buckets.computeIfAbsent(labels.values(labelValues), key -> new DurationBuckets())
-                .add(seconds);
+        buckets.computeIfAbsent(labels.checkedValues(labelValues), key -> new DurationBuckets())
+                .observe(seconds);
     }
 
     @Override
     public MetricSnapshot snapshot() {
         HistogramSnapshot.Builder snapshot =
                 HistogramSnapshot.builder().name(name).help(help);
-        buckets.forEach((values, durations) -> snapshot.dataPoint(dataPoint(values, durations.read())));
+        buckets.forEach((values, durations) -> snapshot.dataPoint(dataPoint(values, durations.snapshot())));
         return snapshot.build();
     }
 
-    private HistogramDataPointSnapshot dataPoint(List<String> values, DurationBuckets.Reading reading) {
+    private HistogramDataPointSnapshot dataPoint(List<String> values, DurationBuckets.Snapshot reading) {
         ClassicHistogramBuckets.Builder classic = ClassicHistogramBuckets.builder();
         for (int i = 0; i < reading.counts().size(); i++) {
             classic.bucket(
                     DurationBuckets.upperBoundSeconds(i), reading.counts().get(i));
         }
         return HistogramDataPointSnapshot.builder()
-                .labels(labels.labels(values))
+                .labels(labels.toLabels(values))
                 .classicHistogramBuckets(classic.build())
                 .sum(reading.sumSeconds())
                 .build();
--- a/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
@@ -12,45 +12,45 @@
  * request must be explainable even if most others succeed.
  */
 final class EventLimiter {
-    /** The limit for routine events: enough to show the traffic pattern; a line costs about ten microseconds. */
+    /** The limit per kind of routine events: enough to show the traffic pattern; a line costs about 10 microseconds. */
     static final int ROUTINE_PER_SECOND = 200;
 
-    /** The limit for all other events: higher than the total request rate offered to a host of the planned size. */
+    /** The limit per kind of other events: above the total request rate offered to a host of the planned size. */
     static final int FAILURES_PER_SECOND = 1000;
 
     private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final Map<EventKind, Integer> written = new EnumMap<>(EventKind.class);
+    private final Map<EventKind, Integer> writtenInWindow = new EnumMap<>(EventKind.class);
     private final Map<EventKind, Integer> dropped = new EnumMap<>(EventKind.class);
-    private long windowNanos = Long.MIN_VALUE;
+    private long windowStartNanos = Long.MIN_VALUE;
 
     /** Counts an event and returns whether it may be written now. */
-    boolean mayWrite(EventKind kind, long nowNanos) {
+    boolean tryAcquire(EventKind kind, long nowNanos) {
         startWindow(nowNanos);
-        int bound = kind.importance() == Importance.ROUTINE ? ROUTINE_PER_SECOND : FAILURES_PER_SECOND;
-        int count = written.getOrDefault(kind, 0);
-        if (count >= bound) {
+        int limit = kind.importance() == Importance.ROUTINE ? ROUTINE_PER_SECOND : FAILURES_PER_SECOND;
+        int count = writtenInWindow.getOrDefault(kind, 0);
+        if (count >= limit) {
             dropped.merge(kind, 1, Integer::sum);
             return false;
         }
-        written.put(kind, count + 1);
+        writtenInWindow.put(kind, count + 1);
         return true;
     }
 
     /** Returns and clears the number of dropped events by kind; empty until the window in which they fell is over. */
-    Map<EventKind, Integer> takeDropped(long nowNanos) {
-        if (dropped.isEmpty() || nowNanos - windowNanos < WINDOW_NANOS) {
+    Map<EventKind, Integer> drainDropped(long nowNanos) {
+        if (dropped.isEmpty() || nowNanos - windowStartNanos < WINDOW_NANOS) {
             return Map.of();
         }
-        Map<EventKind, Integer> taken = new EnumMap<>(dropped);
+        Map<EventKind, Integer> drained = new EnumMap<>(dropped);
         dropped.clear();
-        return taken;
+        return drained;
     }
 
     private void startWindow(long nowNanos) {
-        if (windowNanos == Long.MIN_VALUE || nowNanos - windowNanos >= WINDOW_NANOS) {
-            windowNanos = nowNanos;
-            written.clear();
+        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= WINDOW_NANOS) {
+            windowStartNanos = nowNanos;
+            writtenInWindow.clear();
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/timeline/EventSink.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventSink.java
@@ -4,7 +4,7 @@
 @FunctionalInterface
 public interface EventSink {
     /** Accepts an event. */
-    void take(TimelineEvent event);
+    void accept(TimelineEvent event);
 
     /** Writes buffered events; must be called several times a second. */
     default void flush() {
--- a/src/main/java/org/gooseberryhill/timeline/FileSink.java
+++ b/src/main/java/org/gooseberryhill/timeline/FileSink.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public synchronized void take(TimelineEvent event) {
+    public synchronized void accept(TimelineEvent event) {
         if (failed) {
             return;
         }
--- a/src/main/java/org/gooseberryhill/timeline/LineWriter.java
+++ b/src/main/java/org/gooseberryhill/timeline/JsonLineWriter.java
@@ -13,7 +13,7 @@
  * makes several calls for each character; with it, logging took one fiftieth of a process's work under load. This class
  * copies each text as a whole and has the library escape only texts that need it.
  */
-final class LineWriter {
+final class JsonLineWriter {
     /** The length of an ISO 8601 time up to the seconds, such as 2026-01-31T12:34:56. */
     private static final int SECONDS_CHARACTERS = 19;
 
@@ -23,42 +23,42 @@
 
     private byte[] out;
     private int length;
-    private long second = Long.MIN_VALUE;
-    private String secondText = "";
-    private boolean first;
+    private long cachedSecond = Long.MIN_VALUE;
+    private String cachedSecondText = "";
+    private boolean firstField;
 
-    LineWriter(int expectedBytes) {
+    JsonLineWriter(int expectedBytes) {
         out = new byte[Math.max(1, expectedBytes)];
     }
 
     /** Begins a line. */
     void begin() {
-        raw("{");
-        first = true;
+        append("{");
+        firstField = true;
     }
 
     /** Ends a line. */
     void end() {
-        raw("}\n");
+        append("}\n");
     }
 
     void text(String name, String value) {
-        name(name);
-        raw("\"");
+        appendName(name);
+        append("\"");
         int from = length;
-        raw(value);
+        append(value);
         if (!isPlain(from)) {
             length = from;
             // quoteAsUTF8() fails for an unpaired surrogate, which would lose the line.
             String quoted = new String(JsonStringEncoder.getInstance().quoteAsString(value));
-            raw(quoted.getBytes(StandardCharsets.UTF_8));
+            append(quoted.getBytes(StandardCharsets.UTF_8));
         }
-        raw("\"");
+        append("\"");
     }
 
     void number(String name, long value) {
-        name(name);
-        raw(Long.toString(value));
+        appendName(name);
+        append(Long.toString(value));
     }
 
     /** Writes a number; as a text if it is not finite, which JSON cannot represent. */
@@ -67,23 +67,23 @@
             text(name, Double.toString(value));
             return;
         }
-        name(name);
-        raw(Double.toString(value));
+        appendName(name);
+        append(Double.toString(value));
     }
 
     void flag(String name, boolean value) {
-        name(name);
-        raw(value ? "true" : "false");
+        appendName(name);
+        append(value ? "true" : "false");
     }
 
     /** Writes epoch milliseconds as an ISO 8601 time in UTC with milliseconds. */
     void time(String name, long epochMillis) {
-        name(name);
-        raw("\"");
-        raw(seconds(Math.floorDiv(epochMillis, TimeUnit.SECONDS.toMillis(1))));
-        raw(".");
-        millis((int) Math.floorMod(epochMillis, TimeUnit.SECONDS.toMillis(1)));
-        raw("Z\"");
+        appendName(name);
+        append("\"");
+        append(formatSeconds(Math.floorDiv(epochMillis, TimeUnit.SECONDS.toMillis(1))));
+        append(".");
+        appendMillis((int) Math.floorMod(epochMillis, TimeUnit.SECONDS.toMillis(1)));
+        append("Z\"");
     }
 
     /** Returns all lines written so far. */
@@ -92,43 +92,43 @@
     }
 
     /** Appends a field name. Names are constants of the code, which need no escaping. */
-    private void name(String name) {
-        raw(first ? "\"" : ",\"");
-        first = false;
-        raw(name);
-        raw("\":");
+    private void appendName(String name) {
+        append(firstField ? "\"" : ",\"");
+        firstField = false;
+        append(name);
+        append("\":");
     }
 
-    private void millis(int millis) {
-        room(MILLIS_DIGITS);
-        int rest = millis;
+    private void appendMillis(int millis) {
+        ensureCapacity(MILLIS_DIGITS);
+        int remaining = millis;
         for (int digit = MILLIS_DIGITS - 1; digit >= 0; digit--) {
-            out[length + digit] = (byte) ('0' + rest % DECIMAL);
-            rest /= DECIMAL;
+            out[length + digit] = (byte) ('0' + remaining % DECIMAL);
+            remaining /= DECIMAL;
         }
         length += MILLIS_DIGITS;
     }
 
-    private String seconds(long epochSecond) {
-        if (epochSecond != second) {
-            second = epochSecond;
-            secondText = Instant.ofEpochSecond(epochSecond).toString().substring(0, SECONDS_CHARACTERS);
+    private String formatSeconds(long epochSecond) {
+        if (epochSecond != cachedSecond) {
+            cachedSecond = epochSecond;
+            cachedSecondText = Instant.ofEpochSecond(epochSecond).toString().substring(0, SECONDS_CHARACTERS);
         }
-        return secondText;
+        return cachedSecondText;
     }
 
     /** Appends a text as ISO 8859-1; {@link #isPlain} detects characters that this cannot represent. */
-    private void raw(String text) {
-        raw(text.getBytes(StandardCharsets.ISO_8859_1));
+    private void append(String text) {
+        append(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private void raw(byte[] bytes) {
-        room(bytes.length);
+    private void append(byte[] bytes) {
+        ensureCapacity(bytes.length);
         System.arraycopy(bytes, 0, out, length, bytes.length);
         length += bytes.length;
     }
 
-    private void room(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (length + bytes > out.length) {
             out = Arrays.copyOf(out, 2 * (length + bytes));
         }
--- a/src/main/java/org/gooseberryhill/timeline/Timeline.java
+++ b/src/main/java/org/gooseberryhill/timeline/Timeline.java
@@ -30,24 +30,24 @@
 
     /** Begins an event, which is recorded when {@link EventBuilder#write} is called. */
     public EventBuilder event(EventKind kind) {
-        return new EventBuilder(kind, this::take);
+        return new EventBuilder(kind, this::recordEvent);
     }
 
-    private void take(EventBuilder event) {
+    private void recordEvent(EventBuilder event) {
         Map<EventKind, Integer> dropped;
         boolean written;
         synchronized (limiter) {
             long now = nowNanos.getAsLong();
-            dropped = limiter.takeDropped(now);
-            written = limiter.mayWrite(event.kind(), now);
+            dropped = limiter.drainDropped(now);
+            written = limiter.tryAcquire(event.kind(), now);
         }
         if (!dropped.isEmpty()) {
-            EventBuilder lines = new EventBuilder(EventKind.LINES_DROPPED, this::take);
-            dropped.forEach((kind, count) -> lines.with(kind.wireName(), count));
-            sink.take(lines.build(clock.now(), process));
+            EventBuilder droppedEvent = new EventBuilder(EventKind.LINES_DROPPED, this::recordEvent);
+            dropped.forEach((kind, count) -> droppedEvent.with(kind.wireName(), count));
+            sink.accept(droppedEvent.build(clock.now(), process));
         }
         if (written) {
-            sink.take(event.build(clock.now(), process));
+            sink.accept(event.build(clock.now(), process));
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/timeline/TimelineLines.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineLines.java
@@ -20,20 +20,20 @@
     private static final String REQUEST = "request";
     private static final String JOB = "job";
     private static final String ENDPOINT = "endpoint";
-    private static final int USUAL_LINE_CHARACTERS = 300;
-    private static final Set<String> OWN_FIELDS = Set.of(AT, TIME, PROCESS, KIND, REQUEST, JOB, ENDPOINT);
+    private static final int EXPECTED_LINE_BYTES = 300;
+    private static final Set<String> STANDARD_FIELDS = Set.of(AT, TIME, PROCESS, KIND, REQUEST, JOB, ENDPOINT);
 
     private TimelineLines() {}
 
     /** Formats an event as one line, without the line terminator. */
     public static String line(TimelineEvent event) {
-        return new String(lines(List.of(event)), StandardCharsets.UTF_8).stripTrailing();
+        return new String(formatUtf8(List.of(event)), StandardCharsets.UTF_8).stripTrailing();
     }
 
     /** Formats events as lines in UTF-8, each with a line terminator. */
-    public static byte[] lines(List<TimelineEvent> events) {
-        LineWriter writer = new LineWriter(events.size() * USUAL_LINE_CHARACTERS);
-        events.forEach(event -> write(event, writer));
+    public static byte[] formatUtf8(List<TimelineEvent> events) {
+        JsonLineWriter writer = new JsonLineWriter(events.size() * EXPECTED_LINE_BYTES);
+        events.forEach(event -> writeEvent(event, writer));
         return writer.bytes();
     }
 
@@ -48,7 +48,7 @@
         JsonNode node = json.get();
         Map<String, Object> details = new LinkedHashMap<>();
         node.properties().forEach(field -> {
-            if (!OWN_FIELDS.contains(field.getKey())) {
+            if (!STANDARD_FIELDS.contains(field.getKey())) {
                 details.put(field.getKey(), field.getValue().asText());
             }
         });
@@ -56,13 +56,13 @@
                 new HybridTimestamp(node.path(AT).asLong()),
                 node.path(PROCESS).asText(),
                 node.path(KIND).asText(),
-                text(node, REQUEST),
-                text(node, JOB),
-                text(node, ENDPOINT),
+                optionalText(node, REQUEST),
+                optionalText(node, JOB),
+                optionalText(node, ENDPOINT),
                 details));
     }
 
-    private static void write(TimelineEvent event, LineWriter line) {
+    private static void writeEvent(TimelineEvent event, JsonLineWriter line) {
         line.begin();
         // For readers only; events are ordered by the hybrid timestamp.
         line.time(TIME, event.at().epochMillis());
@@ -76,7 +76,7 @@
         line.end();
     }
 
-    private static void writeDetail(LineWriter line, String name, Object value) {
+    private static void writeDetail(JsonLineWriter line, String name, Object value) {
         if (value instanceof Boolean flag) {
             line.flag(name, flag);
         } else if (value instanceof Double || value instanceof Float) {
@@ -88,7 +88,7 @@
         }
     }
 
-    private static Optional<String> text(JsonNode node, String field) {
+    private static Optional<String> optionalText(JsonNode node, String field) {
         return node.has(field) ? Optional.of(node.path(field).asText()) : Optional.empty();
     }
 }
--- a/src/main/java/org/gooseberryhill/timeline/TimelineQuery.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineQuery.java
@@ -26,10 +26,10 @@
     /**
      * Covers the state behind a decision: hosts report each second, and the store counts as lost after some seconds.
      */
-    private static final long BEFORE_MILLIS = TimeUnit.SECONDS.toMillis(5);
+    private static final long SURROUNDINGS_BEFORE_MILLIS = TimeUnit.SECONDS.toMillis(5);
 
     /** Covers the detection and the restart of a host that was lost together with a request. */
-    private static final long AFTER_MILLIS = TimeUnit.SECONDS.toMillis(5);
+    private static final long SURROUNDINGS_AFTER_MILLIS = TimeUnit.SECONDS.toMillis(5);
 
     private static final Set<String> STATE_KINDS = Arrays.stream(EventKind.values())
             .filter(kind -> kind.importance() == Importance.STATE)
@@ -47,8 +47,8 @@
         if (!surroundings || found.isEmpty()) {
             return found;
         }
-        long fromMillis = found.get(0).at().epochMillis() - BEFORE_MILLIS;
-        long toMillis = found.get(found.size() - 1).at().epochMillis() + AFTER_MILLIS;
+        long fromMillis = found.get(0).at().epochMillis() - SURROUNDINGS_BEFORE_MILLIS;
+        long toMillis = found.get(found.size() - 1).at().epochMillis() + SURROUNDINGS_AFTER_MILLIS;
         Set<String> endpoints = new TreeSet<>();
         found.forEach(event -> event.endpoint().ifPresent(endpoints::add));
         return events.stream()
--- a/src/test/java/org/gooseberryhill/configuration/ConfigurationReaderTest.java
+++ b/src/test/java/org/gooseberryhill/configuration/ConfigurationReaderTest.java
@@ -33,7 +33,7 @@
 
     /** A text with twenty errors: all of them are reported at once, each with its position and a remedy. */
     @Test
-    void allMistakesAreReportedTogetherWithTheirPlaces() throws IOException {
+    void allErrorsAreReportedTogetherWithTheirPositions() throws IOException {
         List<Finding> findings = ConfigurationReader.read("fleet.yaml", resource("twenty-mistakes.yaml"))
                 .getLeft();
 
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aTextThatIsNotYamlIsReportedWithItsPlace() {
+    void aTextThatIsNotYamlIsReportedWithItsPosition() {
         Finding finding =
                 ConfigurationReader.read("f", "services:\n  a: [\n").getLeft().get(0);
 
@@ -72,11 +72,11 @@
         Random random = new Random(seed);
         StringBuilder text = new StringBuilder(SAMPLE);
         for (int i = 0; i < 1 + random.nextInt(10); i++) {
-            int place = random.nextInt(text.length());
+            int index = random.nextInt(text.length());
             switch (random.nextInt(3)) {
-                case 0 -> text.deleteCharAt(place);
-                case 1 -> text.insert(place, DAMAGE.charAt(random.nextInt(DAMAGE.length())));
-                default -> text.setLength(Math.max(1, place));
+                case 0 -> text.deleteCharAt(index);
+                case 1 -> text.insert(index, DAMAGE.charAt(random.nextInt(DAMAGE.length())));
+                default -> text.setLength(Math.max(1, index));
             }
         }
 
--- a/src/test/java/org/gooseberryhill/logging/LineOutputTest.java
+++ b/src/test/java/org/gooseberryhill/logging/AsyncLineWriterTest.java
@@ -11,20 +11,20 @@
 import org.gooseberryhill.timeline.TimelineEvent;
 import org.junit.jupiter.api.Test;
 
-class LineOutputTest {
+class AsyncLineWriterTest {
     private static final TimelineEvent EVENT = new TimelineEvent(
             new HybridTimestamp(1), "p", "kind", Optional.empty(), Optional.empty(), Optional.empty(), Map.of());
 
     /** Nobody reads standard output, so the writer thread blocks forever; callers that queue events must not block. */
     @Test
-    void aBlockedStreamHoldsNobodyUpAndIsCounted() throws InterruptedException {
+    void aBlockedStreamDoesNotBlockCallersAndDropsAreCounted() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
-        LineOutput output = new LineOutput(stream);
-        output.write(List.of(EVENT));
+        AsyncLineWriter output = new AsyncLineWriter(stream);
+        output.enqueue(List.of(EVENT));
         stream.blocked.await();
 
-        for (int i = 0; i < LineOutput.MAX_WAITING + 5; i++) {
-            output.write(List.of(EVENT, EVENT));
+        for (int i = 0; i < AsyncLineWriter.QUEUE_CAPACITY + 5; i++) {
+            output.enqueue(List.of(EVENT, EVENT));
         }
 
         assertThat(output.droppedLines()).isEqualTo(10);
@@ -33,13 +33,13 @@
 
     /** A process ends while nobody reads standard output: the wait ends after its time-out. */
     @Test
-    void theEndDoesNotWaitForABlockedStream() throws InterruptedException {
+    void awaitTimesOutOnABlockedStream() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
-        LineOutput output = new LineOutput(stream);
-        output.write(List.of(EVENT));
+        AsyncLineWriter output = new AsyncLineWriter(stream);
+        output.enqueue(List.of(EVENT));
         stream.blocked.await();
 
-        output.await(1);
+        output.awaitWritten(1);
 
         assertThat(stream.released.getCount()).isEqualTo(1);
         stream.released.countDown();
--- a/src/test/java/org/gooseberryhill/logging/BlockedOutputTest.java
+++ b/src/test/java/org/gooseberryhill/logging/BlockedOutputTest.java
@@ -21,7 +21,7 @@
      * log must run to completion, and dropped messages are counted.
      */
     @Test
-    void aBlockedStandardOutputHoldsNobodyUp() throws IOException, InterruptedException {
+    void aBlockedStandardOutputDoesNotBlockThreadsThatLog() throws IOException, InterruptedException {
         ProcessBuilder builder = new ProcessBuilder(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -49,7 +49,7 @@
             for (int i = 0; i < LINES; i++) {
                 log.info("line {} with some more text so that the pipe is soon full", i);
             }
-            System.err.println("dropped " + DroppingQueueFullPolicy.dropped());
+            System.err.println("dropped " + DroppingQueueFullPolicy.droppedCount());
         }
     }
 }
--- a/src/test/java/org/gooseberryhill/logging/LogSinkTest.java
+++ b/src/test/java/org/gooseberryhill/logging/LogSinkTest.java
@@ -20,60 +20,60 @@
 
     @Test
     void eventsAreWrittenInTheirOrder() {
-        sink.take(event("request.ended"));
-        sink.take(event("second"));
-        sink.take(event("third"));
+        sink.accept(event("request.ended"));
+        sink.accept(event("second"));
+        sink.accept(event("third"));
 
-        assertThat(written()).containsExactly("request.ended", "second", "third");
+        assertThat(flushedKinds()).containsExactly("request.ended", "second", "third");
     }
 
     /**
      * At some hundred requests a second with two events each, waking the writer thread for every event is too costly.
      */
     @Test
-    void eventsOfTheOrdinaryCourseAreHandedOverTogether() {
+    void routineEventsAreWrittenTogether() {
         for (int i = 0; i < 10; i++) {
-            sink.take(event("request.ended"));
+            sink.accept(event("request.ended"));
         }
         assertThat(out.writes()).isZero();
 
         sink.flush();
         sink.flush();
-        assertThat(written()).hasSize(10);
+        assertThat(flushedKinds()).hasSize(10);
         assertThat(out.writes()).isEqualTo(1);
     }
 
     @Test
-    void manyEventsDoNotWait() {
-        for (int i = 0; i < LogSink.MANY; i++) {
-            sink.take(event("request.ended"));
+    void aFullBufferIsWritten() {
+        for (int i = 0; i < LogSink.FLUSH_THRESHOLD; i++) {
+            sink.accept(event("request.ended"));
         }
-        sink.take(event("request.ended"));
+        sink.accept(event("request.ended"));
 
         out.awaitWrites(1);
-        assertThat(kinds()).hasSize(LogSink.MANY);
+        assertThat(kinds()).hasSize(LogSink.FLUSH_THRESHOLD);
     }
 
     /** A failing host must write the reason and the events before it while it still can. */
     @Test
-    void aFailureGoesAtOnceWithWhatCameBefore() {
-        sink.take(event("attempt.sent"));
-        sink.take(event("request.failed"));
+    void aFailureIsWrittenAtOnceWithTheEventsBeforeIt() {
+        sink.accept(event("attempt.sent"));
+        sink.accept(event("request.failed"));
 
         out.awaitWrites(1);
         assertThat(kinds()).containsExactly("attempt.sent", "request.failed");
     }
 
     @Test
-    void aLevelAboveThatOfEventsLeavesThemOut() {
+    void aMinimumLevelAboveThatOfEventsDisablesThem() {
         LogSink quiet = new LogSink(out, "Error");
-        quiet.take(event("request.failed"));
+        quiet.accept(event("request.failed"));
         quiet.finish(FINISH_MILLIS);
 
         assertThat(out.writes()).isZero();
     }
 
-    private List<String> written() {
+    private List<String> flushedKinds() {
         sink.finish(FINISH_MILLIS);
         return kinds();
     }
--- a/src/test/java/org/gooseberryhill/metrics/MetricSetTest.java
+++ b/src/test/java/org/gooseberryhill/metrics/MetricSetTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aGaugeIsAskedForAtEachReading() {
+    void aGaugeIsEvaluatedAtEachReading() {
         AtomicInteger value = new AtomicInteger(3);
         metrics.gauge("open", "Open", value::get);
         assertThat(lines()).contains("open 3.0");
--- a/src/test/java/org/gooseberryhill/timeline/LineWriterProperties.java
+++ b/src/test/java/org/gooseberryhill/timeline/JsonLineWriterProperties.java
@@ -16,23 +16,23 @@
 import org.gooseberryhill.link.Json;
 
 /** Checks that lines are valid JSON for any text that callers send in headers. */
-class LineWriterProperties {
+class JsonLineWriterProperties {
     @Property
     void anyTextIsReadAsItWasWritten(@ForAll String value, @ForAll String other) {
-        LineWriter writer = new LineWriter(1);
+        JsonLineWriter writer = new JsonLineWriter(1);
         writer.begin();
         writer.text("a", value);
         writer.text("b", other);
         writer.end();
 
         JsonNode json = Json.tree(writer.bytes()).get();
-        assertThat(json.path("a").textValue()).isEqualTo(readable(value));
-        assertThat(json.path("b").textValue()).isEqualTo(readable(other));
+        assertThat(json.path("a").textValue()).isEqualTo(encodable(value));
+        assertThat(json.path("b").textValue()).isEqualTo(encodable(other));
     }
 
     @Property
     void numbersAndFlagsAreReadAsTheyWereWritten(@ForAll long whole, @ForAll double number, @ForAll boolean flag) {
-        LineWriter writer = new LineWriter(16);
+        JsonLineWriter writer = new JsonLineWriter(16);
         writer.begin();
         writer.number("whole", whole);
         writer.number("number", number);
@@ -46,8 +46,8 @@
     }
 
     @Property
-    void timesAreThoseOfTheCalendar(@ForAll @LongRange(min = 0, max = 4_102_444_800_000L) long epochMillis) {
-        LineWriter writer = new LineWriter(16);
+    void timesAreWrittenAsIsoInstants(@ForAll @LongRange(min = 0, max = 4_102_444_800_000L) long epochMillis) {
+        JsonLineWriter writer = new JsonLineWriter(16);
         writer.begin();
         writer.time("time", epochMillis);
         writer.end();
@@ -58,13 +58,13 @@
     }
 
     @Example
-    void halfOfASurrogatePairLosesNoLine() {
+    void anUnpairedSurrogateLosesNoLine() {
         anyTextIsReadAsItWasWritten("\ud800", "a\udc00\"b");
     }
 
     /** Log injection: a request id contains a quote and a line break in order to add a field and a line. */
     @Example
-    void aTextCanNotForgeAField() {
+    void aTextCannotInjectAField() {
         String forged = "x\",\"kind\":\"request.ended\"}\n{\"kind\":\"y";
         TimelineEvent event = new TimelineEvent(
                 new HybridTimestamp(1),
@@ -75,14 +75,14 @@
                 Optional.empty(),
                 Map.of());
 
-        String lines = new String(TimelineLines.lines(List.of(event)), StandardCharsets.UTF_8);
+        String lines = new String(TimelineLines.formatUtf8(List.of(event)), StandardCharsets.UTF_8);
 
         assertThat(lines.lines()).hasSize(1);
         assertThat(TimelineLines.parse(lines)).contains(event);
     }
 
     /** Replaces unpaired surrogates, which UTF-8 cannot represent, as the Java library does. */
-    private static String readable(String value) {
+    private static String encodable(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         return new String(bytes, StandardCharsets.UTF_8);
     }
--- a/src/test/java/org/gooseberryhill/timeline/TimelineQueryTest.java
+++ b/src/test/java/org/gooseberryhill/timeline/TimelineQueryTest.java
@@ -26,7 +26,7 @@
      * host detected the loss, that the host restarted, and the state of the endpoint concerned.
      */
     @Test
-    void theStoryOfARequestShowsWhatProcessesBelievedMeanwhile() {
+    void surroundingsOfARequestShowProcessAndEndpointState() {
         add(0, "b", EventKind.STORE_LOST, "", "");
         add(6_000, "b", EventKind.DIRECTORY_CHANGED, "", "other");
         add(6_000, "b", EventKind.ENDPOINT_HEALTH, "", "e1");
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void theItemOfABatchIsToldApartFromItsOthers() {
+    void aQueryForAnItemExcludesOtherItemsOfItsBatch() {
         add(0, "a", EventKind.ITEM_STARTED, "", "e1", "job", "b", "item", "i1");
         add(1, "a", EventKind.ITEM_STARTED, "", "e1", "job", "b", "item", "i2");
         TimelineQuery query =
@@ -68,13 +68,13 @@
                 HybridTimestamp.ofMillis(1_000_000 + millis),
                 process,
                 kind.wireName(),
-                some(request),
+                nonEmpty(request),
                 job,
-                some(endpoint),
+                nonEmpty(endpoint),
                 rest));
     }
 
-    private static Optional<String> some(String text) {
+    private static Optional<String> nonEmpty(String text) {
         return text.isEmpty() ? Optional.empty() : Optional.of(text);
     }
 }
--- a/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
+++ b/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 class TimelineTest {
-    private final List<TimelineEvent> taken = new ArrayList<>();
+    private final List<TimelineEvent> accepted = new ArrayList<>();
     private long nowNanos = TimeUnit.SECONDS.toNanos(5);
-    private final Timeline timeline = new Timeline("p", new HybridClock(() -> 1000), taken::add, () -> nowNanos);
+    private final Timeline timeline = new Timeline("p", new HybridClock(() -> 1000), accepted::add, () -> nowNanos);
 
     @Test
-    void anEventComesBackFromItsLineAsItWas() {
+    void anEventIsUnchangedAfterFormattingAndParsing() {
         timeline.event(EventKind.ATTEMPT_FAILED)
                 .request("r1")
                 .endpoint("e1")
@@ -23,7 +23,7 @@
                 .with("detail", "status \"503\"")
                 .write();
 
-        TimelineEvent event = taken.get(0);
+        TimelineEvent event = accepted.get(0);
         TimelineEvent read = TimelineLines.parse(TimelineLines.line(event)).orElseThrow();
 
         assertThat(read.at()).isEqualTo(event.at());
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void linesThatAreNoEventsArePassedOver() {
+    void linesThatAreNoEventsAreSkipped() {
         assertThat(TimelineLines.parse("{\"at\":1,\"ki")).isEmpty();
         assertThat(TimelineLines.parse("plain text")).isEmpty();
         assertThat(TimelineLines.parse("{\"level\":\"WARN\",\"message\":\"m\"}"))
@@ -44,29 +44,29 @@
 
     /** Many requests end within one second: their events are limited, and the number of dropped events is reported. */
     @Test
-    void aFloodOfSuccessesIsBoundedAndCounted() {
+    void routineEventsAreLimitedAndDropsAreCounted() {
         for (int i = 0; i < 1000; i++) {
             timeline.event(EventKind.REQUEST_ENDED).request("r" + i).write();
         }
-        assertThat(taken).hasSize(EventLimiter.ROUTINE_PER_SECOND);
+        assertThat(accepted).hasSize(EventLimiter.ROUTINE_PER_SECOND);
 
         nowNanos += TimeUnit.SECONDS.toNanos(1);
         timeline.event(EventKind.REQUEST_ENDED).request("later").write();
 
-        TimelineEvent dropped = taken.get(EventLimiter.ROUTINE_PER_SECOND);
+        TimelineEvent dropped = accepted.get(EventLimiter.ROUTINE_PER_SECOND);
         assertThat(dropped.kind()).isEqualTo("lines.dropped");
         assertThat(dropped.detail("request.ended")).isEqualTo("800");
     }
 
     /** One request fails among many successful ones: its event is written, however many the others are. */
     @Test
-    void aFailedRequestKeepsItsLineInAFlood() {
+    void aFailureIsWrittenAmongManyRoutineEvents() {
         for (int i = 0; i < 5000; i++) {
             timeline.event(EventKind.REQUEST_ENDED).request("r" + i).write();
             timeline.event(EventKind.ATTEMPT_SENT).request("r" + i).write();
         }
         timeline.event(EventKind.REQUEST_FAILED).request("failed").write();
 
-        assertThat(taken).anyMatch(event -> event.request().equals(Optional.of("failed")));
+        assertThat(accepted).anyMatch(event -> event.request().equals(Optional.of("failed")));
     }
 }
