--- a/src/main/java/org/gooseberryhill/configuration/EndpointsSection.java
+++ b/src/main/java/org/gooseberryhill/configuration/EndpointsSection.java
@@ -2,7 +2,7 @@
 
 import org.gooseberryhill.zone.AvailabilityZone;
 
-/** The section {@code endpoints}. Stateless. */
+/** Reads the section {@code endpoints}. Stateless. */
 final class EndpointsSection implements ConfigurationSection<EndpointSettings> {
     static final String KEY = "endpoints";
 
@@ -16,7 +16,7 @@
 
     @Override
     public EndpointSettings readEntry(String name, PropertyReader entry) {
-        entry.allow("service", "address", "zone", "slots", "checks-fences", "leaving");
+        entry.allowOnly("service", "address", "zone", "slots", "checks-fences", "leaving");
         return new EndpointSettings(
                 name,
                 entry.requiredText("service"),
--- a/src/main/java/org/gooseberryhill/configuration/UniqueKeyRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/UniqueKeyRule.java
@@ -3,17 +3,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The rule that no two callers share a key, since a caller sees only its own jobs. Stateless. */
+/** Checks that no two callers share a key, since a caller may see only its own jobs. Stateless. */
 final class UniqueKeyRule implements ConfigurationRule {
     @Override
-    public void check(Configuration configuration, PlacedNode.Mapping root, Findings findings) {
+    public void check(Configuration configuration, YamlNode.Mapping root, Findings findings) {
         Map<String, String> owners = new HashMap<>();
         for (CallerSettings caller : configuration.callers().values()) {
             String owner = owners.putIfAbsent(caller.keySha256(), caller.name());
             if (owner != null && !caller.keySha256().isEmpty()) {
-                Place place = ConfigurationRule.placeOf(root, CallersSection.KEY, caller.name(), "key-sha256");
+                TextPosition position =
+                        ConfigurationRule.positionOf(root, CallersSection.KEY, caller.name(), "key-sha256");
                 findings.add(
-                        place, CallersSection.KEY + "." + caller.name() + ".key-sha256", "caller.key-taken", owner);
+                        position, CallersSection.KEY + "." + caller.name() + ".key-sha256", "caller.key-taken", owner);
             }
         }
     }
--- /dev/null
+++ b/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
@@ -0,0 +1,78 @@
+package org.gooseberryhill.logging;
+
+import java.io.IOException;
+import java.io.OutputStream;
+import java.util.List;
+import java.util.concurrent.ArrayBlockingQueue;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.LongAdder;
+import java.util.concurrent.locks.LockSupport;
+import org.gooseberryhill.timeline.TimelineEvent;
+import org.gooseberryhill.timeline.TimelineLines;
+
+/**
+ * Writes events as lines to a stream on a separate thread. Thread-safe.
+ *
+ * <p>Failure: if nobody reads standard output and callers wrote to it directly, they would block and the host would
+ * stop serving. Only the writer thread blocks on the stream; batches that do not fit into the bounded queue are dropped
+ * and their lines counted.
+ *
+ * <p>Invariant: lines are written whole and in the order in which they were queued.
+ */
+final class AsyncLineWriter {
+    /** The number of batches of lines that the queue holds. */
+    static final int QUEUE_CAPACITY = 1024;
+
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+
+    private final BlockingQueue<List<TimelineEvent>> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final LongAdder droppedLines = new LongAdder();
+    private final OutputStream out;
+    private volatile boolean writing;
+
+    /** Starts a writer to a stream, which must not be closed elsewhere. */
+    AsyncLineWriter(OutputStream out) {
+        this.out = out;
+        Thread thread = new Thread(this::run, "log");
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    /** Queues a batch of events; drops it if the queue is full. Never blocks. */
+    void enqueue(List<TimelineEvent> events) {
+        if (!queue.offer(List.copyOf(events))) {
+            droppedLines.add(events.size());
+        }
+    }
+
+    /** Returns the number of lines that were dropped. */
+    long droppedLines() {
+        return droppedLines.sum();
+    }
+
+    /** Waits until all queued events are written, or until a time-out in milliseconds has passed. */
+    void awaitWritten(long timeoutMillis) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        while ((writing || !queue.isEmpty()) && System.nanoTime() - deadlineNanos < 0) {
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
+        }
+    }
+
+    private void run() {
+        try {
+            while (true) {
+                writing = !queue.isEmpty();
+                List<TimelineEvent> events = queue.take();
+                writing = true;
+                out.write(TimelineLines.formatUtf8(events));
+                out.flush();
+            }
+        } catch (IOException e) {
+            // The stream is closed: there is nowhere left to report the error.
+            droppedLines.increment();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+}
--- a/src/main/java/org/gooseberryhill/metrics/LabeledCounter.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabeledCounter.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** A count for each combination of label values. Thread-safe. */
+/** A counter with a separate count for each combination of label values. Thread-safe. */
 public final class LabeledCounter implements MetricSource {
     private final String name;
     private final String help;
@@ -21,9 +21,9 @@
         this.labels = labels;
     }
 
-    /** Counts one more, with a value for each label. */
+    /** Increments the count for a combination of label values, one for each label. */
     public void add(String... labelValues) {
-        counts.computeIfAbsent(labels.values(labelValues), key -> new LongAdder())
+        counts.computeIfAbsent(labels.checkedValues(labelValues), key -> new LongAdder())
                 .increment();
     }
 
@@ -31,7 +31,7 @@
     public MetricSnapshot snapshot() {
         CounterSnapshot.Builder snapshot = CounterSnapshot.builder().name(name).help(help);
         counts.forEach((values, count) -> snapshot.dataPoint(CounterDataPointSnapshot.builder()
-                .labels(labels.labels(values))
+                .labels(labels.toLabels(values))
                 .value(count.sum())
                 .build()));
         return snapshot.build();
--- a/src/main/java/org/gooseberryhill/metrics/LabeledHistogram.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabeledHistogram.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A histogram of durations for each combination of label values. Thread-safe. */
+/** A histogram of durations with separate buckets for each combination of label values. Thread-safe. */
 public final class LabeledHistogram implements MetricSource {
     private final String name;
     private final String help;
@@ -21,28 +21,28 @@
         this.labels = labels;
     }
 
-    /** Takes in a duration in seconds, with a value for each label. */
+    /** Records a duration in seconds for a combination of label values, one for each label. */
     public void observe(double seconds, String... labelValues) {
-        buckets.computeIfAbsent(labels.values(labelValues), key -> new DurationBuckets())
-                .add(seconds);
+        buckets.computeIfAbsent(labels.checkedValues(labelValues), key -> new DurationBuckets())
+                .observe(seconds);
     }
 
     @Override
     public MetricSnapshot snapshot() {
         HistogramSnapshot.Builder snapshot =
                 HistogramSnapshot.builder().name(name).help(help);
-        buckets.forEach((values, durations) -> snapshot.dataPoint(dataPoint(values, durations.read())));
+        buckets.forEach((values, durations) -> snapshot.dataPoint(dataPoint(values, durations.snapshot())));
         return snapshot.build();
     }
 
-    private HistogramDataPointSnapshot dataPoint(List<String> values, DurationBuckets.Reading reading) {
+    private HistogramDataPointSnapshot dataPoint(List<String> values, DurationBuckets.Snapshot reading) {
         ClassicHistogramBuckets.Builder classic = ClassicHistogramBuckets.builder();
         for (int i = 0; i < reading.counts().size(); i++) {
             classic.bucket(
                     DurationBuckets.upperBoundSeconds(i), reading.counts().get(i));
         }
         return HistogramDataPointSnapshot.builder()
-                .labels(labels.labels(values))
+                .labels(labels.toLabels(values))
                 .classicHistogramBuckets(classic.build())
                 .sum(reading.sumSeconds())
                 .build();
--- a/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
@@ -5,52 +5,52 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds how many events a second are written, by kind. Not thread-safe.
+ * Limits the number of events written per second, separately for each kind. Not thread-safe.
  *
- * <p>Failure: under a flood of requests the lines about them take the processor from the requests. Each kind has a bound,
- * so that one flooding kind leaves the others' lines alone, and failures have a wider one than successes: a request that
- * failed must be explainable when most others did not.
+ * <p>Failure: at a high request rate, logging takes CPU time from the requests. Each kind has its own limit, so that a
+ * frequent kind does not displace the others. The limit of failures is higher than that of successes, since a failed
+ * request must be explainable even if most others succeed.
  */
 final class EventLimiter {
-    /** Successes a second and kind: enough to see the traffic's shape; a line costs some ten microseconds. */
+    /** The limit per kind of routine events: enough to show the traffic pattern; a line costs about 10 microseconds. */
     static final int ROUTINE_PER_SECOND = 200;
 
-    /** Failures a second and kind: more than one host of the planned size is offered in all. */
+    /** The limit per kind of other events: above the total request rate offered to a host of the planned size. */
     static final int FAILURES_PER_SECOND = 1000;
 
     private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final Map<EventKind, Integer> written = new EnumMap<>(EventKind.class);
+    private final Map<EventKind, Integer> writtenInWindow = new EnumMap<>(EventKind.class);
     private final Map<EventKind, Integer> dropped = new EnumMap<>(EventKind.class);
-    private long windowNanos = Long.MIN_VALUE;
+    private long windowStartNanos = Long.MIN_VALUE;
 
-    /** Whether an event of a kind may be written now. */
-    boolean mayWrite(EventKind kind, long nowNanos) {
+    /** Counts an event and returns whether it may be written now. */
+    boolean tryAcquire(EventKind kind, long nowNanos) {
         startWindow(nowNanos);
-        int bound = kind.importance() == Importance.ROUTINE ? ROUTINE_PER_SECOND : FAILURES_PER_SECOND;
-        int count = written.getOrDefault(kind, 0);
-        if (count >= bound) {
+        int limit = kind.importance() == Importance.ROUTINE ? ROUTINE_PER_SECOND : FAILURES_PER_SECOND;
+        int count = writtenInWindow.getOrDefault(kind, 0);
+        if (count >= limit) {
             dropped.merge(kind, 1, Integer::sum);
             return false;
         }
-        written.put(kind, count + 1);
+        writtenInWindow.put(kind, count + 1);
         return true;
     }
 
-    /** How many events were left out since the last call, by kind; empty within the second in which they were. */
-    Map<EventKind, Integer> takeDropped(long nowNanos) {
-        if (dropped.isEmpty() || nowNanos - windowNanos < WINDOW_NANOS) {
+    /** Returns and clears the number of dropped events by kind; empty until the window in which they fell is over. */
+    Map<EventKind, Integer> drainDropped(long nowNanos) {
+        if (dropped.isEmpty() || nowNanos - windowStartNanos < WINDOW_NANOS) {
             return Map.of();
         }
-        Map<EventKind, Integer> taken = new EnumMap<>(dropped);
+        Map<EventKind, Integer> drained = new EnumMap<>(dropped);
         dropped.clear();
-        return taken;
+        return drained;
     }
 
     private void startWindow(long nowNanos) {
-        if (windowNanos == Long.MIN_VALUE || nowNanos - windowNanos >= WINDOW_NANOS) {
-            windowNanos = nowNanos;
-            written.clear();
+        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= WINDOW_NANOS) {
+            windowStartNanos = nowNanos;
+            writtenInWindow.clear();
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/timeline/Timeline.java
+++ b/src/main/java/org/gooseberryhill/timeline/Timeline.java
@@ -5,9 +5,9 @@
 import org.gooseberryhill.link.HybridClock;
 
 /**
- * The part of the time line that one process writes. Thread-safe.
+ * Records the time line events of one process. Thread-safe.
  *
- * <p>Invariant: writing never waits, and what the bounds leave out is counted and told in an event of its own.
+ * <p>Invariant: writing never blocks; events dropped by the rate limit are counted and reported in a separate event.
  */
 public final class Timeline {
     private final String process;
@@ -16,7 +16,7 @@
     private final LongSupplier nowNanos;
     private final EventLimiter limiter = new EventLimiter();
 
-    /** A time line of a process. */
+    /** Creates the time line of a process. */
     public Timeline(String process, HybridClock clock, EventSink sink) {
         this(process, clock, sink, System::nanoTime);
     }
@@ -28,26 +28,26 @@
         this.nowNanos = nowNanos;
     }
 
-    /** Begins an event; it is there once {@link EventBuilder#write} was called. */
+    /** Begins an event, which is recorded when {@link EventBuilder#write} is called. */
     public EventBuilder event(EventKind kind) {
-        return new EventBuilder(kind, this::take);
+        return new EventBuilder(kind, this::recordEvent);
     }
 
-    private void take(EventBuilder event) {
+    private void recordEvent(EventBuilder event) {
         Map<EventKind, Integer> dropped;
         boolean written;
         synchronized (limiter) {
             long now = nowNanos.getAsLong();
-            dropped = limiter.takeDropped(now);
-            written = limiter.mayWrite(event.kind(), now);
+            dropped = limiter.drainDropped(now);
+            written = limiter.tryAcquire(event.kind(), now);
         }
         if (!dropped.isEmpty()) {
-            EventBuilder lines = new EventBuilder(EventKind.LINES_DROPPED, this::take);
-            dropped.forEach((kind, count) -> lines.with(kind.wireName(), count));
-            sink.take(lines.build(clock.now(), process));
+            EventBuilder droppedEvent = new EventBuilder(EventKind.LINES_DROPPED, this::recordEvent);
+            dropped.forEach((kind, count) -> droppedEvent.with(kind.wireName(), count));
+            sink.accept(droppedEvent.build(clock.now(), process));
         }
         if (written) {
-            sink.take(event.build(clock.now(), process));
+            sink.accept(event.build(clock.now(), process));
         }
     }
 }
--- a/src/test/java/org/gooseberryhill/logging/LineOutputTest.java
+++ b/src/test/java/org/gooseberryhill/logging/AsyncLineWriterTest.java
@@ -11,41 +11,41 @@
 import org.gooseberryhill.timeline.TimelineEvent;
 import org.junit.jupiter.api.Test;
 
-class LineOutputTest {
+class AsyncLineWriterTest {
     private static final TimelineEvent EVENT = new TimelineEvent(
             new HybridTimestamp(1), "p", "kind", Optional.empty(), Optional.empty(), Optional.empty(), Map.of());
 
-    /** Nobody reads a process's standard output, and its writer waits for ever: who hands events over must not. */
+    /** Nobody reads standard output, so the writer thread blocks forever; callers that queue events must not block. */
     @Test
-    void aBlockedStreamHoldsNobodyUpAndIsCounted() throws InterruptedException {
+    void aBlockedStreamDoesNotBlockCallersAndDropsAreCounted() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
-        LineOutput output = new LineOutput(stream);
-        output.write(List.of(EVENT));
+        AsyncLineWriter output = new AsyncLineWriter(stream);
+        output.enqueue(List.of(EVENT));
         stream.blocked.await();
 
-        for (int i = 0; i < LineOutput.MAX_WAITING + 5; i++) {
-            output.write(List.of(EVENT, EVENT));
+        for (int i = 0; i < AsyncLineWriter.QUEUE_CAPACITY + 5; i++) {
+            output.enqueue(List.of(EVENT, EVENT));
         }
 
         assertThat(output.droppedLines()).isEqualTo(10);
         stream.released.countDown();
     }
 
-    /** A process ends while nobody reads: the end waits no longer than it was told to. */
+    /** A process ends while nobody reads standard output: the wait ends after its time-out. */
     @Test
-    void theEndDoesNotWaitForABlockedStream() throws InterruptedException {
+    void awaitTimesOutOnABlockedStream() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
-        LineOutput output = new LineOutput(stream);
-        output.write(List.of(EVENT));
+        AsyncLineWriter output = new AsyncLineWriter(stream);
+        output.enqueue(List.of(EVENT));
         stream.blocked.await();
 
-        output.await(1);
+        output.awaitWritten(1);
 
         assertThat(stream.released.getCount()).isEqualTo(1);
         stream.released.countDown();
     }
 
-    /** A stream whose first write waits until it is released. */
+    /** A stream whose writes block until it is released. */
     private static final class BlockedStream extends OutputStream {
         private final CountDownLatch blocked = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
--- a/src/test/java/org/gooseberryhill/logging/BlockedOutputTest.java
+++ b/src/test/java/org/gooseberryhill/logging/BlockedOutputTest.java
@@ -17,11 +17,11 @@
     private static final int LINES = 200_000;
 
     /**
-     * Nobody reads a process's standard output: the pipe fills, and the writer of the log waits for ever. The threads that
-     * log go on to their end, and count what is dropped.
+     * Nobody reads a process's standard output, so the pipe fills and the logging thread blocks forever. Threads that
+     * log must run to completion, and dropped messages are counted.
      */
     @Test
-    void aBlockedStandardOutputHoldsNobodyUp() throws IOException, InterruptedException {
+    void aBlockedStandardOutputDoesNotBlockThreadsThatLog() throws IOException, InterruptedException {
         ProcessBuilder builder = new ProcessBuilder(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Logs far more than a pipe and the ring hold, then says how much was dropped. */
+    /** Logs far more than a pipe and the ring buffer hold, then prints the number of dropped messages. */
     static final class Flood {
         private Flood() {}
 
@@ -49,7 +49,7 @@
             for (int i = 0; i < LINES; i++) {
                 log.info("line {} with some more text so that the pipe is soon full", i);
             }
-            System.err.println("dropped " + DroppingQueueFullPolicy.dropped());
+            System.err.println("dropped " + DroppingQueueFullPolicy.droppedCount());
         }
     }
 }
