--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
@@ -64,12 +64,12 @@
      * Creates a request that has arrived. It must end with a {@link DispatchDecision.Refuse}, {@link #attemptSucceeded}
      * or {@link #abandoned}.
      */
-    public RoutedRequest arrived(RoutedIntake intake) {
+    public RoutedRequest newRequest(RoutedIntake intake) {
         return new RoutedRequest(intake);
     }
 
     /** Decides the first action for a request that has arrived. */
-    public DispatchDecision first(RoutedRequest request, long nowNanos) {
+    public DispatchDecision dispatch(RoutedRequest request, long nowNanos) {
         Optional<Refusal> quarantined = refuseQuarantined(request, nowNanos);
         if (quarantined.isPresent()) {
             return new DispatchDecision.Refuse(quarantined.get());
@@ -108,7 +108,7 @@
      * Returns whether a request whose endpoint is silent can continue at another endpoint: {@link #attemptFailed} with
      * {@link AttemptEnd#SILENT} would send it at this moment. False while no endpoint has the request.
      */
-    public boolean mayGoElsewhere(RoutedRequest request, long nowNanos) {
+    public boolean canFailOver(RoutedRequest request, long nowNanos) {
         if (request.endpoint().isEmpty()) {
             return false;
         }
@@ -119,7 +119,7 @@
     }
 
     /** Decides the next action after the delay of a {@link DispatchDecision.Wait} has passed. */
-    public DispatchDecision again(RoutedRequest request, long nowNanos) {
+    public DispatchDecision dispatchAfterWait(RoutedRequest request, long nowNanos) {
         if (request.remainingMillis(nowNanos) < MIN_REMAINING_MILLIS) {
             return new DispatchDecision.Refuse(
                     refusal(request, ErrorCode.DEADLINE_EXCEEDED, "no time is left for the rest of the answer"));
@@ -139,7 +139,7 @@
 
     /** Records that an attempt returned the whole answer. */
     public void attemptSucceeded(RoutedRequest request, long nowNanos) {
-        runTime(request).add(request.runNanos(nowNanos));
+        runTime(request).add(request.attemptNanos(nowNanos));
         attemptEnded(request, AttemptEnd.ANSWERED, nowNanos);
         if (suspects.size() > 0) {
             suspects.completed(request.intake().fingerprint());
@@ -154,7 +154,7 @@
     private void attemptEnded(RoutedRequest request, AttemptEnd end, long nowNanos) {
         request.endpoint().ifPresent(key -> {
             fleet.onlineEnded(key);
-            fleet.observed(key, end, nowNanos);
+            fleet.attemptEnded(key, end, nowNanos);
             request.attemptEnded(end, nowNanos);
         });
     }
@@ -227,7 +227,7 @@
     }
 
     private Optional<FleetEndpoint> choose(RoutedRequest request, Set<EndpointKey> excluded, long nowNanos) {
-        List<FleetEndpoint> endpoints = fleet.of(request.intake().service());
+        List<FleetEndpoint> endpoints = fleet.endpointsOf(request.intake().service());
         PlacementCase placement = new PlacementCase(
                 zone,
                 request.intake().prompt(),
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchPolicies.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchPolicies.java
@@ -11,9 +11,9 @@
  * @param items chooses the endpoints where items of request batches start
  */
 public record DispatchPolicies(
-        PlacementPolicy placement, OverloadPolicy overload, ReturnPolicy retryAfter, ItemPlacement items) {
+        PlacementPolicy placement, OverloadPolicy overload, RetryAfterPolicy retryAfter, ItemPlacement items) {
     /** Returns the policies that the product uses. */
-    public static DispatchPolicies product(Random random) {
+    public static DispatchPolicies defaults(Random random) {
         return new DispatchPolicies(
                 new LeastWaitPlacement(random),
                 new StandingQueuePolicy(),
@@ -24,6 +24,9 @@
     /** Returns the baseline policies for comparison: round-robin placement, no refusals because of load. */
     public static DispatchPolicies baseline() {
         return new DispatchPolicies(
-                new RoundRobinPlacement(), new NoOverloadPolicy(), new ForecastReturn(), new AnyFreeSlotPlacement());
+                new RoundRobinPlacement(),
+                new NoOverloadPolicy(),
+                new ForecastRetryAfterPolicy(),
+                new AnyFreeSlotPlacement());
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/MovingMean.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ExponentialMovingAverage.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.decision.dispatch;
 
 /** Computes an exponentially weighted moving mean. Not thread-safe. */
-public final class MovingMean {
+public final class ExponentialMovingAverage {
     private final double newestWeight;
     private double value;
 
@@ -11,7 +11,7 @@
      * @param initial the mean before the first value is added
      * @param newestWeight the weight of each new value, 0 to 1
      */
-    public MovingMean(double initial, double newestWeight) {
+    public ExponentialMovingAverage(double initial, double newestWeight) {
         this.value = initial;
         this.newestWeight = newestWeight;
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -25,7 +25,7 @@
     private final ConnectionView connections;
     private final Map<EndpointKey, FleetEndpoint> byKey = new TreeMap<>();
     private final Map<HostId, Report> reports = new HashMap<>();
-    private final Map<EndpointKey, InFlight> own = new TreeMap<>();
+    private final Map<EndpointKey, InFlight> ownInFlight = new TreeMap<>();
     private final List<HealthChange> healthChanges = new ArrayList<>();
     private Map<String, List<FleetEndpoint>> byService = Map.of();
 
@@ -40,7 +40,7 @@
     }
 
     /** Replaces the directory; the state of endpoints that remain registered is kept. */
-    public void directory(Collection<EndpointEntry> entries) {
+    public void updateDirectory(Collection<EndpointEntry> entries) {
         Map<EndpointKey, EndpointEntry> listed = new TreeMap<>();
         entries.forEach(entry -> listed.put(entry.key(), entry));
         byKey.keySet().retainAll(listed.keySet());
@@ -55,26 +55,26 @@
     }
 
     /** Applies the report of another host on all requests that it has in flight. */
-    public void reported(HostId host, Map<EndpointKey, InFlight> inFlight, long nowNanos) {
+    public void updateReport(HostId host, Map<EndpointKey, InFlight> inFlight, long nowNanos) {
         Report before = reports.put(host, new Report(Map.copyOf(inFlight), nowNanos));
         inFlight.keySet().forEach(this::updateOthers);
         updateOthersNoLongerReported(before, inFlight);
     }
 
     /** Removes the report of a lost host: none of its requests count as in flight any longer. */
-    public void lost(HostId host) {
+    public void removeReport(HostId host) {
         updateOthersNoLongerReported(reports.remove(host), Map.of());
     }
 
     /** Returns a snapshot of what is known about a service now. */
-    public ServiceState state(String service, long nowNanos) {
+    public ServiceState serviceState(String service, long nowNanos) {
         List<FleetEndpoint> usable = usableEndpoints(service, nowNanos);
         long oldestNanos = reports.values().stream()
                 .mapToLong(report -> nowNanos - report.atNanos)
                 .max()
                 .orElse(0);
         return new ServiceState(
-                of(service).size(),
+                endpointsOf(service).size(),
                 usable.size(),
                 usable.stream().mapToInt(endpoint -> endpoint.entry().slots()).sum(),
                 usable.stream().mapToInt(FleetEndpoint::online).sum(),
@@ -85,7 +85,7 @@
     /** Returns the endpoints of a service that may get new requests now. */
     public List<FleetEndpoint> usableEndpoints(String service, long nowNanos) {
         List<FleetEndpoint> usable = new ArrayList<>();
-        for (FleetEndpoint endpoint : of(service)) {
+        for (FleetEndpoint endpoint : endpointsOf(service)) {
             if (endpoint.isUsable(nowNanos)) {
                 usable.add(endpoint);
             }
@@ -99,7 +99,7 @@
     }
 
     /** Returns the endpoints of a service in a fixed order. */
-    public List<FleetEndpoint> of(String service) {
+    public List<FleetEndpoint> endpointsOf(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
@@ -117,8 +117,8 @@
      * Returns the requests that this host has in flight, for its report to other hosts. The counts are kept
      * independently of the directory, so that a registration that lapses and returns does not lose running requests.
      */
-    public Map<EndpointKey, InFlight> own() {
-        return Map.copyOf(own);
+    public Map<EndpointKey, InFlight> ownInFlight() {
+        return Map.copyOf(ownInFlight);
     }
 
     void onlineStarted(EndpointKey key) {
@@ -166,12 +166,12 @@
     }
 
     /** Updates the health of an endpoint by the end of an attempt there. */
-    public void observed(EndpointKey key, AttemptEnd end, long nowNanos) {
+    public void attemptEnded(EndpointKey key, AttemptEnd end, long nowNanos) {
         find(key).ifPresent(endpoint -> recordAttemptEnd(endpoint, end, nowNanos));
     }
 
-    /** Returns the endpoints that are due for a connection probe; {@link #probed} must follow for each of them. */
-    public List<FleetEndpoint> takeProbes(long nowNanos) {
+    /** Returns the endpoints that are due for a connection probe; {@link #probeEnded} must follow for each of them. */
+    public List<FleetEndpoint> takeDueProbes(long nowNanos) {
         List<FleetEndpoint> due = new ArrayList<>();
         for (FleetEndpoint endpoint : byKey.values()) {
             if (endpoint.health().startProbeIfDue(nowNanos)) {
@@ -182,7 +182,7 @@
     }
 
     /** Records the result of a connection probe of an endpoint. */
-    public void probed(EndpointKey key, boolean reached, long nowNanos) {
+    public void probeEnded(EndpointKey key, boolean reached, long nowNanos) {
         find(key).ifPresent(endpoint -> {
             endpoint.health().onProbeEnded(reached, nowNanos);
             if (reached) {
@@ -226,7 +226,7 @@
     }
 
     private void ifEjectionAllowed(FleetEndpoint endpoint, long nowNanos, Consumer<Long> action) {
-        List<FleetEndpoint> peers = of(endpoint.entry().service());
+        List<FleetEndpoint> peers = endpointsOf(endpoint.entry().service());
         long ejected = peers.stream().filter(peer -> peer.isEjected(nowNanos)).count();
         if ((ejected + 1) * 2 <= peers.size()) {
             action.accept(nowNanos);
@@ -234,19 +234,19 @@
     }
 
     private void addOwn(EndpointKey key, int online, int batch) {
-        InFlight before = own.getOrDefault(key, InFlight.NONE);
+        InFlight before = ownInFlight.getOrDefault(key, InFlight.NONE);
         InFlight after = new InFlight(before.online() + online, before.batch() + batch);
         if (after.total() == 0) {
-            own.remove(key);
+            ownInFlight.remove(key);
         } else {
-            own.put(key, after);
+            ownInFlight.put(key, after);
         }
         find(key).ifPresent(endpoint -> endpoint.setOwn(after));
     }
 
     private FleetEndpoint newEndpoint(EndpointEntry entry) {
         FleetEndpoint endpoint = new FleetEndpoint(entry, connections);
-        endpoint.setOwn(own.getOrDefault(entry.key(), InFlight.NONE));
+        endpoint.setOwn(ownInFlight.getOrDefault(entry.key(), InFlight.NONE));
         updateOthers(endpoint);
         return endpoint;
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ForecastReturn.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ForecastRetryAfterPolicy.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.decision.dispatch;
 
 /** Baseline policy: callers retry when the requests that wait now have started. Stateless. */
-public final class ForecastReturn implements ReturnPolicy {
+public final class ForecastRetryAfterPolicy implements RetryAfterPolicy {
     @Override
     public long retryAfterMillis(OverloadCase overload) {
         return (long) Math.ceil(overload.waitMillis());
--- a/src/main/java/org/gooseberryhill/decision/dispatch/HealthChange.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/HealthChange.java
@@ -6,8 +6,8 @@
  * The ejection or readmission of an endpoint by the result of an attempt or probe. Immutable.
  *
  * @param endpoint the endpoint
- * @param leftOut whether the endpoint is ejected and gets no new requests
+ * @param ejected whether the endpoint is ejected and gets no new requests
  * @param cause how the attempt ended
- * @param millis ejection time, which a success ends early; 0 after a readmission
+ * @param ejectionMillis ejection time, which a success ends early; 0 after a readmission
  */
-public record HealthChange(EndpointKey endpoint, boolean leftOut, AttemptEnd cause, long millis) {}
+public record HealthChange(EndpointKey endpoint, boolean ejected, AttemptEnd cause, long ejectionMillis) {}
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ItemPause.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ItemStartPause.java
@@ -12,7 +12,7 @@
  * that start in them have to yield again at once, and each start costs a connection. The pause doubles while a burst
  * lasts and is reset to its initial length after it.
  */
-public final class ItemPause {
+public final class ItemStartPause {
     private static final long INITIAL_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     /** Two doublings: 1.2 s, half the length of a burst, so that slots do not stay empty for long after it. */
@@ -24,7 +24,7 @@
     private final Map<EndpointKey, Pause> pauses = new HashMap<>();
 
     /** Starts or extends the pause of an endpoint where items have yielded. */
-    public void gaveWay(EndpointKey endpoint, long nowNanos) {
+    public void itemsYielded(EndpointKey endpoint, long nowNanos) {
         Pause last = pauses.get(endpoint);
         boolean sameBurst = last != null && nowNanos - last.untilNanos < RESET_AFTER_NANOS;
         int doublings = sameBurst ? Math.min(MAX_DOUBLINGS, last.doublings + 1) : 0;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
@@ -10,7 +10,7 @@
 import org.gooseberryhill.directory.EndpointKey;
 
 /**
- * A routed request in progress. Not thread-safe; modified by {@link DispatchCore} only, except by {@link #answerBegun}.
+ * A routed request in progress. Not thread-safe; modified by {@link DispatchCore} only, except by {@link #answerStarted}.
  *
  * <p>Invariant: once an attempt may have run, the request may have run, whatever the results of later attempts.
  */
@@ -59,7 +59,7 @@
     }
 
     /** Records that the caller has received a part of the answer. */
-    public void answerBegun() {
+    public void answerStarted() {
         progress = progress.withAnswerStarted();
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** Returns the duration of the current attempt so far, in nanoseconds. */
-    public long runNanos(long nowNanos) {
+    public long attemptNanos(long nowNanos) {
         return nowNanos - attemptStartedNanos;
     }
 
@@ -99,7 +99,7 @@
             } else {
                 tried.add(key);
             }
-            pastAttempts.add(new PastAttempt(key.id(), end, TimeUnit.NANOSECONDS.toMillis(runNanos(nowNanos))));
+            pastAttempts.add(new PastAttempt(key.id(), end, TimeUnit.NANOSECONDS.toMillis(attemptNanos(nowNanos))));
         });
         endpoint = Optional.empty();
         leftSilentEndpoint |= end == AttemptEnd.SILENT;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ServiceRunTime.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ServiceRunTime.java
@@ -10,7 +10,7 @@
     /** About the last thirty requests count: enough to smooth out single answers, few enough to follow a slowdown. */
     private static final double NEWEST_WEIGHT = 1.0 / 32;
 
-    private final MovingMean runMillis = new MovingMean(INITIAL_RUN_MILLIS, NEWEST_WEIGHT);
+    private final ExponentialMovingAverage runMillis = new ExponentialMovingAverage(INITIAL_RUN_MILLIS, NEWEST_WEIGHT);
 
     double meanRunMillis() {
         return runMillis.value();
--- a/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
@@ -12,7 +12,7 @@
  * in a replay of long bursts, against 18 with separate retry times. The longer the burst, the more callers hold earlier
  * retry times and the later is the next one, which moves it past the end of the burst.
  */
-public final class SpreadRetryAfterPolicy implements ReturnPolicy {
+public final class SpreadRetryAfterPolicy implements RetryAfterPolicy {
     /** Share of the slots that retries get during a burst; new requests use the rest. */
     private static final double RETURNING_SHARE_OF_SLOTS = 0.1;
 
--- a/src/main/java/org/gooseberryhill/decision/dispatch/YieldTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/YieldGracePeriod.java
@@ -12,7 +12,7 @@
  * stopped and restarted elsewhere needlessly. Most such states end within the grace period, and a request that waits
  * this long at an endpoint is still far from its target latency.
  */
-public final class YieldTiming {
+public final class YieldGracePeriod {
     /** Several trips between zones, and a tenth of the shortest target latency to the first event in use. */
     private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
 
@@ -22,7 +22,7 @@
      * Returns how many of its items a host has to stop at an endpoint now: the whole excess once it has lasted for the
      * grace period, else 0.
      */
-    public int due(EndpointKey endpoint, int excess, long nowNanos) {
+    public int itemsToYield(EndpointKey endpoint, int excess, long nowNanos) {
         if (excess <= 0) {
             excessSinceNanos.remove(endpoint);
             return 0;
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
@@ -14,9 +14,9 @@
 import org.gooseberryhill.decision.dispatch.AttemptEnd;
 import org.gooseberryhill.decision.dispatch.Fleet;
 import org.gooseberryhill.decision.dispatch.FleetEndpoint;
-import org.gooseberryhill.decision.dispatch.ItemPause;
 import org.gooseberryhill.decision.dispatch.ItemPlacement;
-import org.gooseberryhill.decision.dispatch.YieldTiming;
+import org.gooseberryhill.decision.dispatch.ItemStartPause;
+import org.gooseberryhill.decision.dispatch.YieldGracePeriod;
 import org.gooseberryhill.directory.EndpointKey;
 import org.gooseberryhill.host.HostId;
 import org.gooseberryhill.route.Route;
@@ -41,8 +41,8 @@
     private final BatchRoutes routes;
     private final ItemOrder order;
     private final ItemPlacement placement;
-    private final YieldTiming yieldTiming = new YieldTiming();
-    private final ItemPause pause = new ItemPause();
+    private final YieldGracePeriod yieldGracePeriod = new YieldGracePeriod();
+    private final ItemStartPause pause = new ItemStartPause();
     private final RunTimeEstimator runTimeEstimator = new RunTimeEstimator();
     private final Map<EndpointKey, List<PlacedItem>> placed = new TreeMap<>();
 
@@ -81,9 +81,9 @@
     public List<PlacedItem> giveWay(long nowNanos, long nowMillis) {
         List<PlacedItem> yielding = new ArrayList<>();
         placed.forEach((key, runs) -> fleet.find(key).ifPresent(endpoint -> {
-            int share = yieldTiming.due(key, fleet.yieldShare(endpoint, self), nowNanos);
+            int share = yieldGracePeriod.itemsToYield(key, fleet.yieldShare(endpoint, self), nowNanos);
             if (share > 0) {
-                pause.gaveWay(key, nowNanos);
+                pause.itemsYielded(key, nowNanos);
                 yielding.addAll(lastInOrder(runs, Math.min(share, runs.size()), nowMillis));
             }
         }));
@@ -109,7 +109,7 @@
             placed.remove(key);
         }
         fleet.batchEnded(key);
-        fleet.observed(key, attemptEnd, nowNanos);
+        fleet.attemptEnded(key, attemptEnd, nowNanos);
         runTimeEstimator.runEnded(
                 run.newCharacters(), (double) run.ranNanos(nowNanos) / TimeUnit.MILLISECONDS.toNanos(1));
         if (end == RunEnd.COMPLETED) {
@@ -154,7 +154,7 @@
         List<FleetEndpoint> endpoints = new ArrayList<>();
         for (RouteTarget target : route.targets()) {
             if (target.weight() > 0) {
-                fleet.of(target.service()).stream()
+                fleet.endpointsOf(target.service()).stream()
                         .filter(endpoint -> !pause.isPaused(endpoint.key(), nowNanos))
                         .forEach(endpoints::add);
             }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/RunTimeEstimator.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/RunTimeEstimator.java
@@ -1,6 +1,6 @@
 package org.gooseberryhill.decision.requestbatch;
 
-import org.gooseberryhill.decision.dispatch.MovingMean;
+import org.gooseberryhill.decision.dispatch.ExponentialMovingAverage;
 
 /**
  * Estimates the remaining run time of items from the output length and the generation speed of earlier items. Not
@@ -24,8 +24,10 @@
     /** Runs that generated fewer characters are too short to measure the speed. */
     private static final int MIN_MEASURED_CHARACTERS = 500;
 
-    private final MovingMean charactersPerItem = new MovingMean(INITIAL_CHARACTERS, NEWEST_WEIGHT);
-    private final MovingMean millisPerCharacter = new MovingMean(INITIAL_MILLIS_PER_CHARACTER, NEWEST_WEIGHT);
+    private final ExponentialMovingAverage charactersPerItem =
+            new ExponentialMovingAverage(INITIAL_CHARACTERS, NEWEST_WEIGHT);
+    private final ExponentialMovingAverage millisPerCharacter =
+            new ExponentialMovingAverage(INITIAL_MILLIS_PER_CHARACTER, NEWEST_WEIGHT);
 
     /**
      * Records the end of a run.
--- a/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
+++ b/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
@@ -17,23 +17,23 @@
 
     /** Probes the endpoints that are due and logs changes of health; called periodically. */
     void tick() {
-        context.fleet().takeProbes(context.nowNanos()).forEach(this::probe);
+        context.fleet().takeDueProbes(context.nowNanos()).forEach(this::probe);
         context.fleet().takeHealthChanges().forEach(this::logHealthChange);
     }
 
     private void probe(FleetEndpoint endpoint) {
         context.onLoop(
                 context.http().probe(endpoint.entry().address(), CONNECT_TIMEOUT_MILLIS),
-                (done, failure) -> context.fleet().probed(endpoint.key(), failure == null, context.nowNanos()));
+                (done, failure) -> context.fleet().probeEnded(endpoint.key(), failure == null, context.nowNanos()));
     }
 
     private void logHealthChange(HealthChange change) {
         context.timeline()
                 .event(EventKind.ENDPOINT_HEALTH)
                 .endpoint(change.endpoint().id())
-                .with("leftOut", change.leftOut())
+                .with("leftOut", change.ejected())
                 .with("cause", change.cause())
-                .with("millis", change.millis())
+                .with("millis", change.ejectionMillis())
                 .write();
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -127,7 +127,7 @@
         this.store = new RelayedStore(
                 storeFactory.create(http), storeReachability, this::relayStoreCall, this::storeReachabilityChanged);
         CrashSuspects suspects = new CrashSuspects(SUSPECT_RETENTION_MILLIS, MAX_SUSPECTS);
-        DispatchPolicies policies = DispatchPolicies.product(random);
+        DispatchPolicies policies = DispatchPolicies.defaults(random);
         this.context = new GatewayContext(
                 () -> this.settings,
                 ProcessStarts.next(),
--- a/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
@@ -59,7 +59,7 @@
     }
 
     ServiceState serviceState(String service) {
-        return context.fleet().state(service, context.nowNanos());
+        return context.fleet().serviceState(service, context.nowNanos());
     }
 
     CrashTracking crashTracking() {
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -129,7 +129,7 @@
         if (registeredEndpoints.apply(changes)) {
             Collection<EndpointEntry> entries = registeredEndpoints.entries();
             logDirectoryChanges(entries);
-            context.fleet().directory(entries);
+            context.fleet().updateDirectory(entries);
         }
         onEndpoints.run();
     }
--- a/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
+++ b/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
@@ -49,7 +49,7 @@
                     }
                 }));
         for (HostId host : links.takeSilentHosts()) {
-            context.fleet().lost(host);
+            context.fleet().removeReport(host);
             context.timeline()
                     .event(EventKind.PEER_SILENT)
                     .with("host", host.value())
@@ -60,7 +60,7 @@
     /** Records the report of another host. */
     void onReport(HostId from, GatewayMessage.InFlightReport report) {
         links.recordReport(from, report);
-        context.fleet().reported(from, report.inFlight(), context.nowNanos());
+        context.fleet().updateReport(from, report.inFlight(), context.nowNanos());
     }
 
     private PeerMessage report() {
@@ -69,6 +69,6 @@
                 context.processStart(),
                 leaving,
                 storeReachability.isDirect(),
-                context.fleet().own());
+                context.fleet().ownInFlight());
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -73,7 +73,7 @@
         this.call = call;
         this.traits = traits;
         this.body = body;
-        this.request = context.core().arrived(intake);
+        this.request = context.core().newRequest(intake);
         this.relay = new AnswerRelay(call, intake.route(), traits.lastEventId());
     }
 
@@ -102,7 +102,7 @@
             refuse(GatewayTraffic.STOPPING, Optional.empty());
             return;
         }
-        applyDecision(context.core().first(request, context.nowNanos()));
+        applyDecision(context.core().dispatch(request, context.nowNanos()));
     }
 
     private void applyDecision(DispatchDecision decision) {
@@ -117,7 +117,7 @@
 
     private void dispatchAfterWait() {
         if (!finished) {
-            applyDecision(context.core().again(request, context.nowNanos()));
+            applyDecision(context.core().dispatchAfterWait(request, context.nowNanos()));
         }
     }
 
@@ -186,12 +186,12 @@
 
     private boolean canFailOver() {
         recordAnswerStart();
-        return context.core().mayGoElsewhere(request, context.nowNanos());
+        return context.core().canFailOver(request, context.nowNanos());
     }
 
     private void recordAnswerStart() {
         if (relay.isStarted()) {
-            request.answerBegun();
+            request.answerStarted();
         }
     }
 
@@ -281,8 +281,8 @@
 
     private void recordAttemptEnd(AttemptEnd end) {
         request.endpoint()
-                .ifPresent(key ->
-                        context.metrics().attemptEnded(key.id(), end, seconds(request.runNanos(context.nowNanos()))));
+                .ifPresent(key -> context.metrics()
+                        .attemptEnded(key.id(), end, seconds(request.attemptNanos(context.nowNanos()))));
     }
 
     private static double seconds(long nanos) {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
@@ -109,7 +109,7 @@
     void theRestOfAStreamWaitsForASlotWhenAllEndpointsAreFull() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
         EndpointKey broken = sent(fixture.dispatch(request));
-        request.answerBegun();
+        request.answerStarted();
         DispatchDecision decision = fixture.failed(request, AttemptEnd.CUT);
         for (int i = 0; i < 5; i++) {
             while (decision instanceof DispatchDecision.Send) {
@@ -117,7 +117,7 @@
             }
             assertThat(decision).isInstanceOf(DispatchDecision.Wait.class);
             fixture.advanceMillis(((DispatchDecision.Wait) decision).millis());
-            decision = fixture.core.again(request, fixture.nowNanos);
+            decision = fixture.core.dispatchAfterWait(request, fixture.nowNanos);
         }
 
         assertThat(sent(decision)).isNotEqualTo(broken);
@@ -163,7 +163,7 @@
     void aResumableStreamContinuesElsewhereAfterItsCallerGotAPart() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
         EndpointKey one = sent(fixture.dispatch(request));
-        request.answerBegun();
+        request.answerStarted();
 
         assertThat(sent(fixture.failed(request, AttemptEnd.CUT))).isNotEqualTo(one);
     }
@@ -209,7 +209,7 @@
     void aRefusalBecauseOfLoadCarriesTheFiguresBehindIt() {
         fixture.reported(
                 Map.of(DispatchFixture.key("e0"), new InFlight(60, 2), DispatchFixture.key("e1"), new InFlight(60, 0)));
-        fixture.fleet.directory(List.of(
+        fixture.fleet.updateDirectory(List.of(
                 DispatchFixture.entry("e0", 1, false),
                 DispatchFixture.entry("e1", 1, false),
                 DispatchFixture.entry("e2", 1, true)));
@@ -219,7 +219,7 @@
 
         OverloadFacts facts = ((DispatchDecision.Refuse) decision).overload().orElseThrow();
         assertThat(facts.waitMillis()).isGreaterThan(facts.longestWaitMillis());
-        assertThat(fixture.fleet.state(DispatchFixture.SERVICE, fixture.nowNanos))
+        assertThat(fixture.fleet.serviceState(DispatchFixture.SERVICE, fixture.nowNanos))
                 .isEqualTo(new ServiceState(3, 2, 16, 120, 2, 70));
     }
 
@@ -236,7 +236,8 @@
 
     @Test
     void aLeavingEndpointGetsNoNewRequests() {
-        fixture.fleet.directory(List.of(DispatchFixture.entry("e0", 1, true), DispatchFixture.entry("e1", 1, false)));
+        fixture.fleet.updateDirectory(
+                List.of(DispatchFixture.entry("e0", 1, true), DispatchFixture.entry("e1", 1, false)));
         List<EndpointKey> used = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             used.add(sent(fixture.dispatch(fixture.arrive(SAFE))));
@@ -247,11 +248,13 @@
     /** An endpoint that crashed and restarted under the same id does not inherit its recorded failures. */
     @Test
     void aRestartedEndpointIsADifferentEndpoint() {
-        fixture.fleet.directory(List.of(DispatchFixture.entry("e0", 1, false), DispatchFixture.entry("e1", 1, false)));
-        fixture.fleet.observed(DispatchFixture.key("e0"), AttemptEnd.UNREACHABLE, fixture.nowNanos);
+        fixture.fleet.updateDirectory(
+                List.of(DispatchFixture.entry("e0", 1, false), DispatchFixture.entry("e1", 1, false)));
+        fixture.fleet.attemptEnded(DispatchFixture.key("e0"), AttemptEnd.UNREACHABLE, fixture.nowNanos);
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isFalse();
 
-        fixture.fleet.directory(List.of(DispatchFixture.entry("e0", 2, false), DispatchFixture.entry("e1", 1, false)));
+        fixture.fleet.updateDirectory(
+                List.of(DispatchFixture.entry("e0", 2, false), DispatchFixture.entry("e1", 1, false)));
 
         FleetEndpoint restarted = fixture.fleet.find(new EndpointKey("e0", 2)).orElseThrow();
         assertThat(restarted.isUsable(fixture.nowNanos)).isTrue();
@@ -261,7 +264,7 @@
     @Test
     void failuresNeverEjectMoreThanHalfOfAService() {
         for (String id : List.of("e0", "e1", "e2", "e3")) {
-            fixture.fleet.observed(DispatchFixture.key(id), AttemptEnd.UNREACHABLE, fixture.nowNanos);
+            fixture.fleet.attemptEnded(DispatchFixture.key(id), AttemptEnd.UNREACHABLE, fixture.nowNanos);
         }
         long usable = fixture.fleet.all().stream()
                 .filter(endpoint -> endpoint.isUsable(fixture.nowNanos))
@@ -277,8 +280,8 @@
     void aReturningRegistrationKeepsItsInFlightCounts() {
         RoutedRequest request = fixture.arrive(SAFE);
         EndpointKey key = sent(fixture.dispatch(request));
-        fixture.fleet.directory(List.of());
-        fixture.fleet.directory(List.of(DispatchFixture.entry(key.id(), 1, false)));
+        fixture.fleet.updateDirectory(List.of());
+        fixture.fleet.updateDirectory(List.of(DispatchFixture.entry(key.id(), 1, false)));
         assertThat(fixture.endpoint(key.id()).online()).isEqualTo(1);
 
         fixture.core.attemptSucceeded(request, fixture.nowNanos);
@@ -317,23 +320,23 @@
         Route resumable = DispatchFixture.route(RouteKind.STREAM, true, 2);
         RoutedRequest request = fixture.arrive(resumable);
         fixture.dispatch(request);
-        assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isTrue();
+        assertThat(fixture.core.canFailOver(request, fixture.nowNanos)).isTrue();
 
         fixture.failed(request, AttemptEnd.SILENT);
-        assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos))
+        assertThat(fixture.core.canFailOver(request, fixture.nowNanos))
                 .as("its last attempt")
                 .isFalse();
 
         RoutedRequest once = fixture.arrive(DispatchFixture.route(RouteKind.STREAM, false, 2));
         fixture.dispatch(once);
-        assertThat(fixture.core.mayGoElsewhere(once, fixture.nowNanos))
+        assertThat(fixture.core.canFailOver(once, fixture.nowNanos))
                 .as("may run once")
                 .isFalse();
 
         DispatchFixture single = new DispatchFixture(1);
         RoutedRequest alone = single.arrive(resumable);
         single.dispatch(alone);
-        assertThat(single.core.mayGoElsewhere(alone, single.nowNanos))
+        assertThat(single.core.canFailOver(alone, single.nowNanos))
                 .as("no other endpoint")
                 .isFalse();
     }
@@ -346,11 +349,11 @@
     void aQuarantinedStreamStaysWithItsSilentEndpoint() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
         fixture.dispatch(request);
-        request.answerBegun();
+        request.answerStarted();
         quarantine(request);
         fixture.advanceMillis(700);
 
-        assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isFalse();
+        assertThat(fixture.core.canFailOver(request, fixture.nowNanos)).isFalse();
     }
 
     /** Guards against an answer that is moved from its silent endpoint though no other one can continue it midway. */
@@ -358,11 +361,11 @@
     void anAnswerThatCannotBeResumedStaysWithItsSilentEndpointOnceItHasStarted() {
         RoutedRequest request = fixture.arrive(SAFE);
         fixture.dispatch(request);
-        assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isTrue();
+        assertThat(fixture.core.canFailOver(request, fixture.nowNanos)).isTrue();
 
-        request.answerBegun();
+        request.answerStarted();
 
-        assertThat(fixture.core.mayGoElsewhere(request, fixture.nowNanos)).isFalse();
+        assertThat(fixture.core.canFailOver(request, fixture.nowNanos)).isFalse();
     }
 
     /** Guards against a request that is sent twice at once: failed over as silent while it waits to be sent again. */
@@ -371,13 +374,13 @@
         DispatchFixture pair = new DispatchFixture(2);
         RoutedRequest request = pair.arrive(DispatchFixture.route(RouteKind.STREAM, true, 4));
         pair.dispatch(request);
-        request.answerBegun();
+        request.answerStarted();
         pair.failed(request, AttemptEnd.CUT);
         DispatchDecision decision = pair.failed(request, AttemptEnd.BUSY);
         assertThat(decision).isInstanceOf(DispatchDecision.Wait.class);
         pair.advanceMillis(((DispatchDecision.Wait) decision).millis());
 
-        assertThat(pair.core.mayGoElsewhere(request, pair.nowNanos)).isFalse();
+        assertThat(pair.core.canFailOver(request, pair.nowNanos)).isFalse();
     }
 
     private void quarantine(RoutedRequest request) {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchFixture.java
@@ -36,7 +36,7 @@
     private int requests;
 
     DispatchFixture(int endpoints) {
-        this(endpoints, DispatchPolicies.product(new Random(1)));
+        this(endpoints, DispatchPolicies.defaults(new Random(1)));
     }
 
     DispatchFixture(int endpoints, DispatchPolicies policies) {
@@ -45,7 +45,7 @@
         for (int i = 0; i < endpoints; i++) {
             entries.add(entry("e" + i, 1, false));
         }
-        fleet.directory(entries);
+        fleet.updateDirectory(entries);
     }
 
     static EndpointEntry entry(String id, long startedAtMillis, boolean leaving) {
@@ -80,7 +80,7 @@
 
     RoutedRequest arrive(Route route, Optional<Prompt> prompt) {
         String id = "q" + requests++;
-        return core.arrived(new RoutedIntake(
+        return core.newRequest(new RoutedIntake(
                 id,
                 route,
                 SERVICE,
@@ -92,11 +92,11 @@
 
     /** Applies a report of another host on its requests in flight. */
     void reported(Map<EndpointKey, InFlight> inFlight) {
-        fleet.reported(new HostId("other"), inFlight, nowNanos);
+        fleet.updateReport(new HostId("other"), inFlight, nowNanos);
     }
 
     DispatchDecision dispatch(RoutedRequest request) {
-        return core.first(request, nowNanos);
+        return core.dispatch(request, nowNanos);
     }
 
     DispatchDecision failed(RoutedRequest request, AttemptEnd end) {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
@@ -43,7 +43,7 @@
         while (!(decision instanceof DispatchDecision.Refuse)) {
             if (decision instanceof DispatchDecision.Wait wait) {
                 fixture.advanceMillis(wait.millis());
-                decision = fixture.core.again(request, fixture.nowNanos);
+                decision = fixture.core.dispatchAfterWait(request, fixture.nowNanos);
                 continue;
             }
             assertThat(mayHaveRun && !route.isRepeatable()).as("sent again").isFalse();
@@ -56,7 +56,7 @@
         Outcome reported = ((DispatchDecision.Refuse) decision).refusal().outcome();
         assertThat(reported == Outcome.NOT_RUN).isEqualTo(!mayHaveRun);
         assertThat(runs).isLessThanOrEqualTo(max);
-        assertThat(fixture.fleet.own()).isEmpty();
+        assertThat(fixture.fleet.ownInFlight()).isEmpty();
     }
 
     /**
@@ -75,11 +75,11 @@
         DispatchDecision decision = fixture.dispatch(request);
         while (!(decision instanceof DispatchDecision.Refuse)) {
             simulateRandomEvent(fixture, request, random);
-            boolean predicted = fixture.core.mayGoElsewhere(request, fixture.nowNanos);
+            boolean predicted = fixture.core.canFailOver(request, fixture.nowNanos);
             if (decision instanceof DispatchDecision.Wait wait) {
                 assertThat(predicted).as("no endpoint has it").isFalse();
                 fixture.advanceMillis(wait.millis());
-                decision = fixture.core.again(request, fixture.nowNanos);
+                decision = fixture.core.dispatchAfterWait(request, fixture.nowNanos);
                 continue;
             }
             AttemptEnd end = random.nextBoolean() ? AttemptEnd.SILENT : FAILURES.get(random.nextInt(FAILURES.size()));
@@ -97,14 +97,14 @@
         fixture.advanceMillis(random.nextInt(MAX_PAUSE_MILLIS));
         String other = "e" + random.nextInt(MAX_ENDPOINTS);
         switch (random.nextInt(8)) {
-            case 0 -> request.answerBegun();
+            case 0 -> request.answerStarted();
             case 1 -> fixture.suspects.crashed(other, List.of(request.intake().fingerprint()), fixture.nowNanos);
             case 2 -> fixture.suspects.completed(request.intake().fingerprint());
             case 3 ->
-                fixture.fleet.observed(
+                fixture.fleet.attemptEnded(
                         DispatchFixture.key(other), FAILURES.get(random.nextInt(FAILURES.size())), fixture.nowNanos);
             case 4 ->
-                fixture.fleet.directory(IntStream.range(0, MAX_ENDPOINTS)
+                fixture.fleet.updateDirectory(IntStream.range(0, MAX_ENDPOINTS)
                         .filter(number -> random.nextBoolean())
                         .mapToObj(number -> DispatchFixture.entry("e" + number, 1, random.nextInt(3) == 0))
                         .toList());
--- a/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
@@ -29,9 +29,9 @@
                 decision = fixture.failed(request, AttemptEnd.UNREACHABLE);
             }
             fixture.core.attemptSucceeded(request, fixture.nowNanos);
-            for (FleetEndpoint due : fixture.fleet.takeProbes(fixture.nowNanos)) {
+            for (FleetEndpoint due : fixture.fleet.takeDueProbes(fixture.nowNanos)) {
                 probes++;
-                fixture.fleet.probed(due.key(), false, fixture.nowNanos);
+                fixture.fleet.probeEnded(due.key(), false, fixture.nowNanos);
             }
             fixture.advanceMillis(25);
         }
@@ -43,11 +43,11 @@
     void anEndpointGetsRequestsAgainAfterASuccessfulProbe() {
         makeUnreachable();
         fixture.advanceMillis(500);
-        List<FleetEndpoint> due = fixture.fleet.takeProbes(fixture.nowNanos);
+        List<FleetEndpoint> due = fixture.fleet.takeDueProbes(fixture.nowNanos);
         assertThat(due).extracting(endpoint -> endpoint.key().id()).containsExactly("e0");
-        assertThat(fixture.fleet.takeProbes(fixture.nowNanos)).isEmpty();
+        assertThat(fixture.fleet.takeDueProbes(fixture.nowNanos)).isEmpty();
 
-        fixture.fleet.probed(due.get(0).key(), true, fixture.nowNanos);
+        fixture.fleet.probeEnded(due.get(0).key(), true, fixture.nowNanos);
 
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isTrue();
     }
@@ -60,7 +60,7 @@
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isFalse();
 
         fixture.advanceMillis(500);
-        assertThat(fixture.fleet.takeProbes(fixture.nowNanos)).isEmpty();
+        assertThat(fixture.fleet.takeDueProbes(fixture.nowNanos)).isEmpty();
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isTrue();
     }
 
@@ -74,7 +74,7 @@
                 decision = fixture.failed(request, AttemptEnd.UNREACHABLE);
             }
         }
-        long usable = fixture.fleet.of(DispatchFixture.SERVICE).stream()
+        long usable = fixture.fleet.endpointsOf(DispatchFixture.SERVICE).stream()
                 .filter(endpoint -> endpoint.isUsable(fixture.nowNanos))
                 .count();
         assertThat(usable).isEqualTo(2);
--- a/src/test/java/org/gooseberryhill/decision/dispatch/FleetYieldTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/FleetYieldTest.java
@@ -35,37 +35,37 @@
     /** Crossing reports of two hosts make an endpoint seem overcommitted for some milliseconds: no item yields. */
     @Test
     void aBriefExcessDisplacesNoItems() {
-        YieldTiming timing = new YieldTiming();
+        YieldGracePeriod gracePeriod = new YieldGracePeriod();
 
-        assertThat(timing.due(KEY, 2, 0)).isZero();
-        assertThat(timing.due(KEY, 0, 10_000_000)).isZero();
-        assertThat(timing.due(KEY, 2, 20_000_000)).isZero();
-        assertThat(timing.due(KEY, 2, 49_000_000)).isZero();
-        assertThat(timing.due(KEY, 2, 51_000_000)).isEqualTo(2);
+        assertThat(gracePeriod.itemsToYield(KEY, 2, 0)).isZero();
+        assertThat(gracePeriod.itemsToYield(KEY, 0, 10_000_000)).isZero();
+        assertThat(gracePeriod.itemsToYield(KEY, 2, 20_000_000)).isZero();
+        assertThat(gracePeriod.itemsToYield(KEY, 2, 49_000_000)).isZero();
+        assertThat(gracePeriod.itemsToYield(KEY, 2, 51_000_000)).isEqualTo(2);
     }
 
     /** Pauses double during a burst, so that few items start only to yield again, and are reset after it. */
     @Test
     void thePauseOfAnEndpointDoublesDuringABurst() {
-        ItemPause pause = new ItemPause();
+        ItemStartPause pause = new ItemStartPause();
         long now = 1_000_000_000L;
-        pause.gaveWay(KEY, now);
+        pause.itemsYielded(KEY, now);
         assertThat(pause.isPaused(KEY, now + 299_000_000L)).isTrue();
         assertThat(pause.isPaused(KEY, now + 301_000_000L)).isFalse();
 
-        pause.gaveWay(KEY, now + 400_000_000L);
+        pause.itemsYielded(KEY, now + 400_000_000L);
         assertThat(pause.isPaused(KEY, now + 990_000_000L)).isTrue();
 
         long later = now + 10_000_000_000L;
-        pause.gaveWay(KEY, later);
+        pause.itemsYielded(KEY, later);
         assertThat(pause.isPaused(KEY, later + 301_000_000L)).isFalse();
     }
 
     @Test
     void itemsLeaveASlotFreeUnlessTheyAreUrgent() {
         DispatchFixture fixture = new DispatchFixture(1);
-        fixture.fleet.reported(new HostId("other"), Map.of(KEY, new InFlight(3, 4)), fixture.nowNanos);
-        List<FleetEndpoint> endpoints = new ArrayList<>(fixture.fleet.of(DispatchFixture.SERVICE));
+        fixture.fleet.updateReport(new HostId("other"), Map.of(KEY, new InFlight(3, 4)), fixture.nowNanos);
+        List<FleetEndpoint> endpoints = new ArrayList<>(fixture.fleet.endpointsOf(DispatchFixture.SERVICE));
         ItemPlacement placement = new ReservedSlotPlacement(new Random(1));
 
         assertThat(placement.choose(endpoints, false, fixture.nowNanos)).isEmpty();
@@ -74,10 +74,10 @@
 
     private static int yieldShare(HostId self, Map<HostId, InFlight> inFlight) {
         Fleet fleet = new Fleet();
-        fleet.directory(List.of(DispatchFixture.entry("e0", 1, false)));
+        fleet.updateDirectory(List.of(DispatchFixture.entry("e0", 1, false)));
         inFlight.forEach((host, load) -> {
             if (!host.equals(self)) {
-                fleet.reported(host, Map.of(KEY, load), 0);
+                fleet.updateReport(host, Map.of(KEY, load), 0);
             }
         });
         for (int i = 0; i < inFlight.get(self).online(); i++) {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/SilentEndpointFailoverTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/SilentEndpointFailoverTest.java
@@ -21,17 +21,19 @@
             EndpointKey silent = sent(pair.dispatch(request));
             EndpointKey other = DispatchFixture.key(silent.id().equals("e0") ? "e1" : "e0");
             if (begun) {
-                request.answerBegun();
+                request.answerStarted();
             }
-            assertThat(pair.core.mayGoElsewhere(request, pair.nowNanos)).isTrue();
-            pair.fleet.observed(other, AttemptEnd.BUSY, pair.nowNanos);
+            assertThat(pair.core.canFailOver(request, pair.nowNanos)).isTrue();
+            pair.fleet.attemptEnded(other, AttemptEnd.BUSY, pair.nowNanos);
 
             assertThat(pair.failed(request, AttemptEnd.SILENT)).isInstanceOf(DispatchDecision.Wait.class);
             pair.advanceMillis(50);
-            assertThat(sent(pair.core.again(request, pair.nowNanos))).isEqualTo(other);
+            assertThat(sent(pair.core.dispatchAfterWait(request, pair.nowNanos)))
+                    .isEqualTo(other);
             assertThat(pair.failed(request, AttemptEnd.BUSY)).isInstanceOf(DispatchDecision.Wait.class);
             pair.advanceMillis(50);
-            assertThat(sent(pair.core.again(request, pair.nowNanos))).isEqualTo(other);
+            assertThat(sent(pair.core.dispatchAfterWait(request, pair.nowNanos)))
+                    .isEqualTo(other);
         }
     }
 
--- a/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
@@ -9,11 +9,11 @@
 import java.util.stream.LongStream;
 import org.gooseberryhill.decision.dispatch.DispatchPolicies;
 import org.gooseberryhill.decision.dispatch.ForecastOverloadPolicy;
-import org.gooseberryhill.decision.dispatch.ForecastReturn;
+import org.gooseberryhill.decision.dispatch.ForecastRetryAfterPolicy;
 import org.gooseberryhill.decision.dispatch.LeastWaitPlacement;
 import org.gooseberryhill.decision.dispatch.OverloadPolicy;
 import org.gooseberryhill.decision.dispatch.ReservedSlotPlacement;
-import org.gooseberryhill.decision.dispatch.ReturnPolicy;
+import org.gooseberryhill.decision.dispatch.RetryAfterPolicy;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -27,7 +27,7 @@
 
     @Test
     void atNormalLoadNoRequestIsRefusedAndNearlyAllAreOnTime() {
-        for (ReplayResult result : play(DispatchPolicies::product, replay -> normalLoad(replay, 30))) {
+        for (ReplayResult result : play(DispatchPolicies::defaults, replay -> normalLoad(replay, 30))) {
             assertThat(result.onTimeShare()).isGreaterThan(0.995);
             assertThat(result.servedShare()).isEqualTo(1);
             assertThat(result.itemsOnTimeShare()).isGreaterThan(0.99);
@@ -42,9 +42,9 @@
     @Test
     void inLongBurstsMoreStreamsAreOnTimeIfNoneWaitsForLong() {
         Function<Random, DispatchPolicies> waitUpToTwoTargets =
-                random -> policies(random, new ForecastOverloadPolicy(2.0), new ForecastReturn());
+                random -> policies(random, new ForecastOverloadPolicy(2.0), new ForecastRetryAfterPolicy());
         double replaced = meanOnTimeShare(play(waitUpToTwoTargets, OverloadReplayTest::longBursts));
-        List<ReplayResult> results = play(DispatchPolicies::product, OverloadReplayTest::longBursts);
+        List<ReplayResult> results = play(DispatchPolicies::defaults, OverloadReplayTest::longBursts);
         System.out.printf(
                 "long bursts: waiting up to two targets %.3f, product %.3f on time%n",
                 replaced, meanOnTimeShare(results));
@@ -61,10 +61,10 @@
     @Test
     void callersWithIndividualRetryTimesAreSeldomRefusedTwice() {
         Function<Random, DispatchPolicies> sameRetryTime =
-                random -> policies(random, new ForecastOverloadPolicy(0.3), new ForecastReturn());
+                random -> policies(random, new ForecastOverloadPolicy(0.3), new ForecastRetryAfterPolicy());
         double replaced = meanRefusedTwiceShare(play(sameRetryTime, OverloadReplayTest::longBursts));
         double individualRetryTimes =
-                meanRefusedTwiceShare(play(DispatchPolicies::product, OverloadReplayTest::longBursts));
+                meanRefusedTwiceShare(play(DispatchPolicies::defaults, OverloadReplayTest::longBursts));
         System.out.printf(
                 "long bursts: told the wait of the moment %.3f, times of their own %.3f refused twice%n",
                 replaced, individualRetryTimes);
@@ -72,9 +72,9 @@
         assertThat(individualRetryTimes).isLessThan(replaced / 2);
     }
 
-    private static DispatchPolicies policies(Random random, OverloadPolicy overload, ReturnPolicy returns) {
+    private static DispatchPolicies policies(Random random, OverloadPolicy overload, RetryAfterPolicy retryAfter) {
         return new DispatchPolicies(
-                new LeastWaitPlacement(random), overload, returns, new ReservedSlotPlacement(random));
+                new LeastWaitPlacement(random), overload, retryAfter, new ReservedSlotPlacement(random));
     }
 
     private static List<ReplayResult> play(Function<Random, DispatchPolicies> policies, Consumer<ServingReplay> load) {
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
@@ -74,7 +74,7 @@
         this.endpoints = endpoints;
         List<EndpointEntry> entries =
                 endpoints.values().stream().map(ReplayEndpoint::entry).toList();
-        fleet.directory(entries);
+        fleet.updateDirectory(entries);
         core = new DispatchCore(entries.get(0).zone(), policies, fleet, new CrashSuspects(SUSPECT_MILLIS, 100));
         BatchRoutes batchRoutes = new BatchRoutes();
         batchRoutes.configure(routes);
@@ -89,7 +89,7 @@
     /** Handles an attempt of a caller that arrives at this host. */
     void receive(ReplayCall call, Route route, long deadlineNanos) {
         String name = id.value() + "-" + requestCount++;
-        RoutedRequest request = core.arrived(new RoutedIntake(
+        RoutedRequest request = core.newRequest(new RoutedIntake(
                 name,
                 route,
                 ServingReplay.SERVICE,
@@ -98,7 +98,7 @@
                 clock.nowNanos(),
                 deadlineNanos));
         calls.put(request, call);
-        execute(request, core.first(request, clock.nowNanos()));
+        execute(request, core.dispatch(request, clock.nowNanos()));
     }
 
     /** Adds a batch that this host owns, with the number of events of each item. */
@@ -121,7 +121,7 @@
         } else if (decision instanceof DispatchDecision.Refuse refuse) {
             refuse(request, refuse.refusal());
         } else if (decision instanceof DispatchDecision.Wait wait) {
-            clock.schedule(wait.millis(), () -> execute(request, core.again(request, clock.nowNanos())));
+            clock.schedule(wait.millis(), () -> execute(request, core.dispatchAfterWait(request, clock.nowNanos())));
         }
     }
 
@@ -188,13 +188,13 @@
         reportScheduled = true;
         clock.schedule(REPORT_DELAY_MILLIS, () -> {
             reportScheduled = false;
-            Map<EndpointKey, InFlight> load = fleet.own();
+            Map<EndpointKey, InFlight> load = fleet.ownInFlight();
             otherHosts.forEach(host -> clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> host.receiveLoadReport(id, load)));
         });
     }
 
     private void receiveLoadReport(HostId from, Map<EndpointKey, InFlight> load) {
-        fleet.reported(from, load, clock.nowNanos());
+        fleet.updateReport(from, load, clock.nowNanos());
     }
 
     /** A run of a batch item at an endpoint. */
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
@@ -64,7 +64,7 @@
             entries.add(entry);
             endpoints.add(entry.key());
         }
-        fleet.directory(entries);
+        fleet.updateDirectory(entries);
         BatchRoutes routes = new BatchRoutes();
         routes.configure(new RouteTable(new RouteConfiguration(1, List.of(route()), Map.of(), ClientLimits.DEFAULT)));
         dispatch = new ItemDispatch(
@@ -155,7 +155,7 @@
             int requests = (int) share + (random.nextDouble() < share - (int) share ? 1 : 0);
             inFlight.put(endpoints.get(i), new InFlight(Math.min(SLOTS, requests), 0));
         }
-        fleet.reported(CALLERS, inFlight, nowNanos());
+        fleet.updateReport(CALLERS, inFlight, nowNanos());
     }
 
     private void tick() {
