--- a/src/main/java/org/gooseberryhill/decision/batch/EndpointBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/EndpointBatch.java
@@ -62,7 +62,7 @@
      *
      * @param slow whether the endpoint's online tail latency exceeds its target
      */
-    public List<RunningItem> onlineReported(HostId entry, int inFlight, boolean slow, long nowNanos) {
+    public List<RunningItem> onOnlineReport(HostId entry, int inFlight, boolean slow, long nowNanos) {
         onlineByEntry.put(entry, new Report(inFlight, nowNanos));
         if (slow) {
             tailLatencyCap.recordSlow(running.size(), nowNanos);
@@ -71,19 +71,19 @@
     }
 
     /** Discards the reports of entry hosts that are not present: a lost host has no requests in flight. */
-    public void entriesPresent(Set<HostId> entries) {
+    public void retainEntries(Set<HostId> entries) {
         onlineByEntry.keySet().retainAll(entries);
     }
 
     /** Applies the engine's own, lagging count of requests in flight and returns the items that must yield now. */
-    public List<RunningItem> engineReported(int active, long nowNanos) {
+    public List<RunningItem> onEngineReport(int active, long nowNanos) {
         engineOnlineInFlight = Math.max(0, active - running.size());
         engineReportedNanos = nowNanos;
         return itemsToYield(nowNanos);
     }
 
     /** Sets whether the endpoint is leaving; a leaving endpoint gets no new items. */
-    public void leaving(boolean nowLeaving) {
+    public void setLeaving(boolean nowLeaving) {
         leaving = nowLeaving;
     }
 
@@ -93,7 +93,7 @@
     }
 
     /** Returns how many more items may start now. */
-    public int free(long nowNanos) {
+    public int freeSlots(long nowNanos) {
         boolean paused = pausedUntilNanos != Long.MIN_VALUE && nowNanos - pausedUntilNanos < 0;
         if (leaving || settings.leaving() || paused) {
             return 0;
@@ -102,13 +102,13 @@
     }
 
     /** Records the start of an item. */
-    public void started(RunningItem item) {
-        running.put(item.run(), item);
+    public void recordStart(RunningItem item) {
+        running.put(item.runNumber(), item);
     }
 
     /** Records the end of an item, whatever its result. */
-    public void ended(long run) {
-        running.remove(run);
+    public void recordEnd(long runNumber) {
+        running.remove(runNumber);
     }
 
     /** Returns the items in flight. */
@@ -117,7 +117,7 @@
     }
 
     /** Returns the best available estimate of the online requests in flight. */
-    public int online(long nowNanos) {
+    public int onlineInFlight(long nowNanos) {
         onlineByEntry.values().removeIf(report -> nowNanos - report.receivedNanos > REPORT_RETENTION_NANOS);
         int reported = onlineByEntry.values().stream()
                 .mapToInt(report -> report.inFlight)
@@ -136,7 +136,7 @@
 
     private int allowedItems(long nowNanos) {
         SlotCase slotCase =
-                new SlotCase(settings.slots(), online(nowNanos), weightPercent, tailLatencyCap.value(nowNanos));
+                new SlotCase(settings.slots(), onlineInFlight(nowNanos), weightPercent, tailLatencyCap.value(nowNanos));
         return slotPolicy.slots(slotCase);
     }
 
--- a/src/main/java/org/gooseberryhill/decision/batch/RunningItem.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/RunningItem.java
@@ -2,24 +2,24 @@
 
 /** A batch item in flight at an endpoint. Not thread-safe. */
 public final class RunningItem {
-    private final long run;
+    private final long runNumber;
     private final long startNanos;
     private int tokens;
 
     /**
      * Creates an item that starts now.
      *
-     * @param run the run number, which is unique at the item's steward
+     * @param runNumber the run number, which is unique at the item's steward
      * @param startNanos the current time, in nanoseconds
      */
-    public RunningItem(long run, long startNanos) {
-        this.run = run;
+    public RunningItem(long runNumber, long startNanos) {
+        this.runNumber = runNumber;
         this.startNanos = startNanos;
     }
 
     /** Returns the run number. */
-    public long run() {
-        return run;
+    public long runNumber() {
+        return runNumber;
     }
 
     /** Returns the start time, in nanoseconds. */
@@ -33,7 +33,7 @@
     }
 
     /** Sets the total number of tokens generated so far. */
-    public void generated(int total) {
+    public void setTokens(int total) {
         tokens = total;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/batch/TailWatch.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/TailLatencyMonitor.java
@@ -11,7 +11,7 @@
  * <p>The target applies to 95 % of the samples: an endpoint is slow while more than 5 % of its recent samples exceed
  * it. Older samples lose weight exponentially, so that a past burst does not hold back batch items.
  */
-public final class TailWatch {
+public final class TailLatencyMonitor {
     private static final double MAX_SLOW_SHARE = 0.05;
     private static final double DECAY_PER_SAMPLE = 0.98;
     private static final double MIN_SAMPLES = 10;
@@ -24,12 +24,12 @@
      * @param number the number of samples
      * @param beyondTarget how many of them exceeded the target
      */
-    public void samples(String endpoint, int number, int beyondTarget) {
+    public void recordSamples(String endpoint, int number, int beyondTarget) {
         byEndpoint.computeIfAbsent(endpoint, key -> new Samples()).add(number, beyondTarget);
     }
 
     /** Returns the endpoints that are slow now, and discards their samples so that each sample counts once. */
-    public Set<String> takeSlow() {
+    public Set<String> takeSlowEndpoints() {
         Set<String> slow = new HashSet<>();
         byEndpoint.forEach((endpoint, samples) -> {
             if (samples.isSlow()) {
--- a/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
@@ -23,7 +23,7 @@
      *
      * @param dueByService the earliest due time, in epoch milliseconds, of each service with waiting items
      */
-    public void heard(HostId owner, Map<String, Long> dueByService) {
+    public void onHeartbeat(HostId owner, Map<String, Long> dueByService) {
         if (dueByService.isEmpty()) {
             dueByOwner.remove(owner);
         } else {
@@ -32,15 +32,15 @@
     }
 
     /** Applies an owner's notice of waiting items for one service. */
-    public void noticed(HostId owner, String service, long dueMillis) {
+    public void onNotice(HostId owner, String service, long dueMillis) {
         dueByOwner.computeIfAbsent(owner, key -> new HashMap<>()).merge(service, dueMillis, Math::min);
     }
 
     /**
      * Returns the owner to ask for items of a service, or empty if there is none. The request counts as open until
-     * {@link #answered}.
+     * {@link #onAnswer}.
      */
-    public Optional<HostId> nextToAsk(String service) {
+    public Optional<HostId> nextOwnerToAsk(String service) {
         Optional<HostId> owner = dueByOwner.entrySet().stream()
                 .filter(entry -> entry.getValue().containsKey(service) && !hasOpenRequest(entry.getKey(), service))
                 .min(Comparator.comparingLong((Map.Entry<HostId, Map<String, Long>> entry) ->
@@ -53,7 +53,7 @@
     }
 
     /** Closes a request to an owner. An owner without items is not asked again until its next heartbeat or notice. */
-    public void answered(HostId owner, String service, boolean hadItems) {
+    public void onAnswer(HostId owner, String service, boolean hadItems) {
         Set<String> openServices = openRequests.get(owner);
         if (openServices != null) {
             openServices.remove(service);
@@ -65,7 +65,7 @@
     }
 
     /** Removes a lost owner. */
-    public void lost(HostId owner) {
+    public void remove(HostId owner) {
         dueByOwner.remove(owner);
         openRequests.remove(owner);
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
@@ -142,7 +142,7 @@
         runTime(request).add(request.attemptNanos(nowNanos));
         attemptEnded(request, AttemptEnd.ANSWERED, nowNanos);
         if (suspects.size() > 0) {
-            suspects.completed(request.intake().fingerprint());
+            suspects.clear(request.intake().fingerprint());
         }
     }
 
--- a/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
@@ -30,17 +30,17 @@
     }
 
     /** Returns the first step. */
-    public ClaimStep begin() {
+    public ClaimStep firstStep() {
         return new ClaimStep.Create();
     }
 
     /** Returns the next step after the service has answered the creation of the record. */
-    public ClaimStep created(boolean succeeded) {
+    public ClaimStep onCreateResult(boolean succeeded) {
         return succeeded ? send() : new ClaimStep.Read();
     }
 
     /** Returns the next step after the record was read; empty means that the key is absent. */
-    public ClaimStep read(Optional<ClaimRecord> found, long nowMillis) {
+    public ClaimStep onReadResult(Optional<ClaimRecord> found, long nowMillis) {
         if (found.isEmpty()) {
             // An unanswered creation that is still on its way carries the same claim id, so creating again is safe.
             return afterUncertainResult(new ClaimStep.Create());
@@ -70,7 +70,7 @@
     }
 
     /** Returns the next step after a creation or read without an answer; the creation may have taken effect. */
-    public ClaimStep unanswered() {
+    public ClaimStep onNoAnswer() {
         return afterUncertainResult(new ClaimStep.Read());
     }
 
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
@@ -111,7 +111,7 @@
      *
      * @param endpoint the endpoint at which the suspect may run, or empty if it has to wait
      */
-    public OnlineDecision permitted(OnlineRequest request, Optional<String> endpoint, long nowNanos) {
+    public OnlineDecision onPermitAnswer(OnlineRequest request, Optional<String> endpoint, long nowNanos) {
         Optional<EndpointState> granted = endpoint.flatMap(endpoints::find);
         if (granted.isPresent()) {
             request.setHoldsPermit(true);
@@ -150,7 +150,7 @@
     public void attemptSucceeded(OnlineRequest request, long nowNanos) {
         request.endpoint().ifPresent(name -> endpoints.recordSuccess(name, request.attemptRunNanos(nowNanos)));
         request.attemptEnded();
-        suspects.completed(request.intake().fingerprint());
+        suspects.clear(request.intake().fingerprint());
     }
 
     /** Records that the caller disconnected, or that its deadline passed, while an attempt was in progress. */
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineDecision.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineDecision.java
@@ -14,7 +14,7 @@
     record Send(EndpointSettings endpoint) implements OnlineDecision {}
 
     /**
-     * Ask the service's arbiter where the request, a crash suspect, may run, then call {@link OnlineCore#permitted}.
+     * Ask the service's arbiter where the request, a crash suspect, may run, then call {@link OnlineCore#onPermitAnswer}.
      *
      * @param endpoints the names of the candidate endpoints, least loaded first
      */
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineRequest.java
@@ -8,7 +8,7 @@
 
 /**
  * Tracks the progress of an online request. Not thread-safe; modified only by {@link OnlineCore}, except for {@link
- * #answerStarted}.
+ * #markAnswerStarted}.
  *
  * <p>Invariant: once an attempt may have run, the request may have run, whatever the outcome of later attempts.
  */
@@ -50,7 +50,7 @@
     }
 
     /** Records that the caller has a part of the answer that no other endpoint can continue. */
-    public void answerStarted() {
+    public void markAnswerStarted() {
         answerStarted = true;
     }
 
--- a/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
@@ -51,7 +51,7 @@
      * <p>Several hosts report the same crash, each with the requests that it had there. For each request, reports of
      * the same endpoint less than 2 s apart count as one crash.
      */
-    public void crashed(String endpoint, Collection<Fingerprint> inFlight, long nowNanos) {
+    public void recordCrash(String endpoint, Collection<Fingerprint> inFlight, long nowNanos) {
         removeExpired(nowNanos);
         for (Fingerprint fingerprint : inFlight) {
             CrashHistory history = histories.computeIfAbsent(fingerprint, key -> new CrashHistory());
@@ -63,7 +63,7 @@
     }
 
     /** Clears a request that completed: it does not crash endpoints. */
-    public void completed(Fingerprint fingerprint) {
+    public void clear(Fingerprint fingerprint) {
         histories.remove(fingerprint);
     }
 
--- a/src/main/java/org/gooseberryhill/decision/quarantine/SuspectArbiter.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/SuspectArbiter.java
@@ -29,7 +29,7 @@
     }
 
     /** Grants the first of the endpoints that no other suspect holds; returns empty if the suspect has to wait. */
-    public Optional<String> ask(Fingerprint suspect, List<String> endpoints, long nowNanos) {
+    public Optional<String> tryAcquire(Fingerprint suspect, List<String> endpoints, long nowNanos) {
         grants.values().removeIf(grant -> nowNanos - grant.grantedNanos > grantDurationNanos);
         if (grants.containsKey(suspect)) {
             return Optional.empty();
--- a/src/main/java/org/gooseberryhill/decision/routing/EndpointTable.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/EndpointTable.java
@@ -37,12 +37,12 @@
     }
 
     /** Replaces the set of endpoints that are leaving according to the host list, a steward or their own status. */
-    public void leaving(Set<String> names) {
+    public void setLeaving(Set<String> names) {
         byName.values().forEach(state -> state.setLeaving(names.contains(state.name())));
     }
 
     /** Applies a steward's report of the online requests and batch items in flight at an endpoint. */
-    public void reported(String name, int online, int batch) {
+    public void recordReport(String name, int online, int batch) {
         find(name).ifPresent(state -> state.recordReport(online, batch));
     }
 
--- a/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
+++ b/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
@@ -49,7 +49,7 @@
         onSend = send;
         onReplay = replay;
         onRefuse = refuse;
-        perform(claim.begin());
+        perform(claim.firstStep());
     }
 
     /** Stores the call's answer, then runs the action, even if the write fails. May be called from any thread. */
@@ -97,16 +97,17 @@
             process.keyValue()
                     .write(create)
                     .whenComplete((result, failure) -> process.loop()
-                            .execute(() ->
-                                    perform(failure == null ? claim.created(result.succeeded()) : claim.unanswered())));
+                            .execute(() -> perform(
+                                    failure == null ? claim.onCreateResult(result.succeeded()) : claim.onNoAnswer())));
         } else if (step instanceof ClaimStep.Read) {
             process.keyValue()
                     .read(key)
                     .whenComplete((result, failure) -> process.loop()
                             .execute(() -> perform(
                                     failure == null
-                                            ? claim.read(parseRecord(result.first()), System.currentTimeMillis())
-                                            : claim.unanswered())));
+                                            ? claim.onReadResult(
+                                                    parseRecord(result.first()), System.currentTimeMillis())
+                                            : claim.onNoAnswer())));
         } else if (step instanceof ClaimStep.Send) {
             onSend.run();
         } else if (step instanceof ClaimStep.Replay replay) {
--- a/src/main/java/org/gooseberryhill/entry/EntryProcess.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryProcess.java
@@ -80,7 +80,7 @@
         } else if (message instanceof PeerMessage.LeavingNotice notice) {
             context.traffic().onLeavingNotice(notice);
         } else if (message instanceof PeerMessage.SuspectRelease release && release.completed()) {
-            context.traffic().core().suspects().completed(new Fingerprint(release.fingerprint()));
+            context.traffic().core().suspects().clear(new Fingerprint(release.fingerprint()));
         }
         return MessageHandler.reply(new PeerMessage.Ack());
     }
--- a/src/main/java/org/gooseberryhill/entry/ModelCall.java
+++ b/src/main/java/org/gooseberryhill/entry/ModelCall.java
@@ -185,8 +185,9 @@
             if (count > 0) {
                 process()
                         .loop()
-                        .execute(() ->
-                                context.traffic().tailLatency().samples(endpoint.name(), count, countBeyondTarget));
+                        .execute(() -> context.traffic()
+                                .tailLatency()
+                                .recordSamples(endpoint.name(), count, countBeyondTarget));
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -134,7 +134,7 @@
      * thread.
      */
     final void markAnswerStarted() {
-        process().loop().execute(() -> request.answerStarted());
+        process().loop().execute(() -> request.markAnswerStarted());
     }
 
     /** Ends the request with a refusal. For the control thread. */
@@ -231,7 +231,7 @@
             endpoint.ifPresent(name -> sendRelease(false));
             return;
         }
-        perform(context.traffic().core().permitted(request, endpoint, nowNanos()));
+        perform(context.traffic().core().onPermitAnswer(request, endpoint, nowNanos()));
     }
 
     private void releasePermit(boolean completed) {
--- a/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.gooseberryhill.contract.Fingerprint;
-import org.gooseberryhill.decision.batch.TailWatch;
+import org.gooseberryhill.decision.batch.TailLatencyMonitor;
 import org.gooseberryhill.decision.drain.LeavingEndpoints;
 import org.gooseberryhill.decision.drain.LeavingSource;
 import org.gooseberryhill.decision.online.OnlineCore;
@@ -31,7 +31,7 @@
 
     private final HostProcess process;
     private final OnlineCore core;
-    private final TailWatch tailLatency = new TailWatch();
+    private final TailLatencyMonitor tailLatency = new TailLatencyMonitor();
     private final LeavingEndpoints leaving = new LeavingEndpoints();
     private final LoadReporter loadReporter;
     private int requestsInProgress;
@@ -46,7 +46,7 @@
         process.configuration().onChange(core::configure);
         process.onHostList(listing -> {
             leaving.replace(LeavingSource.HOST_LIST, listing.leavingEndpoints());
-            core.endpoints().leaving(leaving.all());
+            core.endpoints().setLeaving(leaving.all());
         });
         process.loop().every(REPORT_PERIOD_MILLIS, this::reportLoads);
     }
@@ -55,7 +55,7 @@
         return core;
     }
 
-    TailWatch tailLatency() {
+    TailLatencyMonitor tailLatency() {
         return tailLatency;
     }
 
@@ -80,7 +80,8 @@
 
     /** Handles a crash at an endpoint. All hosts have to know of it before the caller resends the request elsewhere. */
     void onEndpointCrashed(String endpoint, Fingerprint fingerprint) {
-        core.suspects().crashed(endpoint, List.of(fingerprint), process.loop().nowNanos());
+        core.suspects()
+                .recordCrash(endpoint, List.of(fingerprint), process.loop().nowNanos());
         process.timeline()
                 .event(EventKind.ENDPOINT_CRASHED)
                 .endpoint(endpoint)
@@ -97,13 +98,14 @@
     void onCrashNotice(PeerMessage.CrashNotice notice) {
         List<Fingerprint> fingerprints =
                 notice.fingerprints().stream().map(Fingerprint::new).toList();
-        core.suspects().crashed(notice.endpoint(), fingerprints, process.loop().nowNanos());
+        core.suspects()
+                .recordCrash(notice.endpoint(), fingerprints, process.loop().nowNanos());
     }
 
     /** Handles a steward's notice that one of its endpoints is leaving, or no longer is. */
     void onLeavingNotice(PeerMessage.LeavingNotice notice) {
         leaving.update(LeavingSource.PEER, notice.endpoint(), notice.leaving());
-        core.endpoints().leaving(leaving.all());
+        core.endpoints().setLeaving(leaving.all());
     }
 
     /** Returns the host that arbitrates the suspects of a service. */
@@ -112,16 +114,16 @@
     }
 
     private void reportLoads() {
-        loadReporter.reportChanges(core.endpoints().all(), tailLatency.takeSlow());
+        loadReporter.reportChanges(core.endpoints().all(), tailLatency.takeSlowEndpoints());
     }
 
     private void onEndpointLoads(Set<String> reported, PeerMessage.EndpointLoads loads) {
         for (String endpoint : reported) {
             int online = loads.online().getOrDefault(endpoint, 0);
             int batch = loads.batch().getOrDefault(endpoint, 0);
-            core.endpoints().reported(endpoint, online, batch);
+            core.endpoints().recordReport(endpoint, online, batch);
             leaving.update(LeavingSource.PEER, endpoint, loads.leaving().contains(endpoint));
         }
-        core.endpoints().leaving(leaving.all());
+        core.endpoints().setLeaving(leaving.all());
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
+++ b/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
@@ -35,7 +35,7 @@
         if (end != AttemptEnd.CUT) {
             return;
         }
-        suspects.crashed(endpoint, List.of(request), context.nowNanos());
+        suspects.recordCrash(endpoint, List.of(request), context.nowNanos());
         context.timeline()
                 .event(EventKind.ENDPOINT_CRASHED)
                 .endpoint(endpoint)
@@ -52,7 +52,7 @@
         }
         Fingerprint request = intake.fingerprint();
         if (suspects.verdict(request, context.nowNanos()) != Verdict.CLEAR) {
-            suspects.completed(request);
+            suspects.clear(request);
             links.tellAll(new PeerMessage.SuspectRelease(intake.service(), request.value(), true));
         }
     }
@@ -61,13 +61,13 @@
     void onCrashNotice(PeerMessage.CrashNotice notice) {
         List<Fingerprint> requests =
                 notice.fingerprints().stream().map(Fingerprint::new).toList();
-        suspects.crashed(notice.endpoint(), requests, context.nowNanos());
+        suspects.recordCrash(notice.endpoint(), requests, context.nowNanos());
     }
 
     /** Clears a request that another gateway reports as answered. */
     void onSuspectRelease(PeerMessage.SuspectRelease release) {
         if (release.completed()) {
-            suspects.completed(new Fingerprint(release.fingerprint()));
+            suspects.clear(new Fingerprint(release.fingerprint()));
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -91,11 +91,11 @@
     }
 
     void onHeartbeatWork(HostId owner, Map<String, Long> dueByService) {
-        sources.heard(owner, dueByService);
+        sources.onHeartbeat(owner, dueByService);
     }
 
     void onWorkNotice(HostId owner, PeerMessage.WorkNotice notice) {
-        sources.noticed(owner, notice.service(), notice.earliestDueMillis());
+        sources.onNotice(owner, notice.service(), notice.earliestDueMillis());
         requestItems();
     }
 
@@ -112,8 +112,8 @@
                 return;
             }
             boolean slow = load.slowEndpoints().contains(name);
-            yieldItems(endpoint.onlineReported(entry, inFlight, slow, now));
-            online.put(name, endpoint.online(now));
+            yieldItems(endpoint.onOnlineReport(entry, inFlight, slow, now));
+            online.put(name, endpoint.onlineInFlight(now));
             batch.put(name, endpoint.running().size());
             if (leavingFirstHand.contains(name)) {
                 leavingEndpoints.add(name);
@@ -142,7 +142,7 @@
         runs.remove(run.number());
         EndpointBatch endpoint = endpoints.get(run.endpoint().name());
         if (endpoint != null) {
-            endpoint.ended(run.number());
+            endpoint.recordEnd(run.number());
             if (unreachable) {
                 endpoint.pause(UNREACHABLE_PAUSE_MILLIS, process.loop().nowNanos());
             }
@@ -151,7 +151,7 @@
     }
 
     private void yieldItems(List<RunningItem> items) {
-        items.forEach(item -> Optional.ofNullable(runs.get(item.run())).ifPresent(ItemRun::yield));
+        items.forEach(item -> Optional.ofNullable(runs.get(item.runNumber())).ifPresent(ItemRun::yield));
     }
 
     private void updateStewardedEndpoints() {
@@ -173,7 +173,7 @@
         }
         endpoints.keySet().retainAll(stewardedNames);
         Set<HostId> entries = process.present(Role.ENTRY).stream().map(Host::id).collect(Collectors.toSet());
-        endpoints.values().forEach(endpoint -> endpoint.entriesPresent(entries));
+        endpoints.values().forEach(endpoint -> endpoint.retainEntries(entries));
         updateLeavingEndpoints();
     }
 
@@ -191,7 +191,7 @@
         if (endpoint == null) {
             return;
         }
-        yieldItems(endpoint.engineReported(
+        yieldItems(endpoint.onEngineReport(
                 status.active() + status.queued(), process.loop().nowNanos()));
         boolean wasLeaving = leaving.all().contains(endpointSettings.name());
         leaving.update(LeavingSource.ENDPOINT, endpointSettings.name(), status.draining());
@@ -204,7 +204,7 @@
 
     private void updateLeavingEndpoints() {
         Set<String> all = leaving.all();
-        endpoints.forEach((name, endpoint) -> endpoint.leaving(all.contains(name)));
+        endpoints.forEach((name, endpoint) -> endpoint.setLeaving(all.contains(name)));
     }
 
     private void requestItems() {
@@ -216,10 +216,10 @@
         endpoints
                 .values()
                 .forEach(endpoint ->
-                        freeByService.merge(endpoint.settings().service(), endpoint.free(now), Integer::sum));
+                        freeByService.merge(endpoint.settings().service(), endpoint.freeSlots(now), Integer::sum));
         freeByService.forEach((service, free) -> {
             if (free > 0) {
-                sources.nextToAsk(service).ifPresent(owner -> requestItemsFrom(owner, service, free));
+                sources.nextOwnerToAsk(service).ifPresent(owner -> requestItemsFrom(owner, service, free));
             }
         });
     }
@@ -229,14 +229,14 @@
                 .filter(present -> present.id().equals(owner))
                 .findFirst();
         if (host.isEmpty()) {
-            sources.lost(owner);
+            sources.remove(owner);
             return;
         }
         PeerMessage request = new PeerMessage.ItemsAsk(service, Math.min(free, MAX_ITEMS_PER_REQUEST));
         process.ask(host.get(), request)
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     List<WorkItem> items = reply instanceof PeerMessage.Items found ? found.items() : List.of();
-                    sources.answered(owner, service, !items.isEmpty());
+                    sources.onAnswer(owner, service, !items.isEmpty());
                     items.forEach(item -> startOrRefuse(host.get(), service, item));
                     if (!items.isEmpty()) {
                         requestItems();
@@ -247,8 +247,8 @@
     private void startOrRefuse(Host owner, String service, WorkItem item) {
         long now = process.loop().nowNanos();
         List<EndpointBatch> candidates = endpoints.values().stream()
-                .filter(endpoint -> endpoint.settings().service().equals(service) && endpoint.free(now) > 0)
-                .sorted((one, other) -> Integer.compare(other.free(now), one.free(now)))
+                .filter(endpoint -> endpoint.settings().service().equals(service) && endpoint.freeSlots(now) > 0)
+                .sorted((one, other) -> Integer.compare(other.freeSlots(now), one.freeSlots(now)))
                 .toList();
         ItemRun run = new ItemRun(process, this, owner, service, item, ++lastRunNumber);
         unsettledRuns.add(run);
@@ -269,7 +269,7 @@
             return;
         }
         RunningItem running = new RunningItem(run.number(), process.loop().nowNanos());
-        batch.started(running);
+        batch.recordStart(running);
         runs.put(run.number(), run);
         run.start(endpoint, running, settings.endpointSilenceMillis());
     }
--- a/src/main/java/org/gooseberryhill/steward/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/steward/ItemRun.java
@@ -207,7 +207,7 @@
                 if (!token.isEmpty()) {
                     generatedText.append(token);
                     tokens++;
-                    running.generated(tokens);
+                    running.setTokens(tokens);
                 }
             });
         }
--- a/src/main/java/org/gooseberryhill/steward/StewardProcess.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardProcess.java
@@ -99,7 +99,7 @@
         }
         if (message instanceof PeerMessage.SuspectPermitAsk request) {
             Optional<String> endpoint = arbiter(request.service())
-                    .ask(
+                    .tryAcquire(
                             new Fingerprint(request.fingerprint()),
                             request.endpoints(),
                             process.loop().nowNanos());
--- a/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
@@ -24,11 +24,11 @@
 
     @Test
     void batchFillsTheSlotsThatOnlineLeavesExceptForAReserve() {
-        assertThat(endpoint.free(0)).isEqualTo(7);
-        endpoint.onlineReported(ENTRY, 3, false, 0);
-        assertThat(endpoint.free(0)).isEqualTo(4);
-        endpoint.onlineReported(OTHER_ENTRY, 3, false, 0);
-        assertThat(endpoint.free(0)).isEqualTo(1);
+        assertThat(endpoint.freeSlots(0)).isEqualTo(7);
+        endpoint.onOnlineReport(ENTRY, 3, false, 0);
+        assertThat(endpoint.freeSlots(0)).isEqualTo(4);
+        endpoint.onOnlineReport(OTHER_ENTRY, 3, false, 0);
+        assertThat(endpoint.freeSlots(0)).isEqualTo(1);
     }
 
     /** When online load rises to ten times at once, each report makes just enough batch items yield. */
@@ -36,40 +36,40 @@
     void aBurstMakesBatchYieldInTheSameCall() {
         fill();
 
-        List<RunningItem> yielded = endpoint.onlineReported(ENTRY, 5, false, 0);
+        List<RunningItem> yielded = endpoint.onOnlineReport(ENTRY, 5, false, 0);
 
         assertThat(yielded).hasSize(5);
-        yielded.forEach(item -> endpoint.ended(item.run()));
-        assertThat(endpoint.onlineReported(ENTRY, 50, false, 0)).hasSize(2);
+        yielded.forEach(item -> endpoint.recordEnd(item.runNumber()));
+        assertThat(endpoint.onOnlineReport(ENTRY, 50, false, 0)).hasSize(2);
     }
 
     @Test
     void theItemsWithTheLeastWorkYieldFirst() {
         fill();
-        endpoint.running().forEach(item -> item.generated((int) item.run() * 10));
+        endpoint.running().forEach(item -> item.setTokens((int) item.runNumber() * 10));
 
-        List<RunningItem> yielded = endpoint.onlineReported(ENTRY, 2, false, 0);
+        List<RunningItem> yielded = endpoint.onOnlineReport(ENTRY, 2, false, 0);
 
-        assertThat(yielded).extracting(RunningItem::run).containsExactly(1L, 2L);
+        assertThat(yielded).extracting(RunningItem::runNumber).containsExactly(1L, 2L);
     }
 
     /** When an entry host stops reporting, its last report is used for 12 s; then its slots are free again. */
     @Test
     void aReportThatIsNotRepeatedExpires() {
-        endpoint.onlineReported(ENTRY, 7, false, 0);
+        endpoint.onOnlineReport(ENTRY, 7, false, 0);
 
-        assertThat(endpoint.free(11_000 * MILLI)).isZero();
-        assertThat(endpoint.free(12_100 * MILLI)).isEqualTo(7);
+        assertThat(endpoint.freeSlots(11_000 * MILLI)).isZero();
+        assertThat(endpoint.freeSlots(12_100 * MILLI)).isEqualTo(7);
     }
 
     /** When the membership reports the loss of an entry host, the slots of its requests are free at once. */
     @Test
     void theReportOfALostEntryIsDropped() {
-        endpoint.onlineReported(ENTRY, 7, false, 0);
-        endpoint.onlineReported(OTHER_ENTRY, 2, false, 0);
-        endpoint.entriesPresent(Set.of(OTHER_ENTRY));
+        endpoint.onOnlineReport(ENTRY, 7, false, 0);
+        endpoint.onOnlineReport(OTHER_ENTRY, 2, false, 0);
+        endpoint.retainEntries(Set.of(OTHER_ENTRY));
 
-        assertThat(endpoint.free(0)).isEqualTo(5);
+        assertThat(endpoint.freeSlots(0)).isEqualTo(5);
     }
 
     /** When no entry host reaches the steward, the engine's lagging count keeps slots free for online requests. */
@@ -77,32 +77,32 @@
     void theEnginesOwnCountIsUsedWhenNoEntryReports() {
         fill();
 
-        assertThat(endpoint.engineReported(12, 0)).hasSize(5);
+        assertThat(endpoint.onEngineReport(12, 0)).hasSize(5);
     }
 
     @Test
     void aSlowTailHalvesTheBatchCapAndItRisesSlowly() {
         fill();
 
-        assertThat(endpoint.onlineReported(ENTRY, 0, true, 0)).hasSize(4);
-        List.copyOf(endpoint.running()).forEach(item -> endpoint.ended(item.run()));
-        assertThat(endpoint.free(0)).isEqualTo(3);
-        assertThat(endpoint.free(1100 * MILLI)).isEqualTo(5);
+        assertThat(endpoint.onOnlineReport(ENTRY, 0, true, 0)).hasSize(4);
+        List.copyOf(endpoint.running()).forEach(item -> endpoint.recordEnd(item.runNumber()));
+        assertThat(endpoint.freeSlots(0)).isEqualTo(3);
+        assertThat(endpoint.freeSlots(1100 * MILLI)).isEqualTo(5);
     }
 
     @Test
     void aLeavingEndpointGetsNoItem() {
-        endpoint.leaving(true);
+        endpoint.setLeaving(true);
 
-        assertThat(endpoint.free(0)).isZero();
+        assertThat(endpoint.freeSlots(0)).isZero();
     }
 
     @Test
     void theBaselineNeverYields() {
         EndpointBatch fixed = endpoint(new FixedSlotsPolicy());
 
-        assertThat(fixed.onlineReported(ENTRY, 50, false, 0)).isEmpty();
-        assertThat(fixed.free(0)).isEqualTo(8);
+        assertThat(fixed.onOnlineReport(ENTRY, 50, false, 0)).isEmpty();
+        assertThat(fixed.freeSlots(0)).isEqualTo(8);
     }
 
     /** Checks the limit for batch items over random sequences of reports, starts and ends. */
@@ -116,12 +116,12 @@
             now += random.nextInt(100) * MILLI;
             if (random.nextInt(3) == 0) {
                 online = random.nextInt(12);
-                batch.onlineReported(ENTRY, online, random.nextInt(10) == 0, now)
-                        .forEach(item -> batch.ended(item.run()));
+                batch.onOnlineReport(ENTRY, online, random.nextInt(10) == 0, now)
+                        .forEach(item -> batch.recordEnd(item.runNumber()));
             } else {
-                batch.onlineReported(ENTRY, online, false, now).forEach(item -> batch.ended(item.run()));
-                if (batch.free(now) > 0) {
-                    batch.started(new RunningItem(step, now));
+                batch.onOnlineReport(ENTRY, online, false, now).forEach(item -> batch.recordEnd(item.runNumber()));
+                if (batch.freeSlots(now) > 0) {
+                    batch.recordStart(new RunningItem(step, now));
                 }
             }
             assertThat(batch.running().size()).isLessThanOrEqualTo(Math.max(0, 8 - online - 1));
@@ -129,8 +129,8 @@
     }
 
     private void fill() {
-        while (endpoint.free(0) > 0) {
-            endpoint.started(new RunningItem(++nextRun, nextRun));
+        while (endpoint.freeSlots(0) > 0) {
+            endpoint.recordStart(new RunningItem(++nextRun, nextRun));
         }
     }
 
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
@@ -98,8 +98,9 @@
         String other = "e" + random.nextInt(MAX_ENDPOINTS);
         switch (random.nextInt(8)) {
             case 0 -> request.answerStarted();
-            case 1 -> fixture.suspects.crashed(other, List.of(request.intake().fingerprint()), fixture.nowNanos);
-            case 2 -> fixture.suspects.completed(request.intake().fingerprint());
+            case 1 ->
+                fixture.suspects.recordCrash(other, List.of(request.intake().fingerprint()), fixture.nowNanos);
+            case 2 -> fixture.suspects.clear(request.intake().fingerprint());
             case 3 ->
                 fixture.fleet.attemptEnded(
                         DispatchFixture.key(other), FAILURES.get(random.nextInt(FAILURES.size())), fixture.nowNanos);
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
@@ -71,17 +71,17 @@
         Call(String claimId) {
             own = ClaimRecord.claimed(claimId, "hash", 0);
             claim = new Claim(own);
-            step = claim.begin();
+            step = claim.firstStep();
         }
 
         void advance(FakeKeyValue<ClaimRecord> store) {
             if (step instanceof ClaimStep.Create) {
                 Optional<Boolean> answer = store.write(List.of(Condition.absent(KEY)), Map.of(KEY, own));
-                step = answer.map(claim::created).orElseGet(claim::unanswered);
+                step = answer.map(claim::onCreateResult).orElseGet(claim::onNoAnswer);
             } else if (step instanceof ClaimStep.Read) {
                 step = store.read(KEY)
-                        .map(found -> claim.read(found.map(FakeKeyValue.Stored::value), 0))
-                        .orElseGet(claim::unanswered);
+                        .map(found -> claim.onReadResult(found.map(FakeKeyValue.Stored::value), 0))
+                        .orElseGet(claim::onNoAnswer);
             } else if (step instanceof ClaimStep.Send) {
                 sent = true;
             }
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
@@ -16,9 +16,9 @@
 
     @Test
     void aResendGetsTheStoredAnswer() {
-        claim.created(false);
+        claim.onCreateResult(false);
 
-        ClaimStep step = claim.read(Optional.of(others.answered(201, Map.of(), new byte[] {1})), 0);
+        ClaimStep step = claim.onReadResult(Optional.of(others.answered(201, Map.of(), new byte[] {1})), 0);
 
         assertThat(step)
                 .isInstanceOfSatisfying(
@@ -28,13 +28,14 @@
 
     @Test
     void aResendOfACallWhoseAnswerIsLostIsNotRepeated() {
-        assertThat(refusal(claim.read(Optional.of(others.answerLost()), 0)).outcome())
+        assertThat(refusal(claim.onReadResult(Optional.of(others.answerLost()), 0))
+                        .outcome())
                 .isEqualTo(Outcome.MAY_HAVE_RUN);
     }
 
     @Test
     void aResendDuringTheCallIsRefusedWithARetryAfterTime() {
-        Refusal refusal = refusal(claim.read(Optional.of(others), 0));
+        Refusal refusal = refusal(claim.onReadResult(Optional.of(others), 0));
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.IN_PROGRESS);
         assertThat(refusal.retryAfterMillis()).isPresent();
@@ -43,7 +44,7 @@
     /** The claim's host was lost while the call was in flight; a later resend must learn that the answer is lost. */
     @Test
     void aClaimWhoseHolderWasLostEndsAsMayHaveRun() {
-        Refusal refusal = refusal(claim.read(Optional.of(others), 700_000));
+        Refusal refusal = refusal(claim.onReadResult(Optional.of(others), 700_000));
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.ENDPOINT_FAILED);
         assertThat(refusal.outcome()).isEqualTo(Outcome.MAY_HAVE_RUN);
@@ -53,15 +54,16 @@
     void anotherRequestUnderTheSameKeyIsAConflict() {
         ClaimRecord different = ClaimRecord.claimed("other", "another hash", 0);
 
-        assertThat(refusal(claim.read(Optional.of(different), 0)).code()).isEqualTo(ErrorCode.CONFLICT);
+        assertThat(refusal(claim.onReadResult(Optional.of(different), 0)).code())
+                .isEqualTo(ErrorCode.CONFLICT);
     }
 
     /** Without the key-value service, a call cannot be claimed, is never sent and is refused as not run. */
     @Test
     void duringAnOutageTheCallIsRefusedAsNotRun() {
-        ClaimStep step = claim.unanswered();
+        ClaimStep step = claim.onNoAnswer();
         while (step instanceof ClaimStep.Read) {
-            step = claim.unanswered();
+            step = claim.onNoAnswer();
         }
 
         assertThat(refusal(step).code()).isEqualTo(ErrorCode.PLATFORM_UNAVAILABLE);
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
@@ -86,7 +86,7 @@
             if (decision instanceof OnlineDecision.AskPermit askPermit) {
                 Optional<String> granted =
                         random.nextBoolean() ? Optional.of(askPermit.endpoints().get(0)) : Optional.empty();
-                follow(request, core.permitted(request, granted, now));
+                follow(request, core.onPermitAnswer(request, granted, now));
             } else if (decision instanceof OnlineDecision.Wait wait) {
                 now += wait.delayMillis() * 1_000_000;
                 follow(request, core.next(request, now));
@@ -126,14 +126,14 @@
             }
             if (crash) {
                 String endpoint = request.endpoint().orElseThrow();
-                core.suspects().crashed(endpoint, List.of(request.intake().fingerprint()), now);
+                core.suspects().recordCrash(endpoint, List.of(request.intake().fingerprint()), now);
             }
             follow(request, core.attemptFailed(request, new AttemptFailure(outcome, crash, ""), now));
         }
 
         private void changeLeavingEndpoints() {
             leaving = random.nextBoolean() ? Set.of("e" + random.nextInt(4)) : Set.of();
-            core.endpoints().leaving(leaving);
+            core.endpoints().setLeaving(leaving);
         }
 
         private void finish(OnlineRequest request) {
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
@@ -46,7 +46,7 @@
 
     @Test
     void aLeavingEndpointGetsNoNewRequest() {
-        core.endpoints().leaving(Set.of("e0", "e1", "e2"));
+        core.endpoints().setLeaving(Set.of("e0", "e1", "e2"));
         for (int i = 0; i < 20; i++) {
             OnlineDecision.Send send = (OnlineDecision.Send) core.next(admit(i, true), 0);
             assertThat(send.endpoint().name()).isEqualTo("e3");
@@ -56,7 +56,7 @@
 
     @Test
     void withoutAnyEndpointARequestIsRefusedAsNotRun() {
-        core.endpoints().leaving(Set.of("e0", "e1", "e2", "e3"));
+        core.endpoints().setLeaving(Set.of("e0", "e1", "e2", "e3"));
 
         Refusal refusal =
                 core.admit(OnlineCoreFixture.intake(1, true, 10 * SECOND), 0).getLeft();
@@ -105,11 +105,11 @@
         OnlineRequest request = admit(1, true);
         OnlineDecision.Send first = (OnlineDecision.Send) core.next(request, 0);
         core.suspects()
-                .crashed(first.endpoint().name(), List.of(request.intake().fingerprint()), 0);
+                .recordCrash(first.endpoint().name(), List.of(request.intake().fingerprint()), 0);
         OnlineDecision.AskPermit askPermit = (OnlineDecision.AskPermit) core.attemptFailed(request, CUT, 0);
         String granted = askPermit.endpoints().get(0);
-        core.permitted(request, Optional.of(granted), 0);
-        core.suspects().crashed(granted, List.of(request.intake().fingerprint()), 3 * SECOND);
+        core.onPermitAnswer(request, Optional.of(granted), 0);
+        core.suspects().recordCrash(granted, List.of(request.intake().fingerprint()), 3 * SECOND);
 
         OnlineDecision decision = core.attemptFailed(request, CUT, 3 * SECOND);
         Refusal resent = core.admit(OnlineCoreFixture.intake(1, true, 10 * SECOND), 3 * SECOND)
@@ -123,9 +123,9 @@
     @Test
     void aSuspectThatCompletesIsCleared() {
         OnlineRequest request = admit(1, true);
-        core.suspects().crashed("e0", List.of(request.intake().fingerprint()), 0);
+        core.suspects().recordCrash("e0", List.of(request.intake().fingerprint()), 0);
         core.next(request, 0);
-        core.permitted(request, Optional.of("e1"), 0);
+        core.onPermitAnswer(request, Optional.of("e1"), 0);
         core.attemptSucceeded(request, SECOND);
 
         assertThat(core.suspects().size()).isZero();
--- a/src/test/java/org/gooseberryhill/decision/quarantine/CrashSuspectsTest.java
+++ b/src/test/java/org/gooseberryhill/decision/quarantine/CrashSuspectsTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void allRequestsInFlightAtACrashAreSuspect() {
-        suspects.crashed("e1", List.of(CRASHING, HARMLESS), 0);
+        suspects.recordCrash("e1", List.of(CRASHING, HARMLESS), 0);
 
         assertThat(suspects.verdict(CRASHING, 0)).isEqualTo(Verdict.SUSPECT);
         assertThat(suspects.verdict(HARMLESS, 0)).isEqualTo(Verdict.SUSPECT);
@@ -25,9 +25,9 @@
 
     @Test
     void aSecondCrashQuarantinesARequestAndACompletionClearsIt() {
-        suspects.crashed("e1", List.of(CRASHING, HARMLESS), 0);
-        suspects.completed(HARMLESS);
-        suspects.crashed("e2", List.of(CRASHING), SECOND);
+        suspects.recordCrash("e1", List.of(CRASHING, HARMLESS), 0);
+        suspects.clear(HARMLESS);
+        suspects.recordCrash("e2", List.of(CRASHING), SECOND);
 
         assertThat(suspects.verdict(CRASHING, SECOND)).isEqualTo(Verdict.QUARANTINED);
         assertThat(suspects.verdict(HARMLESS, SECOND)).isEqualTo(Verdict.CLEAR);
@@ -36,17 +36,17 @@
     /** Three hosts had the same popular prompt in flight at the crashed endpoint, and each reports the crash. */
     @Test
     void oneCrashReportedByManyHostsCountsOnce() {
-        suspects.crashed("e1", List.of(HARMLESS), 0);
-        suspects.crashed("e1", List.of(HARMLESS), SECOND / 10);
-        suspects.crashed("e1", List.of(HARMLESS), SECOND);
+        suspects.recordCrash("e1", List.of(HARMLESS), 0);
+        suspects.recordCrash("e1", List.of(HARMLESS), SECOND / 10);
+        suspects.recordCrash("e1", List.of(HARMLESS), SECOND);
 
         assertThat(suspects.verdict(HARMLESS, SECOND)).isEqualTo(Verdict.SUSPECT);
     }
 
     @Test
     void aQuarantineExpires() {
-        suspects.crashed("e1", List.of(CRASHING), 0);
-        suspects.crashed("e2", List.of(CRASHING), SECOND);
+        suspects.recordCrash("e1", List.of(CRASHING), 0);
+        suspects.recordCrash("e2", List.of(CRASHING), SECOND);
 
         assertThat(suspects.remainingMillis(CRASHING, SECOND)).isEqualTo(600_000);
         assertThat(suspects.verdict(CRASHING, 602 * SECOND)).isEqualTo(Verdict.CLEAR);
@@ -55,7 +55,7 @@
     @Test
     void theNumberOfSuspectsIsBounded() {
         for (int i = 0; i < 10; i++) {
-            suspects.crashed("e" + i, List.of(new Fingerprint("f" + i)), i * SECOND);
+            suspects.recordCrash("e" + i, List.of(new Fingerprint("f" + i)), i * SECOND);
         }
 
         assertThat(suspects.size()).isEqualTo(3);
--- a/src/test/java/org/gooseberryhill/decision/quarantine/SuspectArbiterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/quarantine/SuspectArbiterTest.java
@@ -16,26 +16,26 @@
 
     @Test
     void noTwoSuspectsShareAnEndpoint() {
-        assertThat(arbiter.ask(ONE, ENDPOINTS, 0)).contains("e1");
-        assertThat(arbiter.ask(TWO, ENDPOINTS, 0)).contains("e2");
-        assertThat(arbiter.ask(new Fingerprint("three"), ENDPOINTS, 0)).isEmpty();
+        assertThat(arbiter.tryAcquire(ONE, ENDPOINTS, 0)).contains("e1");
+        assertThat(arbiter.tryAcquire(TWO, ENDPOINTS, 0)).contains("e2");
+        assertThat(arbiter.tryAcquire(new Fingerprint("three"), ENDPOINTS, 0)).isEmpty();
     }
 
     /** The caller resends a running suspect through a second host; it must not crash two endpoints at once. */
     @Test
     void aSuspectRunsAtOneEndpointAtATime() {
-        arbiter.ask(ONE, ENDPOINTS, 0);
+        arbiter.tryAcquire(ONE, ENDPOINTS, 0);
 
-        assertThat(arbiter.ask(ONE, ENDPOINTS, 0)).isEmpty();
+        assertThat(arbiter.tryAcquire(ONE, ENDPOINTS, 0)).isEmpty();
         arbiter.release(ONE);
-        assertThat(arbiter.ask(ONE, ENDPOINTS, 0)).isPresent();
+        assertThat(arbiter.tryAcquire(ONE, ENDPOINTS, 0)).isPresent();
     }
 
     @Test
     void theGrantOfALostHostExpires() {
-        arbiter.ask(ONE, ENDPOINTS, 0);
+        arbiter.tryAcquire(ONE, ENDPOINTS, 0);
 
-        assertThat(arbiter.ask(ONE, ENDPOINTS, TimeUnit.MILLISECONDS.toNanos(1001)))
+        assertThat(arbiter.tryAcquire(ONE, ENDPOINTS, TimeUnit.MILLISECONDS.toNanos(1001)))
                 .isPresent();
     }
 }
