--- a/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
+++ b/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
@@ -62,7 +62,7 @@
      * Returns the hosts that are to hold copies of a key: one host per zone in rank order until the count is reached.
      * A second host of a zone is chosen only if there are fewer zones than copies.
      */
-    public static List<Host> copies(String key, int count, Collection<Host> hosts) {
+    public static List<Host> copyHolders(String key, int count, Collection<Host> hosts) {
         List<Host> ranked = rank(key, hosts);
         List<Host> chosen = new ArrayList<>();
         for (Host host : ranked) {
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns whether some host may hold a copy. */
-    public boolean mayBeCopied() {
+    public boolean mayHaveCopies() {
         return copiesRequested;
     }
 
@@ -56,7 +56,7 @@
      * @param hosts the number of hosts that can hold a copy
      * @return whether the copies are to be requested
      */
-    public boolean askCopies(int hosts) {
+    public boolean requestCopies(int hosts) {
         boolean suffice = !answered && hosts >= copiesNeeded;
         copiesRequested |= suffice;
         return suffice;
@@ -68,7 +68,7 @@
     }
 
     /** Records that one more copy is durable; returns whether the caller is to be answered now. */
-    public boolean copyKept() {
+    public boolean copyStored() {
         durableCopies++;
         return durableCopies >= copiesNeeded && markAnswered();
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchRecord.java
@@ -42,7 +42,7 @@
     }
 
     /** Returns a copy of this record that is owned by another process. */
-    public BatchRecord ownedBy(String newOwner, String newOwnerStart) {
+    public BatchRecord withOwner(String newOwner, String newOwnerStart) {
         return new BatchRecord(
                 host,
                 target,
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
@@ -56,12 +56,12 @@
     }
 
     /** Returns the number of running items. */
-    public int running() {
+    public int runningCount() {
         return placed.values().stream().mapToInt(List::size).sum();
     }
 
     /** Starts runs on free slots and returns them, already counted as in flight. */
-    public List<PlacedItem> start(Collection<OwnedBatch> batches, long nowNanos, long nowMillis) {
+    public List<PlacedItem> startRuns(Collection<OwnedBatch> batches, long nowNanos, long nowMillis) {
         List<DueItem> items = new ArrayList<>();
         for (OwnedBatch batch : batches) {
             routes.of(batch).ifPresent(route -> {
@@ -76,9 +76,9 @@
 
     /**
      * Returns the runs that have to yield now because their endpoint has more requests in flight than slots. They count
-     * as running until {@link #ended} is called.
+     * as running until {@link #runEnded} is called.
      */
-    public List<PlacedItem> giveWay(long nowNanos, long nowMillis) {
+    public List<PlacedItem> chooseRunsToYield(long nowNanos, long nowMillis) {
         List<PlacedItem> yielding = new ArrayList<>();
         placed.forEach((key, runs) -> fleet.find(key).ifPresent(endpoint -> {
             int share = yieldGracePeriod.itemsToYield(key, fleet.yieldShare(endpoint, self), nowNanos);
@@ -92,16 +92,18 @@
 
     /** Returns the runs of a batch. */
     public List<PlacedItem> runsOf(String batchId) {
-        return all().stream().filter(run -> run.batch().id().equals(batchId)).toList();
+        return allRuns().stream()
+                .filter(run -> run.batch().id().equals(batchId))
+                .toList();
     }
 
     /** Returns all runs. */
-    public List<PlacedItem> all() {
+    public List<PlacedItem> allRuns() {
         return placed.values().stream().flatMap(List::stream).toList();
     }
 
     /** Records the end of a run. */
-    public void ended(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, long nowNanos) {
+    public void runEnded(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, long nowNanos) {
         EndpointKey key = run.endpoint().key();
         List<PlacedItem> runs = placed.get(key);
         runs.remove(run);
@@ -111,9 +113,9 @@
         fleet.batchEnded(key);
         fleet.attemptEnded(key, attemptEnd, nowNanos);
         runTimeEstimator.runEnded(
-                run.newCharacters(), (double) run.ranNanos(nowNanos) / TimeUnit.MILLISECONDS.toNanos(1));
+                run.newCharacters(), (double) run.elapsedNanos(nowNanos) / TimeUnit.MILLISECONDS.toNanos(1));
         if (end == RunEnd.COMPLETED) {
-            runTimeEstimator.itemCompleted(run.item().characters());
+            runTimeEstimator.itemCompleted(run.item().characterCount());
         }
         int maxAttempts = routes.of(run.batch()).map(Route::maxAttempts).orElse(1);
         run.batch().runEnded(run.item(), end, maxAttempts, nowNanos);
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
@@ -16,7 +16,7 @@
     private boolean running;
     private boolean hasOutput;
     private long eventCount;
-    private int errorAnswers;
+    private int errorAnswerCount;
     private int runsWithoutOutput;
     private boolean runHasOutput;
     private Optional<Long> notBeforeNanos = Optional.empty();
@@ -41,7 +41,7 @@
     }
 
     /** Appends an event of the current run; an event that was received before is ignored. */
-    public void event(Optional<Long> id, String data) {
+    public void appendEvent(Optional<Long> id, String data) {
         if (id.isPresent() && lastEventId.isPresent() && id.get() <= lastEventId.get()) {
             return;
         }
@@ -58,13 +58,13 @@
     }
 
     /** Returns the number of characters generated so far. */
-    public int characters() {
+    public int characterCount() {
         return text.length();
     }
 
     /** Returns the number of runs that ended with an error answer. */
-    public int errorAnswers() {
-        return errorAnswers;
+    public int errorAnswerCount() {
+        return errorAnswerCount;
     }
 
     /** Returns whether the item was given up. */
@@ -104,7 +104,7 @@
     }
 
     int countErrorAnswer() {
-        return ++errorAnswers;
+        return ++errorAnswerCount;
     }
 
     int countRunWithoutOutput() {
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OutboxTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OutboxTiming.java
@@ -32,17 +32,17 @@
     }
 
     /** Adds a copy that was stored, or found on disk at startup. */
-    public void kept(String name, long nowNanos) {
+    public void copyAdded(String name, long nowNanos) {
         nextAttemptNanos.put(name, nowNanos + GATEWAY_GRACE_NANOS);
     }
 
     /** Makes the record of a copy due at once, since this host is being emptied. */
-    public void hurry(String name, long nowNanos) {
+    public void makeDueNow(String name, long nowNanos) {
         nextAttemptNanos.computeIfPresent(name, (key, dueNanos) -> dueNanos - nowNanos > 0 ? nowNanos : dueNanos);
     }
 
     /** Removes a copy that was deleted. */
-    public void dropped(String name) {
+    public void copyRemoved(String name) {
         nextAttemptNanos.remove(name);
     }
 
@@ -50,7 +50,7 @@
      * Returns whether the record of a copy is to be created now; if so, the next attempt is due after the retry
      * interval.
      */
-    public boolean takeTry(String name, long nowNanos) {
+    public boolean beginAttemptIfDue(String name, long nowNanos) {
         Long dueNanos = nextAttemptNanos.get(name);
         if (dueNanos == null || nowNanos - dueNanos < 0) {
             return false;
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
@@ -69,19 +69,19 @@
     }
 
     /** Returns the number of events that this host has received for all items; it never decreases. */
-    public long events() {
+    public long eventCount() {
         return items.values().stream().mapToLong(ItemProgress::eventCount).sum();
     }
 
     /** Returns whether items have generated output that would be lost with this host. */
     public boolean hasUnsavedProgress() {
-        return !record.ended() && events() > savedEventCount;
+        return !record.ended() && eventCount() > savedEventCount;
     }
 
     /**
      * Records that the output of the open items is stored outside this host.
      *
-     * @param events the value of {@link #events} when the output was saved
+     * @param events the value of {@link #eventCount} when the output was saved
      */
     public void progressSaved(long events) {
         savedEventCount = events;
@@ -141,12 +141,12 @@
     }
 
     /** Returns the number of items without a result. */
-    public long openItems() {
+    public long openItemCount() {
         return items.values().stream().filter(item -> item.result().isEmpty()).count();
     }
 
     /** Marks the batch as being ended by its caller: no item starts any more, even before the record says so. */
-    public void beginEnding() {
+    public void markEnding() {
         ending = true;
     }
 
@@ -191,7 +191,7 @@
 
     /** Returns whether there are results to commit and no items are open. */
     public boolean isLastCommitDue() {
-        return hasUncommitted() && openItems() == 0;
+        return hasUncommitted() && openItemCount() == 0;
     }
 
     /**
@@ -249,7 +249,7 @@
     }
 
     /** Returns an item whose result is not committed yet; empty for any other id. */
-    public Optional<BatchItem> unlistedItem(String itemId) {
+    public Optional<BatchItem> uncommittedItem(String itemId) {
         boolean listed = committed.stream().anyMatch(result -> result.id().equals(itemId));
         return Optional.ofNullable(items.get(itemId)).filter(item -> !listed).map(ItemProgress::item);
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerWatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
@@ -14,7 +14,7 @@
  * when its process has been missing for a while: neither in the list of live hosts nor heard from directly. Batches of
  * an earlier process of this host may be taken over at once.
  */
-public final class OwnerWatch {
+public final class OwnerFailureDetector {
     /**
      * The delay for a process that was never seen alive: longer than a new host takes to be listed, and longer than the
      * list may lag behind.
@@ -49,7 +49,7 @@
      *
      * @param self the host that watches the owners
      */
-    public OwnerWatch(String self) {
+    public OwnerFailureDetector(String self) {
         this.self = self;
     }
 
@@ -59,7 +59,7 @@
      * @param liveStarts the process of each host that is known to be alive now, by host
      * @return whether a process that was seen alive has become lost since the last call
      */
-    public boolean observe(Map<String, String> liveStarts, long nowNanos) {
+    public boolean updateLiveProcesses(Map<String, String> liveStarts, long nowNanos) {
         liveStartByHost.forEach((host, start) ->
                 missing.putIfAbsent(processKey(host, start), new MissingProcess(host, nowNanos, true)));
         liveStarts.forEach((host, start) -> missing.remove(processKey(host, start)));
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/PlacedItem.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/PlacedItem.java
@@ -22,7 +22,7 @@
         this.slackMillis = due.slackMillis();
         this.urgent = urgent;
         this.startedNanos = startedNanos;
-        this.startCharacters = item.characters();
+        this.startCharacters = item.characterCount();
     }
 
     /** Returns the batch of the item. */
@@ -51,12 +51,12 @@
     }
 
     /** Returns how long the run has lasted so far. */
-    public long ranNanos(long nowNanos) {
+    public long elapsedNanos(long nowNanos) {
         return nowNanos - startedNanos;
     }
 
     /** Returns the number of characters that this run has generated. */
     int newCharacters() {
-        return item.characters() - startCharacters;
+        return item.characterCount() - startCharacters;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/RunTimeEstimator.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/RunTimeEstimator.java
@@ -53,7 +53,7 @@
 
     /** Returns the expected remaining run time of an item. */
     public double remainingMillis(ItemProgress item) {
-        double remainingCharacters = Math.max(0, charactersPerItem.value() - item.characters());
+        double remainingCharacters = Math.max(0, charactersPerItem.value() - item.characterCount());
         return STARTUP_MILLIS + remainingCharacters * millisPerCharacter.value();
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/SaveTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/SaveTiming.java
@@ -55,7 +55,7 @@
      * Resets the delays of a batch, since its results and progress were sent to the store or this host no longer owns
      * it.
      */
-    public void sent(String batchId) {
+    public void resetDelays(String batchId) {
         uncommittedSinceNanos.remove(batchId);
         unsavedSinceNanos.remove(batchId);
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -115,8 +115,8 @@
 
     private void save(SaveBundle bundle) {
         bundle.commits().forEach(commit -> writesInFlight.add(commit.id()));
-        bundle.commits().forEach(commit -> saveTiming.sent(commit.id()));
-        bundle.progress().forEach(progress -> saveTiming.sent(progress.id()));
+        bundle.commits().forEach(commit -> saveTiming.resetDelays(commit.id()));
+        bundle.progress().forEach(progress -> saveTiming.resetDelays(progress.id()));
         context.onLoop(store.save(bundle.commits(), bundle.progress()), (result, failure) -> {
             boolean done = failure == null && result.succeeded();
             if (done) {
@@ -233,7 +233,7 @@
                 .with("ended", ended)
                 .with("owner", found.map(stored -> stored.record().owner()).orElse(""))
                 .write();
-        saveTiming.sent(id);
+        saveTiming.resetDelays(id);
         board.remove(id);
         onLost.accept(id);
         notifyEndReceivers(id, ended);
--- a/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
@@ -150,7 +150,7 @@
     Optional<byte[]> ownItem(String batchId, String item) {
         return board.find(batchId)
                 .filter(batch -> !batch.record().ended())
-                .flatMap(batch -> batch.unlistedItem(item))
+                .flatMap(batch -> batch.uncommittedItem(item))
                 .map(BatchItem::body);
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnding.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnding.java
@@ -87,7 +87,7 @@
             receiver.accept(false);
             return;
         }
-        batch.get().beginEnding();
+        batch.get().markEnding();
         runner.stop(id);
         committer.end(batch.get(), receiver);
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
@@ -137,13 +137,13 @@
 
     /** Requests copies on the disks of other hosts, which replace the record until the key-value store answers. */
     private void requestCopies(Submission submission) {
-        if (submission.acceptance.askCopies(copies.hostCount())) {
+        if (submission.acceptance.requestCopies(copies.hostCount())) {
             copies.requestCopies(submission.id, submission.record, submission.body, () -> onCopyKept(submission));
         }
     }
 
     private void onCopyKept(Submission submission) {
-        if (submission.acceptance.copyKept()) {
+        if (submission.acceptance.copyStored()) {
             takeOwnership(submission, submission.record, 0);
             confirm(submission);
             runner.balance();
@@ -151,7 +151,7 @@
     }
 
     private void dropCopies(Submission submission) {
-        if (submission.acceptance.mayBeCopied()) {
+        if (submission.acceptance.mayHaveCopies()) {
             copies.dropCopies(submission.id, submission.record);
         }
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
@@ -49,7 +49,7 @@
     }
 
     int running() {
-        return dispatch.running();
+        return dispatch.runningCount();
     }
 
     /**
@@ -58,9 +58,9 @@
      */
     void balance() {
         giveUpExpired();
-        cancelRuns(dispatch.giveWay(context.nowNanos(), System.currentTimeMillis()));
+        cancelRuns(dispatch.chooseRunsToYield(context.nowNanos(), System.currentTimeMillis()));
         if (!stopping) {
-            dispatch.start(board.openBatches(), context.nowNanos(), System.currentTimeMillis())
+            dispatch.startRuns(board.openBatches(), context.nowNanos(), System.currentTimeMillis())
                     .forEach(this::start);
         }
     }
@@ -77,13 +77,13 @@
 
     /** Cancels all runs. */
     void stopAll() {
-        cancelRuns(dispatch.all());
+        cancelRuns(dispatch.allRuns());
     }
 
     /** Handles the end of a run. */
     void onRunEnded(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, String detail) {
         runs.remove(run);
-        dispatch.ended(run, end, attemptEnd, context.nowNanos());
+        dispatch.runEnded(run, end, attemptEnd, context.nowNanos());
         context.metrics().itemRunEnded(end);
         context.timeline()
                 .event(isFailure(end) ? EventKind.ITEM_RUN_FAILED : EventKind.ITEM_RUN_ENDED)
@@ -92,9 +92,9 @@
                 .endpoint(run.endpoint().id())
                 .with("end", end)
                 .with("detail", detail)
-                .with("ranMillis", TimeUnit.NANOSECONDS.toMillis(run.ranNanos(context.nowNanos())))
-                .with("characters", run.item().characters())
-                .with("errorAnswers", run.item().errorAnswers())
+                .with("ranMillis", TimeUnit.NANOSECONDS.toMillis(run.elapsedNanos(context.nowNanos())))
+                .with("characters", run.item().characterCount())
+                .with("errorAnswers", run.item().errorAnswerCount())
                 .with("givenUp", run.item().isGivenUp())
                 .write();
         onLoadChange.run();
@@ -135,11 +135,11 @@
             long ageMillis = nowMillis - batch.record().acceptedAtMillis();
             boolean tooOld = route.map(found -> found.retentionMillis() > 0 && ageMillis > found.retentionMillis())
                     .orElse(ageMillis > MISSING_ROUTE_RETENTION_MILLIS);
-            if (tooOld && batch.openItems() > 0) {
+            if (tooOld && batch.openItemCount() > 0) {
                 context.timeline()
                         .event(EventKind.ITEM_GIVEN_UP)
                         .job(batch.id())
-                        .with("items", batch.openItems())
+                        .with("items", batch.openItemCount())
                         .with("ageMillis", ageMillis)
                         .with("routeKnown", route.isPresent())
                         .write();
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -10,7 +10,7 @@
 import org.gooseberryhill.decision.requestbatch.BatchRecord;
 import org.gooseberryhill.decision.requestbatch.ItemCheckpoint;
 import org.gooseberryhill.decision.requestbatch.OwnedBatch;
-import org.gooseberryhill.decision.requestbatch.OwnerWatch;
+import org.gooseberryhill.decision.requestbatch.OwnerFailureDetector;
 import org.gooseberryhill.host.HostId;
 import org.gooseberryhill.peer.GatewayMessage;
 import org.gooseberryhill.stored.BatchStore;
@@ -34,7 +34,7 @@
     private final BatchBoard board;
     private final BatchStore store;
     private final RecordWriter writer;
-    private final OwnerWatch ownerWatch;
+    private final OwnerFailureDetector failureDetector;
     private final Runnable onTaken;
     private final Consumer<BatchStore.Stored> onChangedElsewhere;
     private final Consumer<List<BatchStore.Stored>> onRecordsListed;
@@ -55,7 +55,8 @@
         this.board = board;
         this.store = store;
         this.writer = new RecordWriter(context, store);
-        this.ownerWatch = new OwnerWatch(context.settings().self().id().value());
+        this.failureDetector =
+                new OwnerFailureDetector(context.settings().self().id().value());
         this.onTaken = onTaken;
         this.onChangedElsewhere = onChangedElsewhere;
         this.onRecordsListed = onRecordsListed;
@@ -63,7 +64,7 @@
 
     /** Updates the set of live hosts, and scans the records as soon as one of them is lost. Called often. */
     void tick() {
-        if (ownerWatch.observe(links.liveStarts(), context.nowNanos())) {
+        if (failureDetector.updateLiveProcesses(links.liveStarts(), context.nowNanos())) {
             look(true);
         }
     }
@@ -126,7 +127,7 @@
             loadIfOwned(found.id());
             return;
         }
-        if (!ownerWatch.isLost(record.owner(), record.ownerStart(), context.nowNanos())) {
+        if (!failureDetector.isLost(record.owner(), record.ownerStart(), context.nowNanos())) {
             board.ownedBy(found.id(), new HostId(record.owner()));
             rescanIfOwnerMissing(record);
             return;
@@ -140,7 +141,7 @@
     }
 
     private void rescanIfOwnerMissing(BatchRecord record) {
-        if (rescanScheduled || ownerWatch.isLive(record.owner(), record.ownerStart())) {
+        if (rescanScheduled || failureDetector.isLive(record.owner(), record.ownerStart())) {
             return;
         }
         rescanScheduled = true;
@@ -181,7 +182,7 @@
      */
     private void claim(BatchStore.Stored found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
         BatchRecord claimed =
-                found.record().ownedBy(context.settings().self().id().value(), context.processStart());
+                found.record().withOwner(context.settings().self().id().value(), context.processStart());
         writer.write(
                 found.id(),
                 claimed,
--- a/src/main/java/org/gooseberryhill/gateway/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/gateway/ItemRun.java
@@ -98,7 +98,7 @@
     void processQueuedEvents() {
         StreamEvent event = queuedEvents.poll();
         while (event != null) {
-            item.event(event.id(), event.data());
+            item.appendEvent(event.id(), event.data());
             event = queuedEvents.poll();
         }
     }
--- a/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
+++ b/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
@@ -79,7 +79,7 @@
             return;
         }
         progress.add(new BatchStore.Progress(batch.id(), batch.recordRevision(), items));
-        bundledEventsByBatch.put(batch, batch.events());
+        bundledEventsByBatch.put(batch, batch.eventCount());
         entries += ENTRIES_PER_PROGRESS;
         characters += items.stream().mapToInt(item -> item.text().length()).sum();
     }
--- a/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
+++ b/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
@@ -53,7 +53,7 @@
     }
 
     private List<Host> copyHosts(String batch) {
-        return Ownership.copies(
+        return Ownership.copyHolders(
                 "outbox/" + batch, context.settings().submissionCopies() + SPARE_COPIES, links.stores());
     }
 }
--- a/src/main/java/org/gooseberryhill/outbox/OutboxService.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxService.java
@@ -75,7 +75,7 @@
     void tick() {
         long nowNanos = loop.nowNanos();
         for (String name : List.copyOf(batchIdsByName.keySet())) {
-            if (timing.takeTry(name, nowNanos)) {
+            if (timing.beginAttemptIfDue(name, nowNanos)) {
                 onLoop(outbox.read(name), (entry, failure) -> createRecord(name, entry, failure));
             }
         }
@@ -89,7 +89,7 @@
             reply.complete(new PeerMessage.Ack());
         } else if (message instanceof OutboxMessage.StateAsk) {
             evacuationRequestedNanos = OptionalLong.of(loop.nowNanos());
-            batchIdsByName.keySet().forEach(name -> timing.hurry(name, loop.nowNanos()));
+            batchIdsByName.keySet().forEach(name -> timing.makeDueNow(name, loop.nowNanos()));
             reply.complete(new OutboxMessage.State(submissionCount()));
         } else {
             reply.complete(new PeerMessage.Ack());
@@ -120,12 +120,12 @@
 
     private void register(OutboxEntry entry) {
         batchIdsByName.put(entry.name(), entry.batch());
-        timing.kept(entry.name(), loop.nowNanos());
+        timing.copyAdded(entry.name(), loop.nowNanos());
     }
 
     private void delete(String name) {
         batchIdsByName.remove(name);
-        timing.dropped(name);
+        timing.copyRemoved(name);
         onLoop(outbox.delete(name), (done, failure) -> {
             if (failure != null) {
                 logDiskFailure("", failure);
@@ -141,7 +141,7 @@
         if (entry.isEmpty()) {
             // The submission was deleted in the meantime, or its file is damaged and other hosts hold the copies.
             batchIdsByName.remove(name);
-            timing.dropped(name);
+            timing.copyRemoved(name);
             return;
         }
         OutboxEntry submission = entry.get();
--- a/src/main/java/org/gooseberryhill/store/SegmentNames.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentNames.java
@@ -34,7 +34,7 @@
     /** Returns the stores that should hold a segment; hosts with the same list of stores select the same ones. */
     public static List<Host> placement(String name, List<Host> stores) {
         List<Host> remaining = stores.stream().filter(host -> !host.leaving()).toList();
-        return Ownership.copies(name, COPIES, remaining.isEmpty() ? stores : remaining);
+        return Ownership.copyHolders(name, COPIES, remaining.isEmpty() ? stores : remaining);
     }
 
     /** Returns whether a content matches the hash in the name of its segment. */
--- a/src/test/java/org/gooseberryhill/decision/ownership/OwnershipTest.java
+++ b/src/test/java/org/gooseberryhill/decision/ownership/OwnershipTest.java
@@ -76,10 +76,10 @@
     @Test
     void copiesAreInDifferentZones() {
         for (int i = 0; i < 200; i++) {
-            List<Host> copies = Ownership.copies("segment" + i, 2, hosts);
+            List<Host> copies = Ownership.copyHolders("segment" + i, 2, hosts);
             assertThat(copies.stream().map(Host::zone).distinct()).hasSize(2);
         }
-        assertThat(Ownership.copies("segment", 2, hosts.subList(0, 1))).hasSize(1);
+        assertThat(Ownership.copyHolders("segment", 2, hosts.subList(0, 1))).hasSize(1);
     }
 
     private static List<Host> hosts(int count) {
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
@@ -167,11 +167,11 @@
     }
 
     private void dispatchItems() {
-        items.giveWay(clock.nowNanos(), clock.nowMillis())
+        items.chooseRunsToYield(clock.nowNanos(), clock.nowMillis())
                 .forEach(run -> itemRuns.get(run).yieldToOnline());
         List<OwnedBatch> open =
-                batches.stream().filter(batch -> batch.openItems() > 0).toList();
-        items.start(open, clock.nowNanos(), clock.nowMillis()).forEach(this::start);
+                batches.stream().filter(batch -> batch.openItemCount() > 0).toList();
+        items.startRuns(open, clock.nowNanos(), clock.nowMillis()).forEach(this::start);
     }
 
     private void start(PlacedItem placed) {
@@ -235,7 +235,7 @@
         public void onEvent() {
             if (!finished) {
                 long next = placed.item().lastEventId().orElse(0L) + 1;
-                placed.item().event(Optional.of(next), "w".repeat(EVENT_CHARACTERS));
+                placed.item().appendEvent(Optional.of(next), "w".repeat(EVENT_CHARACTERS));
             }
         }
 
@@ -255,7 +255,7 @@
             }
             finished = true;
             itemRuns.remove(placed);
-            items.ended(placed, end, attemptEnd, clock.nowNanos());
+            items.runEnded(placed, end, attemptEnd, clock.nowNanos());
             if (end == RunEnd.COMPLETED) {
                 onItemDone.accept(placed.batch());
             }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
@@ -35,10 +35,10 @@
                 recorded = true;
                 confirmed = acceptance.recorded();
             } else if (step == Step.COPIES_ASKED) {
-                asked |= acceptance.askCopies(hosts);
+                asked |= acceptance.requestCopies(hosts);
             } else if (step == Step.COPY_KEPT && asked) {
                 kept++;
-                confirmed = acceptance.copyKept();
+                confirmed = acceptance.copyStored();
             } else if (step == Step.GIVEN_UP && !acceptance.isAnswered()) {
                 Outcome outcome = acceptance.giveUp(recorded);
                 answers++;
@@ -59,7 +59,7 @@
     void withTooFewHostsNoCopyIsRequestedAndNothingHasRun() {
         BatchAcceptance acceptance = new BatchAcceptance(2);
 
-        assertThat(acceptance.askCopies(1)).isFalse();
+        assertThat(acceptance.requestCopies(1)).isFalse();
         assertThat(acceptance.giveUp(false)).isEqualTo(Outcome.NOT_RUN);
     }
 
@@ -69,8 +69,8 @@
     @Example
     void batchMayHaveRunOnceCopiesAreRequested() {
         BatchAcceptance acceptance = new BatchAcceptance(2);
-        acceptance.askCopies(3);
-        acceptance.copyKept();
+        acceptance.requestCopies(3);
+        acceptance.copyStored();
 
         assertThat(acceptance.giveUp(false)).isEqualTo(Outcome.MAY_HAVE_RUN);
     }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchFixture.java
@@ -36,7 +36,7 @@
     static void events(ItemProgress item, int count) {
         long firstId = item.lastEventId().orElse(0L) + 1;
         for (long id = firstId; id < firstId + count; id++) {
-            item.event(Optional.of(id), "w" + id);
+            item.appendEvent(Optional.of(id), "w" + id);
         }
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
@@ -85,7 +85,7 @@
 
     /** Cuts all runs; nothing starts until the outage is over. */
     void outage(long millis, boolean progressIsSaved) {
-        for (PlacedItem run : dispatch.all()) {
+        for (PlacedItem run : dispatch.allRuns()) {
             end(run, RunEnd.CUT);
         }
         // All batches get a new owner, which does not know output that was not saved.
@@ -128,7 +128,7 @@
     }
 
     private OwnedBatch withNewOwner(OwnedBatch batch, boolean progressIsSaved) {
-        if (batch.openItems() == 0) {
+        if (batch.openItemCount() == 0) {
             return batch;
         }
         List<ItemResult> results = batch.beginCommit(Integer.MAX_VALUE);
@@ -160,13 +160,13 @@
 
     private void tick() {
         nowMillis += TICK_MILLIS;
-        for (PlacedItem run : dispatch.all()) {
+        for (PlacedItem run : dispatch.allRuns()) {
             advance(run);
         }
-        dispatch.giveWay(nowNanos(), nowMillis).forEach(run -> end(run, RunEnd.YIELDED));
+        dispatch.chooseRunsToYield(nowNanos(), nowMillis).forEach(run -> end(run, RunEnd.YIELDED));
         List<OwnedBatch> open =
-                batches.stream().filter(batch -> batch.openItems() > 0).toList();
-        dispatch.start(open, nowNanos(), nowMillis).forEach(run -> eventFractions.put(run, 0.0));
+                batches.stream().filter(batch -> batch.openItemCount() > 0).toList();
+        dispatch.startRuns(open, nowNanos(), nowMillis).forEach(run -> eventFractions.put(run, 0.0));
         if (nowMillis % 2000 == 0) {
             saveCheckpoints(open);
         }
@@ -179,14 +179,14 @@
     }
 
     private void advance(PlacedItem run) {
-        if (run.ranNanos(nowNanos()) < TimeUnit.MILLISECONDS.toNanos(STARTUP_MILLIS)) {
+        if (run.elapsedNanos(nowNanos()) < TimeUnit.MILLISECONDS.toNanos(STARTUP_MILLIS)) {
             return;
         }
         double events = eventFractions.get(run) + TICK_MILLIS / EVENT_MILLIS;
         int length = eventsByItem.get(key(run));
         while (events >= 1 && run.item().lastEventId().orElse(0L) < length) {
             long next = run.item().lastEventId().orElse(0L) + 1;
-            run.item().event(Optional.of(next), "w".repeat(EVENT_CHARACTERS));
+            run.item().appendEvent(Optional.of(next), "w".repeat(EVENT_CHARACTERS));
             events--;
         }
         eventFractions.put(run, events);
@@ -200,7 +200,7 @@
 
     private void end(PlacedItem run, RunEnd end) {
         eventFractions.remove(run);
-        dispatch.ended(run, end, AttemptEnd.ABANDONED, nowNanos());
+        dispatch.runEnded(run, end, AttemptEnd.ABANDONED, nowNanos());
     }
 
     private static String key(PlacedItem run) {
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
@@ -102,7 +102,7 @@
             Stored<Object> stored = read.get().orElseThrow();
             process++;
             beginWrite(
-                    ((BatchRecord) stored.value()).ownedBy(name, "p" + process), stored.modified(), List.of(), false);
+                    ((BatchRecord) stored.value()).withOwner(name, "p" + process), stored.modified(), List.of(), false);
         }
 
         void runItem() {
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
@@ -10,30 +10,30 @@
 
     @Test
     void gatewayGetsTimeToCreateTheRecordFirst() {
-        timing.kept("a", at(0));
+        timing.copyAdded("a", at(0));
 
-        assertThat(timing.takeTry("a", at(1400))).isFalse();
-        assertThat(timing.takeTry("a", at(1500))).isTrue();
+        assertThat(timing.beginAttemptIfDue("a", at(1400))).isFalse();
+        assertThat(timing.beginAttemptIfDue("a", at(1500))).isTrue();
     }
 
     @Test
     void creationIsRetriedUntilTheCopyIsDeleted() {
-        timing.kept("a", at(0));
-        timing.takeTry("a", at(2000));
+        timing.copyAdded("a", at(0));
+        timing.beginAttemptIfDue("a", at(2000));
 
-        assertThat(timing.takeTry("a", at(2400))).isFalse();
-        assertThat(timing.takeTry("a", at(2500))).isTrue();
-        timing.dropped("a");
-        assertThat(timing.takeTry("a", at(9000))).isFalse();
+        assertThat(timing.beginAttemptIfDue("a", at(2400))).isFalse();
+        assertThat(timing.beginAttemptIfDue("a", at(2500))).isTrue();
+        timing.copyRemoved("a");
+        assertThat(timing.beginAttemptIfDue("a", at(9000))).isFalse();
     }
 
     @Test
     void hostBeingEmptiedCreatesTheRecordAtOnce() {
-        timing.kept("a", at(0));
+        timing.copyAdded("a", at(0));
 
-        timing.hurry("a", at(100));
+        timing.makeDueNow("a", at(100));
 
-        assertThat(timing.takeTry("a", at(100))).isTrue();
+        assertThat(timing.beginAttemptIfDue("a", at(100))).isTrue();
     }
 
     /** A host comes back after hours: the batch of its copy may have been finished and deleted long ago. */
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
@@ -41,8 +41,8 @@
         assertThat(item.lastEventId()).contains(2L);
 
         batch.runStarted(item);
-        item.event(Optional.of(2L), "w2");
-        item.event(Optional.of(3L), "w3");
+        item.appendEvent(Optional.of(2L), "w2");
+        item.appendEvent(Optional.of(3L), "w3");
         batch.runEnded(item, RunEnd.COMPLETED, MAX_ATTEMPTS, nowNanos);
         commit();
 
@@ -56,11 +56,11 @@
     void cutRunWithoutEventIdsStartsFromTheBeginning() {
         ItemProgress item = first();
         batch.runStarted(item);
-        item.event(Optional.empty(), "a");
+        item.appendEvent(Optional.empty(), "a");
         batch.runEnded(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
 
         batch.runStarted(item);
-        item.event(Optional.empty(), "a");
+        item.appendEvent(Optional.empty(), "a");
         batch.runEnded(item, RunEnd.COMPLETED, MAX_ATTEMPTS, nowNanos);
         commit();
 
@@ -125,7 +125,7 @@
 
     @Test
     void noItemStartsOnceTheCallerEndsTheBatch() {
-        batch.beginEnding();
+        batch.markEnding();
 
         assertThat(batch.startableItems(nowNanos)).isEmpty();
     }
@@ -171,12 +171,12 @@
         BatchFixture.events(item, 2);
         assertThat(batch.hasUnsavedProgress()).isTrue();
 
-        long written = batch.events();
+        long written = batch.eventCount();
         BatchFixture.events(item, 1);
         batch.progressSaved(written);
         assertThat(batch.hasUnsavedProgress()).isTrue();
 
-        batch.progressSaved(batch.events());
+        batch.progressSaved(batch.eventCount());
         assertThat(batch.hasUnsavedProgress()).isFalse();
     }
 
@@ -204,11 +204,11 @@
 
     @Test
     void itemIsAvailableUntilItsResultIsCommitted() {
-        assertThat(batch.unlistedItem("i0")).isPresent();
+        assertThat(batch.uncommittedItem("i0")).isPresent();
         BatchFixture.run(batch, first(), 1);
-        assertThat(batch.unlistedItem("i0")).isPresent();
+        assertThat(batch.uncommittedItem("i0")).isPresent();
         commit();
-        assertThat(batch.unlistedItem("i0")).isEmpty();
+        assertThat(batch.uncommittedItem("i0")).isEmpty();
     }
 
     private ItemProgress first() {
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
@@ -77,8 +77,8 @@
             BatchFixture.events(item, 1);
             if (timing.isDue(batch, false, FAR_FROM_DUE, at(millis))) {
                 saves++;
-                timing.sent(batch.id());
-                batch.progressSaved(batch.events());
+                timing.resetDelays(batch.id());
+                batch.progressSaved(batch.eventCount());
             }
         }
 
