--- a/src/jmh/java/org/gooseberryhill/benchmark/DispatchBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/DispatchBenchmark.java
@@ -9,10 +9,10 @@
 import org.gooseberryhill.decision.job.EarliestDeadlineFairOrder;
 import org.gooseberryhill.decision.job.ItemEnd;
 import org.gooseberryhill.decision.job.ItemOutcome;
-import org.gooseberryhill.decision.job.JobBoard;
 import org.gooseberryhill.decision.job.JobRecord;
 import org.gooseberryhill.decision.job.JobState;
 import org.gooseberryhill.decision.job.OwnedJob;
+import org.gooseberryhill.decision.job.OwnedJobs;
 import org.gooseberryhill.decision.job.WorkItem;
 import org.gooseberryhill.host.HostId;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -35,12 +35,12 @@
     @Param({"1", "20", "150"})
     private int jobs;
 
-    private JobBoard ownedJobs;
+    private OwnedJobs ownedJobs;
 
     /** Creates jobs with three quarters of their items already handed out, as in a busy fleet. */
     @Setup
     public void setUp() {
-        ownedJobs = new JobBoard(new EarliestDeadlineFairOrder());
+        ownedJobs = new OwnedJobs(new EarliestDeadlineFairOrder());
         for (int i = 0; i < jobs; i++) {
             JobRecord record = new JobRecord(
                     JobState.RUNNING,
@@ -63,7 +63,7 @@
                 chunk = job.nextChunkToLoad();
             }
             for (int item = 0; item < 3 * CHUNK_ITEMS; item++) {
-                job.take(STEWARD, 0);
+                job.handOutNext(STEWARD, 0);
             }
             ownedJobs.add(job);
         }
@@ -72,7 +72,7 @@
     /** Hands out one item, which then yields and waits again. */
     @Benchmark
     public WorkItem handOutAndYield() {
-        WorkItem item = ownedJobs.take("s", 1, STEWARD, 0, 0).get(0);
+        WorkItem item = ownedJobs.handOut("s", 1, STEWARD, 0, 0).get(0);
         JobKey key = JobKey.parse(item.job()).orElseThrow();
         ownedJobs
                 .find(key)
--- a/src/jmh/java/org/gooseberryhill/benchmark/HeartbeatBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/HeartbeatBenchmark.java
@@ -45,7 +45,7 @@
                     new HostId("h" + i), Role.ENTRY, new AvailabilityZone("a"), new Address("10.0.0.1", 1 + i), false));
         }
         membership = new Membership(new HostId("h0"), MembershipSettings.DEFAULT, new Random(1));
-        membership.candidates(all, 0);
+        membership.updateCandidates(all, 0);
     }
 
     /** Executes the ticks of one period. */
@@ -60,11 +60,11 @@
 
     @Override
     public void probe(Host target, long incarnation, List<Rumor> rumors) {
-        membership.heard(target.id(), 0, false, List.of(), nowNanos);
+        membership.recordContact(target.id(), 0, false, List.of(), nowNanos);
     }
 
     @Override
-    public void probeThrough(Host helper, Host target) {
-        membership.reachedThrough(target.id(), nowNanos);
+    public void probeIndirectly(Host helper, Host target) {
+        membership.recordIndirectReply(target.id(), nowNanos);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationInForce.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ActiveConfiguration.java
@@ -12,7 +12,7 @@
  * <p>Invariant: the revision, which the key-value service assigns, only grows. A slow watcher, a peer that was
  * partitioned or a store that answers with an older revision can therefore never bring back an older text.
  */
-public final class ConfigurationInForce {
+public final class ActiveConfiguration {
     /** The result of offering a text. */
     public enum Offer {
         /** The text is now active. */
--- a/src/main/java/org/gooseberryhill/decision/drain/LeavingEndpoints.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/LeavingEndpoints.java
@@ -41,7 +41,7 @@
      * Returns the endpoints to announce to peers as leaving: those known from sources other than peers. If hosts passed
      * on what peers told them, such reports would circulate forever.
      */
-    public Set<String> firstHand() {
+    public Set<String> directlyObserved() {
         Set<String> union = new HashSet<>();
         bySource.forEach((source, endpoints) -> {
             if (source != LeavingSource.PEER) {
--- a/src/main/java/org/gooseberryhill/decision/drain/PlannedStop.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/PlannedStop.java
@@ -53,7 +53,7 @@
     }
 
     /** Changes the bound after a reload of the settings. A stop that has been requested keeps its bound. */
-    public void bound(long boundMillis) {
+    public void updateBoundMillis(long boundMillis) {
         if (phase == Phase.SERVING) {
             boundNanos = TimeUnit.MILLISECONDS.toNanos(boundMillis);
         }
@@ -64,7 +64,7 @@
      *
      * @param requestTimeNanos when the stop was requested; the grace period and the bound count from then
      */
-    public void ask(long requestTimeNanos) {
+    public void request(long requestTimeNanos) {
         if (phase == Phase.SERVING) {
             phase = Phase.ANNOUNCED;
             requestedNanos = requestTimeNanos;
@@ -99,9 +99,9 @@
      *
      * @param maxDurationMillis the longest time that the request may take
      */
-    public boolean takes(long maxDurationMillis, long nowNanos) {
+    public boolean acceptsRequest(long maxDurationMillis, long nowNanos) {
         long remainingNanos = boundNanos - (nowNanos - requestedNanos);
-        return takesAll() || remainingNanos >= TimeUnit.MILLISECONDS.toNanos(maxDurationMillis);
+        return acceptsAllRequests() || remainingNanos >= TimeUnit.MILLISECONDS.toNanos(maxDurationMillis);
     }
 
     /** Returns the phase as of the last call of {@link #advance}. */
@@ -110,7 +110,7 @@
     }
 
     /** Returns whether requests of any length are accepted: no stop was requested, or its grace period is not over. */
-    public boolean takesAll() {
+    public boolean acceptsAllRequests() {
         return phase == Phase.SERVING || phase == Phase.ANNOUNCED;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/job/EarliestDeadlineFairOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/job/EarliestDeadlineFairOrder.java
@@ -31,7 +31,7 @@
 
     static boolean isUrgent(OwnedJob job, DispatchContext context) {
         long leftMillis = job.record().dueMillis() - context.nowMillis();
-        double neededMillis = job.remainingItems() * job.meanItemMillis() / Math.max(1, job.running());
+        double neededMillis = job.remainingItems() * job.meanItemMillis() / Math.max(1, job.runningItems());
         return neededMillis > URGENT_SHARE * leftMillis;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/job/Intake.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobSubmission.java
@@ -13,7 +13,7 @@
  * again, even concurrently through another host, finds that record and is recognized as the same job; a different body
  * is a conflict.
  */
-public final class Intake {
+public final class JobSubmission {
     /** The next step of the caller. */
     public enum Step {
         /** Create the record on condition that the key is absent. */
@@ -38,7 +38,7 @@
     private int missingAnswers;
 
     /** Creates the submission of a job whose body has this hash. */
-    public Intake(String bodyHash) {
+    public JobSubmission(String bodyHash) {
         this.bodyHash = bodyHash;
     }
 
--- a/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
@@ -46,7 +46,7 @@
     private long lastHandout;
     private int completedItems;
     private double meanItemMillis = INITIAL_ITEM_MILLIS;
-    private int running;
+    private int runningItems;
     private boolean stopped;
 
     /**
@@ -87,8 +87,8 @@
     }
 
     /** Returns the number of items that are handed out to stewards. */
-    public int running() {
-        return running;
+    public int runningItems() {
+        return runningItems;
     }
 
     /** Returns whether the job was stopped on this host: cancelled, lost to another owner or finished. */
@@ -146,12 +146,12 @@
     }
 
     /** Hands out the waiting item with the lowest index that may run now. */
-    public Optional<WorkItem> take(HostId steward, long nowNanos) {
+    public Optional<WorkItem> handOutNext(HostId steward, long nowNanos) {
         OptionalInt index = stopped ? OptionalInt.empty() : waiting.poll(nowNanos);
         if (index.isEmpty()) {
             return Optional.empty();
         }
-        running++;
+        runningItems++;
         return findSlot(index.getAsInt())
                 .map(slot -> slot.handOut(key.path(), index.getAsInt(), fence, ++lastHandout, steward, nowNanos));
     }
@@ -162,7 +162,7 @@
         if (slot.isEmpty() || !slot.get().applyReport(outcome, nowNanos, BACKOFF_NANOS)) {
             return Optional.empty();
         }
-        running--;
+        runningItems--;
         if (slot.get().completion().isEmpty()) {
             enqueueAgain(outcome.index(), slot.get());
             return Optional.empty();
@@ -187,7 +187,7 @@
     }
 
     /** Makes the items of a lost steward wait again. */
-    public void stewardLost(HostId steward) {
+    public void reclaimFromSteward(HostId steward) {
         reclaimWhere(slot -> slot.isHeldBy(steward));
     }
 
@@ -198,7 +198,7 @@
      * such an item, and without this method the job would wait for it until the hand-out times out. The minimum age
      * excludes messages that are still on their way.
      */
-    public void takeBackMissing(HostId steward, Set<Long> held, long ageMillis, long nowNanos) {
+    public void reclaimMissing(HostId steward, Set<Long> held, long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
         reclaimWhere(slot -> slot.isHeldBy(steward)
                 && slot.isHandedOutLongerThan(ageNanos, nowNanos)
@@ -206,7 +206,7 @@
     }
 
     /** Reclaims items that were handed out more than the given time ago; late reports on them will be ignored. */
-    public void takeBackOlderThan(long ageMillis, long nowNanos) {
+    public void reclaimOlderThan(long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
         reclaimWhere(slot -> slot.isRunning() && slot.isHandedOutLongerThan(ageNanos, nowNanos));
     }
@@ -216,7 +216,7 @@
         stopped = true;
         loadedChunks.clear();
         waiting.clear();
-        running = 0;
+        runningItems = 0;
     }
 
     private void updateMeanItemMillis(double millis) {
@@ -251,7 +251,7 @@
             for (int place = 0; place < slots.size(); place++) {
                 if (condition.test(slots.get(place))) {
                     slots.get(place).endHandOut();
-                    running--;
+                    runningItems--;
                     waiting.add(chunk * record.chunkItems() + place);
                 }
             }
--- a/src/main/java/org/gooseberryhill/decision/job/JobBoard.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJobs.java
@@ -11,12 +11,12 @@
 import org.gooseberryhill.host.HostId;
 
 /** Holds the jobs that one host owns and hands out their items in the given order. Not thread-safe. */
-public final class JobBoard {
+public final class OwnedJobs {
     private final DispatchOrder order;
     private final Map<JobKey, OwnedJob> jobs = new LinkedHashMap<>();
 
     /** Creates an instance without jobs. */
-    public JobBoard(DispatchOrder order) {
+    public OwnedJobs(DispatchOrder order) {
         this.order = order;
     }
 
@@ -43,14 +43,14 @@
     }
 
     /** Hands out at most the given number of items of a service to a steward. */
-    public List<WorkItem> take(String service, int max, HostId steward, long nowNanos, long nowMillis) {
+    public List<WorkItem> handOut(String service, int max, HostId steward, long nowNanos, long nowMillis) {
         List<WorkItem> items = new ArrayList<>();
         List<OwnedJob> ready = new ArrayList<>(ready(service, nowNanos));
         Map<String, Integer> running = runningByCaller();
         while (items.size() < max && !ready.isEmpty()) {
             OwnedJob job =
                     order.pick(ready, new DispatchContext(nowMillis, running)).orElseThrow();
-            job.take(steward, nowNanos).ifPresent(item -> {
+            job.handOutNext(steward, nowNanos).ifPresent(item -> {
                 items.add(item);
                 running.merge(job.key().caller(), 1, Integer::sum);
             });
@@ -73,8 +73,8 @@
     }
 
     /** Makes the items of a lost steward wait again. */
-    public void stewardLost(HostId steward) {
-        jobs.values().forEach(job -> job.stewardLost(steward));
+    public void reclaimFromSteward(HostId steward) {
+        jobs.values().forEach(job -> job.reclaimFromSteward(steward));
     }
 
     private List<OwnedJob> ready(String service, long nowNanos) {
@@ -85,7 +85,7 @@
 
     private Map<String, Integer> runningByCaller() {
         Map<String, Integer> running = new HashMap<>();
-        jobs.values().forEach(job -> running.merge(job.key().caller(), job.running(), Integer::sum));
+        jobs.values().forEach(job -> running.merge(job.key().caller(), job.runningItems(), Integer::sum));
         return running;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/job/WorkOffers.java
+++ b/src/main/java/org/gooseberryhill/decision/job/WorkOffers.java
@@ -19,7 +19,7 @@
     private final Map<String, Boolean> offered = new HashMap<>();
 
     /** Records that items of a service are waiting and returns whether to send an offer now. */
-    public boolean waiting(String service, long nowNanos) {
+    public boolean recordWaiting(String service, long nowNanos) {
         Long last = lastOfferNanos.get(service);
         boolean tooSoon = last != null && nowNanos - last < MIN_INTERVAL_NANOS;
         if (tooSoon || offered.getOrDefault(service, false)) {
@@ -31,7 +31,7 @@
     }
 
     /** Records that no item of a service is waiting any more. */
-    public void drained(String service) {
+    public void recordNoneWaiting(String service) {
         offered.put(service, false);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/membership/HostSign.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostReport.java
@@ -7,4 +7,4 @@
  * @param leaving whether the host is in a planned stop
  * @param storeReached whether the host gets answers from the key-value store
  */
-public record HostSign(String processStart, boolean leaving, boolean storeReached) {}
+public record HostReport(String processStart, boolean leaving, boolean storeReached) {}
--- a/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
@@ -60,7 +60,7 @@
     }
 
     /** Replaces the list of live hosts with a new reading from the key-value store. */
-    public void listed(Collection<ListedHost> live, long nowNanos) {
+    public void updateListedHosts(Collection<ListedHost> live, long nowNanos) {
         Map<HostId, ListedHost> others = new LinkedHashMap<>();
         live.stream()
                 .filter(entry -> entry.host().role() != Role.STORE)
@@ -76,17 +76,17 @@
     }
 
     /** Records a report from a host. */
-    public void heard(HostId from, HostSign report, long nowNanos) {
+    public void recordReport(HostId from, HostReport report, long nowNanos) {
         lastReports.put(from, new LastReport(report, nowNanos));
     }
 
     /** Records an answer from a host; it counts as a sign of life if the host has reported before. */
-    public void answered(HostId from, long nowNanos) {
+    public void recordAnswer(HostId from, long nowNanos) {
         lastReports.computeIfPresent(from, (host, last) -> new LastReport(last.report, nowNanos));
     }
 
     /** Returns the hosts that have become silent, each once until it is heard again. */
-    public List<HostId> takeSilent(long nowNanos) {
+    public List<HostId> takeNewlySilent(long nowNanos) {
         List<HostId> silent = lastReports.entrySet().stream()
                 .filter(entry -> !entry.getValue().isFresh(nowNanos) && reportedSilent.add(entry.getKey()))
                 .map(Map.Entry::getKey)
@@ -99,7 +99,7 @@
     }
 
     /** Returns the process starts of all hosts that are alive now, this one included, by host id. */
-    public Map<String, String> liveStarts(long nowNanos) {
+    public Map<String, String> liveProcessStarts(long nowNanos) {
         Map<String, String> starts = new HashMap<>();
         boolean majorityHeard = isMajorityHeard(nowNanos);
         knownHosts(nowNanos).forEach((id, entry) -> {
@@ -133,7 +133,7 @@
     }
 
     /** Returns the other gateways that were heard recently and are not stopping. */
-    public List<Host> staying(long nowNanos) {
+    public List<Host> activeGateways(long nowNanos) {
         return heardGateways(report -> !report.leaving(), nowNanos);
     }
 
@@ -142,9 +142,9 @@
      * or all known gateways while none has been heard. The fallback serves a host that starts while it cannot reach the
      * store: it is on nobody's list yet and therefore receives no reports.
      */
-    public List<Host> reachingStore(long nowNanos) {
+    public List<Host> gatewaysReachingStore(long nowNanos) {
         boolean noneIsHeard = heardGateways(report -> true, nowNanos).isEmpty();
-        return noneIsHeard ? gateways(nowNanos) : heardGateways(HostSign::storeReached, nowNanos);
+        return noneIsHeard ? gateways(nowNanos) : heardGateways(HostReport::storeReached, nowNanos);
     }
 
     /** Returns a host, other than a store host, that is listed, or was listed and is still heard. */
@@ -152,7 +152,7 @@
         return Optional.ofNullable(knownHosts(nowNanos).get(id)).map(ListedHost::host);
     }
 
-    private List<Host> heardGateways(Predicate<HostSign> condition, long nowNanos) {
+    private List<Host> heardGateways(Predicate<HostReport> condition, long nowNanos) {
         return gateways(nowNanos).stream()
                 .filter(host -> isHeard(host.id(), condition, nowNanos))
                 .toList();
@@ -165,7 +165,7 @@
         }
         Map<HostId, ListedHost> known = new LinkedHashMap<>(listedHosts);
         lapsedHosts.forEach((id, entry) -> {
-            Predicate<HostSign> sameProcessStaying =
+            Predicate<HostReport> sameProcessStaying =
                     report -> !report.leaving() && report.processStart().equals(entry.processStart());
             if (isHeard(id, sameProcessStaying, nowNanos)) {
                 known.putIfAbsent(id, entry);
@@ -187,13 +187,13 @@
         return last != null && nowNanos - last.heardAtNanos >= LOST_AFTER_NANOS;
     }
 
-    private boolean isHeard(HostId id, Predicate<HostSign> condition, long nowNanos) {
+    private boolean isHeard(HostId id, Predicate<HostReport> condition, long nowNanos) {
         LastReport last = lastReports.get(id);
         return last != null && last.isFresh(nowNanos) && condition.test(last.report);
     }
 
     /** The latest report of a host and when the host was last heard. */
-    private record LastReport(HostSign report, long heardAtNanos) {
+    private record LastReport(HostReport report, long heardAtNanos) {
         boolean isFresh(long nowNanos) {
             return nowNanos - heardAtNanos < SILENT_AFTER_NANOS;
         }
--- a/src/main/java/org/gooseberryhill/decision/membership/Membership.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/Membership.java
@@ -44,7 +44,7 @@
     }
 
     /** Applies the platform's host list. New hosts count as alive until they fail to answer. */
-    public void candidates(Collection<Host> hosts, long nowNanos) {
+    public void updateCandidates(Collection<Host> hosts, long nowNanos) {
         List<HostId> listed = new ArrayList<>();
         for (Host host : hosts) {
             listed.add(host.id());
@@ -104,7 +104,8 @@
     }
 
     /** Records that a host is alive: it sent a heartbeat, replied to one, or was reached by another host. */
-    public void heard(HostId from, long fromIncarnation, boolean leaving, List<Rumor> receivedRumors, long nowNanos) {
+    public void recordContact(
+            HostId from, long fromIncarnation, boolean leaving, List<Rumor> receivedRumors, long nowNanos) {
         Peer peer = peers.get(from);
         if (peer != null) {
             peer.probePending = false;
@@ -122,10 +123,10 @@
     }
 
     /** Records that another host reached the target in an indirect probe for this host. */
-    public void reachedThrough(HostId target, long nowNanos) {
+    public void recordIndirectReply(HostId target, long nowNanos) {
         Peer peer = peers.get(target);
         if (peer != null) {
-            heard(target, peer.incarnation, peer.leaving, List.of(), nowNanos);
+            recordContact(target, peer.incarnation, peer.leaving, List.of(), nowNanos);
         }
     }
 
@@ -159,7 +160,7 @@
     }
 
     /** Returns the other hosts of a role that are not dead. Suspects are included, since they may refute. */
-    public List<Host> present(Role role) {
+    public List<Host> presentHosts(Role role) {
         return peers.values().stream()
                 .filter(peer -> peer.state != HostState.DEAD && peer.host.role() == role)
                 .map(Peer::currentHost)
@@ -167,7 +168,7 @@
     }
 
     /** Returns all other hosts that are not dead. */
-    public List<Host> present() {
+    public List<Host> presentHosts() {
         return peers.values().stream()
                 .filter(peer -> peer.state != HostState.DEAD)
                 .map(Peer::currentHost)
@@ -210,7 +211,7 @@
         if (peer.probePending && !peer.indirectlyProbed && sinceProbeNanos > timeoutNanos) {
             // Indirect probes keep a lost message or a broken link between two hosts from looking like a lost host.
             peer.indirectlyProbed = true;
-            chooseIndirectProbers(peer).forEach(helper -> commands.probeThrough(helper, peer.host));
+            chooseIndirectProbers(peer).forEach(helper -> commands.probeIndirectly(helper, peer.host));
         }
         if (peer.probePending && peer.state == HostState.ALIVE && sinceProbeNanos > 2 * timeoutNanos) {
             changeState(peer, HostState.SUSPECT, nowNanos);
@@ -256,7 +257,7 @@
     }
 
     private List<Host> chooseIndirectProbers(Peer target) {
-        List<Host> others = new ArrayList<>(present());
+        List<Host> others = new ArrayList<>(presentHosts());
         others.removeIf(host -> host.id().equals(target.host.id()));
         Collections.shuffle(others, random);
         return others.subList(0, Math.min(settings.indirectProbes(), others.size()));
--- a/src/main/java/org/gooseberryhill/decision/order/EndpointOrders.java
+++ b/src/main/java/org/gooseberryhill/decision/order/EndpointOrders.java
@@ -64,7 +64,7 @@
         claimPending = false;
         fence = newFence;
         if (newFence.isPresent() && !checksFences) {
-            long waitMillis = settings.leaseMillis() + settings.longestOrderMillis();
+            long waitMillis = settings.leaseMillis() + settings.maxOrderMillis();
             notBeforeNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(waitMillis);
         }
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
@@ -56,14 +56,14 @@
     /**
      * Updates the set of live processes. Has to be called periodically.
      *
-     * @param liveStarts the process of each host that is known to be alive now, by host
+     * @param liveProcessStarts the process of each host that is known to be alive now, by host
      * @return whether a process that was seen alive has become lost since the last call
      */
-    public boolean updateLiveProcesses(Map<String, String> liveStarts, long nowNanos) {
+    public boolean updateLiveProcesses(Map<String, String> liveProcessStarts, long nowNanos) {
         liveStartByHost.forEach((host, start) ->
                 missing.putIfAbsent(processKey(host, start), new MissingProcess(host, nowNanos, true)));
-        liveStarts.forEach((host, start) -> missing.remove(processKey(host, start)));
-        liveStartByHost = Map.copyOf(liveStarts);
+        liveProcessStarts.forEach((host, start) -> missing.remove(processKey(host, start)));
+        liveStartByHost = Map.copyOf(liveProcessStarts);
         missing.values().removeIf(process -> nowNanos - process.missingSinceNanos >= FORGET_AFTER_NANOS);
         reportedLost.retainAll(missing.keySet());
         boolean newlyLost = false;
--- a/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.gooseberryhill.contract.ErrorCode;
 import org.gooseberryhill.contract.Refusal;
-import org.gooseberryhill.decision.job.Intake;
 import org.gooseberryhill.decision.job.JobRecord;
 import org.gooseberryhill.decision.job.JobState;
+import org.gooseberryhill.decision.job.JobSubmission;
 import org.gooseberryhill.external.KeyValueStore;
 import org.gooseberryhill.external.Keys;
 import org.gooseberryhill.external.Transaction;
@@ -129,27 +129,27 @@
                 splitter.items(),
                 CHUNK_ITEMS,
                 List.copyOf(segmentNames));
-        Intake intake = new Intake(record.bodyHash());
-        perform(intake, intake.begin(), record);
+        JobSubmission submission = new JobSubmission(record.bodyHash());
+        perform(submission, submission.begin(), record);
     }
 
-    private void perform(Intake intake, Intake.Step step, JobRecord record) {
+    private void perform(JobSubmission submission, JobSubmission.Step step, JobRecord record) {
         KeyValueStore keyValue = context.process().keyValue();
         switch (step) {
             case CREATE ->
                 keyValue.write(creationTransaction(record))
                         .whenComplete((result, failure) -> perform(
-                                intake,
-                                failure == null ? intake.created(result.succeeded()) : intake.unanswered(),
+                                submission,
+                                failure == null ? submission.created(result.succeeded()) : submission.unanswered(),
                                 record));
             case READ ->
                 keyValue.read(Keys.job(request.key()))
                         .whenComplete((result, failure) -> perform(
-                                intake,
-                                failure == null ? intake.read(parseRecord(result)) : intake.unanswered(),
+                                submission,
+                                failure == null ? submission.read(parseRecord(result)) : submission.unanswered(),
                                 record));
-            case ACCEPTED, SAME_JOB -> replyAccepted(step == Intake.Step.ACCEPTED, record);
-            default -> reject(Intake.refusal(step).orElseThrow());
+            case ACCEPTED, SAME_JOB -> replyAccepted(step == JobSubmission.Step.ACCEPTED, record);
+            default -> reject(JobSubmission.refusal(step).orElseThrow());
         }
     }
 
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -151,7 +151,7 @@
     }
 
     private void admit() {
-        if (!process().stop().takesAll()) {
+        if (!process().stop().acceptsAllRequests()) {
             reject(Refusal.notRun(ErrorCode.STOPPING, "this host is stopping", 1));
             return;
         }
--- a/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
@@ -96,7 +96,7 @@
             confirm(submission);
             return;
         }
-        if (!context.stop().takes(SUBMIT_TIMEOUT_MILLIS, context.nowNanos())) {
+        if (!context.stop().acceptsRequest(SUBMIT_TIMEOUT_MILLIS, context.nowNanos())) {
             replies.refuse(submission.call, submission.id, GatewayTraffic.STOPPING);
             return;
         }
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -210,7 +210,7 @@
         context.loop().execute(() -> {
             GatewaySettings before = settings;
             settings = before.reloaded(newSettings);
-            context.stop().bound(settings.stopBoundMillis());
+            context.stop().updateBoundMillis(settings.stopBoundMillis());
             context.timeline()
                     .event(EventKind.SETTINGS_RELOADED)
                     .with("changed", !settings.equals(before))
@@ -300,7 +300,7 @@
         views.tick();
         runner.takeEvents();
         runner.balance();
-        committer.tick(!context.stop().takesAll());
+        committer.tick(!context.stop().acceptsAllRequests());
         updateReadiness();
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
+++ b/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
+import org.gooseberryhill.decision.membership.HostReport;
 import org.gooseberryhill.decision.membership.HostRoster;
-import org.gooseberryhill.decision.membership.HostSign;
 import org.gooseberryhill.decision.membership.ListedHost;
 import org.gooseberryhill.decision.ownership.Ownership;
 import org.gooseberryhill.host.Host;
@@ -32,28 +32,28 @@
 
     /** Updates the list of live hosts. */
     void updateListedHosts(Collection<ListedHost> live) {
-        roster.listed(live, context.nowNanos());
+        roster.updateListedHosts(live, context.nowNanos());
     }
 
     /** Records the report of a host. */
     void recordReport(HostId from, GatewayMessage.InFlightReport report) {
-        HostSign sign = new HostSign(report.processStart(), report.leaving(), report.storeReached());
-        roster.heard(from, sign, context.nowNanos());
+        HostReport hostReport = new HostReport(report.processStart(), report.leaving(), report.storeReached());
+        roster.recordReport(from, hostReport, context.nowNanos());
     }
 
     /** Records that a host answered. */
     void recordAnswer(HostId from) {
-        roster.answered(from, context.nowNanos());
+        roster.recordAnswer(from, context.nowNanos());
     }
 
     /** Returns the hosts that have been silent for too long, each only once. */
     List<HostId> takeSilentHosts() {
-        return roster.takeSilent(context.nowNanos());
+        return roster.takeNewlySilent(context.nowNanos());
     }
 
     /** Returns the process start ids of all hosts that are known to be alive, including this one, by host. */
     Map<String, String> liveStarts() {
-        return roster.liveStarts(context.nowNanos());
+        return roster.liveProcessStarts(context.nowNanos());
     }
 
     /** Returns the other hosts that serve callers. */
@@ -68,12 +68,12 @@
 
     /** Returns the other gateways that reported recently and are not stopping. */
     List<Host> staying() {
-        return roster.staying(context.nowNanos());
+        return roster.activeGateways(context.nowNanos());
     }
 
     /** Returns the other gateways that reach the key-value store. */
     List<Host> reachingStore() {
-        return roster.reachingStore(context.nowNanos());
+        return roster.gatewaysReachingStore(context.nowNanos());
     }
 
     Optional<Host> find(HostId id) {
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -98,7 +98,7 @@
         long leftNanos = request.intake().deadlineNanos() - context.nowNanos();
         long leftMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos));
         context.loop().after(leftMillis, this::deadlineExceeded);
-        if (!context.stop().takes(leftMillis, context.nowNanos())) {
+        if (!context.stop().acceptsRequest(leftMillis, context.nowNanos())) {
             refuse(GatewayTraffic.STOPPING, Optional.empty());
             return;
         }
--- a/src/main/java/org/gooseberryhill/gateway/StopSequence.java
+++ b/src/main/java/org/gooseberryhill/gateway/StopSequence.java
@@ -60,7 +60,7 @@
                 .with("batches", handOver.left())
                 .with("sinceAskedMillis", TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - askedNanos))
                 .write();
-        context.stop().ask(askedNanos);
+        context.stop().request(askedNanos);
         onRequested.run();
         runner.pause();
         runner.stopAll();
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
@@ -11,7 +11,7 @@
 import java.util.function.ToDoubleFunction;
 import org.gooseberryhill.configuration.ConfigurationReader;
 import org.gooseberryhill.contract.JobKey;
-import org.gooseberryhill.decision.configuration.ConfigurationInForce;
+import org.gooseberryhill.decision.configuration.ActiveConfiguration;
 import org.gooseberryhill.decision.configuration.ConfigurationRecord;
 import org.gooseberryhill.decision.configuration.TextChange;
 import org.gooseberryhill.decision.job.JobRecord;
@@ -138,7 +138,7 @@
     private static double parseMillis(String text) {
         double bestMillis = Double.MAX_VALUE;
         for (int run = 0; run < PARSE_RUNS; run++) {
-            ConfigurationInForce activeConfiguration = new ConfigurationInForce();
+            ActiveConfiguration activeConfiguration = new ActiveConfiguration();
             EndpointTable table = new EndpointTable();
             long beginNanos = System.nanoTime();
             activeConfiguration.offer(1, text);
@@ -150,7 +150,7 @@
 
     private static Object routingTable(int endpoints) {
         String text = SampleConfigurations.create(endpoints, callersFor(endpoints));
-        ConfigurationInForce activeConfiguration = new ConfigurationInForce();
+        ActiveConfiguration activeConfiguration = new ActiveConfiguration();
         activeConfiguration.offer(1, text);
         EndpointTable table = new EndpointTable();
         table.configure(ConfigurationReader.read("slope", text).get());
@@ -168,7 +168,7 @@
                     false));
         }
         Membership membership = new Membership(new HostId("self"), MembershipSettings.DEFAULT, new Random(1));
-        membership.candidates(all, 0);
+        membership.updateCandidates(all, 0);
         return membership;
     }
 
--- a/src/main/java/org/gooseberryhill/process/AdminServer.java
+++ b/src/main/java/org/gooseberryhill/process/AdminServer.java
@@ -51,7 +51,7 @@
                 registry,
                 "gooseberry_peers_present",
                 "Other hosts that are not thought dead",
-                () -> process.membership().present().size());
+                () -> process.membership().presentHosts().size());
         registerGauge(
                 registry,
                 "gooseberry_peer_messages_sent",
--- a/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
@@ -10,8 +10,8 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.gooseberryhill.configuration.Configuration;
-import org.gooseberryhill.decision.configuration.ConfigurationInForce;
-import org.gooseberryhill.decision.configuration.ConfigurationInForce.Offer;
+import org.gooseberryhill.decision.configuration.ActiveConfiguration;
+import org.gooseberryhill.decision.configuration.ActiveConfiguration.Offer;
 import org.gooseberryhill.decision.configuration.TextChange;
 import org.gooseberryhill.decision.ownership.Ownership;
 import org.gooseberryhill.external.KeyValueStore;
@@ -37,7 +37,7 @@
     private static final long WATCH_RETRY_DELAY_MILLIS = 500;
 
     private final HostProcess process;
-    private final ConfigurationInForce inForce = new ConfigurationInForce();
+    private final ActiveConfiguration activeConfiguration = new ActiveConfiguration();
     private final List<Consumer<Configuration>> listeners = new ArrayList<>();
     private Optional<Closeable> watch = Optional.empty();
     private boolean requestPending;
@@ -54,12 +54,12 @@
 
     /** Returns the revision of the active configuration; 0 if there is none yet. */
     public long revision() {
-        return inForce.revision();
+        return activeConfiguration.revision();
     }
 
     /** Returns the active configuration. */
     public Configuration current() {
-        return inForce.configuration();
+        return activeConfiguration.configuration();
     }
 
     void start() {
@@ -73,12 +73,12 @@
     }
 
     void fetchIfNewer(HostId from, long revision) {
-        if (revision <= inForce.revision() || requestPending) {
+        if (revision <= activeConfiguration.revision() || requestPending) {
             return;
         }
         process.membership().find(from).ifPresent(host -> {
             requestPending = true;
-            process.ask(host, new PeerMessage.ConfigurationAsk(inForce.revision()))
+            process.ask(host, new PeerMessage.ConfigurationAsk(activeConfiguration.revision()))
                     .whenComplete((reply, failure) -> process.loop().execute(() -> {
                         requestPending = false;
                         if (reply instanceof PeerMessage.ConfigurationPush push) {
@@ -98,10 +98,11 @@
             return Optional.of(MessageHandler.reply(new PeerMessage.Ack()));
         }
         if (message instanceof PeerMessage.ConfigurationAsk request) {
-            boolean newer = inForce.revision() > request.haveRevision();
+            boolean newer = activeConfiguration.revision() > request.haveRevision();
             return Optional.of(MessageHandler.reply(
                     newer
-                            ? new PeerMessage.ConfigurationPush(inForce.revision(), inForce.text())
+                            ? new PeerMessage.ConfigurationPush(
+                                    activeConfiguration.revision(), activeConfiguration.text())
                             : new PeerMessage.Ack()));
         }
         return Optional.empty();
@@ -152,7 +153,7 @@
         process.keyValue()
                 .readRevision(Keys.CONFIGURATION)
                 .whenComplete((revision, failure) -> process.loop().execute(() -> {
-                    if (failure == null && revision > inForce.revision()) {
+                    if (failure == null && revision > activeConfiguration.revision()) {
                         readConfiguration();
                     }
                 }));
@@ -175,8 +176,8 @@
     }
 
     private void applyChange(HostId from, PeerMessage.ConfigurationChange change) {
-        Optional<String> text = change.baseRevision() == inForce.revision()
-                ? change.change().applyTo(inForce.text())
+        Optional<String> text = change.baseRevision() == activeConfiguration.revision()
+                ? change.change().applyTo(activeConfiguration.text())
                 : Optional.empty();
         if (text.isPresent()) {
             offer(change.revision(), text.get(), "push");
@@ -186,11 +187,11 @@
     }
 
     private void offer(long revision, String text, String source) {
-        long baseRevision = inForce.revision();
-        String baseText = inForce.text();
-        Offer offer = inForce.offer(revision, text);
+        long baseRevision = activeConfiguration.revision();
+        String baseText = activeConfiguration.text();
+        Offer offer = activeConfiguration.offer(revision, text);
         if (offer == Offer.INVALID) {
-            LOG.warn("rejected invalid configuration revision {}: {}", revision, inForce.findings());
+            LOG.warn("rejected invalid configuration revision {}: {}", revision, activeConfiguration.findings());
         }
         if (offer != Offer.APPLIED) {
             return;
@@ -201,16 +202,16 @@
                 .with("source", source)
                 .write();
         LOG.info("activated configuration revision {} (source: {})", revision, source);
-        listeners.forEach(listener -> listener.accept(inForce.configuration()));
+        listeners.forEach(listener -> listener.accept(activeConfiguration.configuration()));
         if (watch.isPresent()) {
-            TextChange change = TextChange.between(baseText, inForce.text());
-            pushToZone(new PeerMessage.ConfigurationChange(baseRevision, inForce.revision(), change));
+            TextChange change = TextChange.between(baseText, activeConfiguration.text());
+            pushToZone(new PeerMessage.ConfigurationChange(baseRevision, activeConfiguration.revision(), change));
         }
     }
 
     /** Pushes a change, not the full text, which would use up most of what a watcher may send. */
     private void pushToZone(PeerMessage push) {
-        process.membership().present().stream()
+        process.membership().presentHosts().stream()
                 .filter(host -> host.zone().equals(process.settings().self().zone()))
                 .forEach(host -> process.tell(host, push));
     }
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -159,7 +159,7 @@
         long requestedNanos = loop.nowNanos();
         loop.execute(() -> {
             if (stop.phase() == PlannedStop.Phase.SERVING) {
-                stop.ask(requestedNanos);
+                stop.request(requestedNanos);
                 timeline.event(EventKind.PROCESS_STOPPING).write();
                 membershipDriver.announceLeaving();
             }
@@ -213,7 +213,7 @@
 
     /** Returns the present hosts of a role, including this one if it has the role. */
     public List<Host> present(Role role) {
-        List<Host> hosts = new ArrayList<>(membership.present(role));
+        List<Host> hosts = new ArrayList<>(membership.presentHosts(role));
         if (settings.self().role() == role) {
             boolean leaving = stop.phase() != PlannedStop.Phase.SERVING;
             hosts.add(leaving ? settings.self().asLeaving() : settings.self());
@@ -324,7 +324,7 @@
                 .whenComplete((listing, failure) -> loop.execute(() -> {
                     // On failure the hosts of the last listing stay; the heartbeats tell which of them are alive.
                     if (failure == null) {
-                        membership.candidates(listing.hosts(), loop.nowNanos());
+                        membership.updateCandidates(listing.hosts(), loop.nowNanos());
                         publishMembershipChange();
                         hostListListeners.forEach(listener -> listener.onHostList(listing));
                     }
--- a/src/main/java/org/gooseberryhill/process/MembershipDriver.java
+++ b/src/main/java/org/gooseberryhill/process/MembershipDriver.java
@@ -45,7 +45,7 @@
 
     /** Tells all hosts immediately, by a heartbeat, that this one is leaving, so that they send it no new work. */
     void announceLeaving() {
-        for (Host host : process.membership().present()) {
+        for (Host host : process.membership().presentHosts()) {
             process.tell(host, heartbeat(process.membership().rumorsFor(host.id())));
         }
     }
@@ -61,12 +61,12 @@
     }
 
     @Override
-    public void probeThrough(Host helper, Host target) {
+    public void probeIndirectly(Host helper, Host target) {
         process.ask(helper, new PeerMessage.ProbeThrough(target.id()))
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     if (reply instanceof PeerMessage.Ack) {
                         process.membership()
-                                .reachedThrough(target.id(), process.loop().nowNanos());
+                                .recordIndirectReply(target.id(), process.loop().nowNanos());
                     }
                 }));
     }
@@ -94,7 +94,7 @@
 
     private void recordHeartbeat(HostId from, PeerMessage.Heartbeat heartbeat) {
         Membership membership = process.membership();
-        membership.heard(
+        membership.recordContact(
                 from,
                 heartbeat.incarnation(),
                 heartbeat.leaving(),
--- a/src/main/java/org/gooseberryhill/program/SampleSystem.java
+++ b/src/main/java/org/gooseberryhill/program/SampleSystem.java
@@ -12,7 +12,7 @@
 import org.gooseberryhill.decision.configuration.ConfigurationEdit;
 import org.gooseberryhill.decision.job.DispatchOrder;
 import org.gooseberryhill.decision.job.EarliestDeadlineFairOrder;
-import org.gooseberryhill.decision.job.FirstComeOrder;
+import org.gooseberryhill.decision.job.FirstComeFirstServedOrder;
 import org.gooseberryhill.decision.online.OnlinePolicies;
 import org.gooseberryhill.entry.EntryProcess;
 import org.gooseberryhill.entry.EntrySettings;
@@ -87,7 +87,7 @@
     /** Starts a steward by its number, counted from 0. */
     public StewardProcess startSteward(int number) {
         BatchSlotPolicy slots = baseline ? new FixedSlotsPolicy() : new LeftoverSlotsPolicy(StewardMain.RESERVE_SHARE);
-        DispatchOrder order = baseline ? new FirstComeOrder() : new EarliestDeadlineFairOrder();
+        DispatchOrder order = baseline ? new FirstComeFirstServedOrder() : new EarliestDeadlineFairOrder();
         StewardSettings settings =
                 new StewardSettings(slots, order, 500, 15_000, 60_000, JOB_SCAN_PERIOD_MILLIS, 2000, 2);
         StewardProcess steward = new StewardProcess(hostSettings(fleet.steward(number)), settings, number);
--- a/src/main/java/org/gooseberryhill/program/StewardMain.java
+++ b/src/main/java/org/gooseberryhill/program/StewardMain.java
@@ -8,7 +8,7 @@
 import org.gooseberryhill.decision.batch.LeftoverSlotsPolicy;
 import org.gooseberryhill.decision.job.DispatchOrder;
 import org.gooseberryhill.decision.job.EarliestDeadlineFairOrder;
-import org.gooseberryhill.decision.job.FirstComeOrder;
+import org.gooseberryhill.decision.job.FirstComeFirstServedOrder;
 import org.gooseberryhill.host.Role;
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.process.AdminServer;
@@ -96,7 +96,7 @@
         boolean baseline =
                 reader.choice("--policies", policies, "product", "baseline").equals("baseline");
         BatchSlotPolicy slots = baseline ? new FixedSlotsPolicy() : new LeftoverSlotsPolicy(RESERVE_SHARE);
-        DispatchOrder order = baseline ? new FirstComeOrder() : new EarliestDeadlineFairOrder();
+        DispatchOrder order = baseline ? new FirstComeFirstServedOrder() : new EarliestDeadlineFairOrder();
         StewardSettings settings = new StewardSettings(
                 slots,
                 order,
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -105,7 +105,7 @@
         Map<String, Integer> online = new HashMap<>();
         Map<String, Integer> batch = new HashMap<>();
         List<String> leavingEndpoints = new ArrayList<>();
-        Set<String> leavingFirstHand = leaving.firstHand();
+        Set<String> directlyObservedLeaving = leaving.directlyObserved();
         load.inFlight().forEach((name, inFlight) -> {
             EndpointBatch endpoint = endpoints.get(name);
             if (endpoint == null) {
@@ -115,7 +115,7 @@
             yieldItems(endpoint.onOnlineReport(entry, inFlight, slow, now));
             online.put(name, endpoint.onlineInFlight(now));
             batch.put(name, endpoint.running().size());
-            if (leavingFirstHand.contains(name)) {
+            if (directlyObservedLeaving.contains(name)) {
                 leavingEndpoints.add(name);
             }
         });
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -13,10 +13,10 @@
 import org.gooseberryhill.contract.JobKey;
 import org.gooseberryhill.decision.job.ItemEnd;
 import org.gooseberryhill.decision.job.ItemOutcome;
-import org.gooseberryhill.decision.job.JobBoard;
 import org.gooseberryhill.decision.job.JobRecord;
 import org.gooseberryhill.decision.job.JobState;
 import org.gooseberryhill.decision.job.OwnedJob;
+import org.gooseberryhill.decision.job.OwnedJobs;
 import org.gooseberryhill.decision.job.WorkItem;
 import org.gooseberryhill.decision.job.WorkOffers;
 import org.gooseberryhill.decision.membership.HostState;
@@ -53,7 +53,7 @@
     private final HostProcess process;
     private final LeaseKeeper lease;
     private final StewardSettings settings;
-    private final JobBoard ownedJobs;
+    private final OwnedJobs ownedJobs;
     private final WorkOffers workOffers = new WorkOffers();
     private final JobSegments segments;
     private final Set<JobKey> pendingClaims = new HashSet<>();
@@ -63,7 +63,7 @@
         this.process = process;
         this.lease = lease;
         this.settings = settings;
-        this.ownedJobs = new JobBoard(settings.dispatchOrder());
+        this.ownedJobs = new OwnedJobs(settings.dispatchOrder());
         this.segments = new JobSegments(process, this::onClaimOrRecordChanged, this::onJobAdvanced);
     }
 
@@ -86,9 +86,9 @@
     List<WorkItem> handOutItems(HostId steward, PeerMessage.ItemsAsk request) {
         long now = process.loop().nowNanos();
         List<WorkItem> items =
-                ownedJobs.take(request.service(), request.max(), steward, now, System.currentTimeMillis());
+                ownedJobs.handOut(request.service(), request.max(), steward, now, System.currentTimeMillis());
         if (!ownedJobs.waitingWork(now).containsKey(request.service())) {
-            workOffers.drained(request.service());
+            workOffers.recordNoneWaiting(request.service());
         }
         return items;
     }
@@ -266,7 +266,7 @@
     }
 
     private void offerWork(OwnedJob job) {
-        if (!workOffers.waiting(job.record().service(), process.loop().nowNanos())) {
+        if (!workOffers.recordWaiting(job.record().service(), process.loop().nowNanos())) {
             return;
         }
         PeerMessage notice =
@@ -278,7 +278,7 @@
 
     private void reclaimFromLostStewards() {
         for (OwnedJob job : ownedJobs.jobs()) {
-            job.holders().stream().filter(this::isLost).forEach(ownedJobs::stewardLost);
+            job.holders().stream().filter(this::isLost).forEach(ownedJobs::reclaimFromSteward);
         }
     }
 
@@ -291,7 +291,7 @@
     private void runHousekeeping() {
         long now = process.loop().nowNanos();
         for (OwnedJob job : ownedJobs.jobs()) {
-            job.takeBackOlderThan(settings.maxHandoutMillis(), now);
+            job.reclaimOlderThan(settings.maxHandoutMillis(), now);
             segments.loadChunks(job);
             if (job.hasWaiting(now)) {
                 offerWork(job);
@@ -307,7 +307,7 @@
             boolean isOwner = Ownership.ownerOfJob(job.key(), stewards)
                     .filter(process::isSelf)
                     .isPresent();
-            if (!isOwner && job.running() == 0 && segments.commitsInProgress() == 0) {
+            if (!isOwner && job.runningItems() == 0 && segments.commitsInProgress() == 0) {
                 stop(job.key(), "another host is its owner now");
             }
         }
@@ -327,7 +327,7 @@
                                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                                     if (reply instanceof PeerMessage.ItemsHeld held) {
                                         long now = process.loop().nowNanos();
-                                        job.takeBackMissing(
+                                        job.reclaimMissing(
                                                 holder, Set.copyOf(held.handouts()), MIN_MISSING_AGE_MILLIS, now);
                                     }
                                 })));
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationInForceTest.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ActiveConfigurationTest.java
@@ -8,19 +8,19 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.gooseberryhill.decision.configuration.ConfigurationInForce.Offer;
+import org.gooseberryhill.decision.configuration.ActiveConfiguration.Offer;
 import org.junit.jupiter.api.Test;
 
-class ConfigurationInForceTest {
-    private final ConfigurationInForce inForce = new ConfigurationInForce();
+class ActiveConfigurationTest {
+    private final ActiveConfiguration configuration = new ActiveConfiguration();
 
     /** A watcher that was partitioned offers an old text when it reconnects; the newer one stays active. */
     @Test
     void anOlderRevisionNeverReplacesANewerOne() {
-        inForce.offer(7, text("new"));
+        configuration.offer(7, text("new"));
 
-        assertThat(inForce.offer(5, text("old"))).isEqualTo(Offer.NOT_NEWER);
-        assertThat(inForce.configuration().models()).containsKey("new");
+        assertThat(configuration.offer(5, text("old"))).isEqualTo(Offer.NOT_NEWER);
+        assertThat(configuration.configuration().models()).containsKey("new");
     }
 
     /**
@@ -29,12 +29,12 @@
      */
     @Test
     void anInvalidTextIsNotApplied() {
-        inForce.offer(7, text("new"));
+        configuration.offer(7, text("new"));
 
-        assertThat(inForce.offer(8, "services: [")).isEqualTo(Offer.INVALID);
-        assertThat(inForce.revision()).isEqualTo(7);
-        assertThat(inForce.findings()).isNotEmpty();
-        assertThat(inForce.offer(9, text("mended"))).isEqualTo(Offer.APPLIED);
+        assertThat(configuration.offer(8, "services: [")).isEqualTo(Offer.INVALID);
+        assertThat(configuration.revision()).isEqualTo(7);
+        assertThat(configuration.findings()).isNotEmpty();
+        assertThat(configuration.offer(9, text("mended"))).isEqualTo(Offer.APPLIED);
     }
 
     /**
@@ -49,7 +49,7 @@
             offers.add(revision);
         }
         Collections.shuffle(offers, new Random(seed));
-        ConfigurationInForce host = new ConfigurationInForce();
+        ActiveConfiguration host = new ActiveConfiguration();
         long before = 0;
         for (int revision : offers) {
             host.offer(revision, text("r" + revision));
--- a/src/test/java/org/gooseberryhill/decision/drain/PlannedStopTest.java
+++ b/src/test/java/org/gooseberryhill/decision/drain/PlannedStopTest.java
@@ -14,12 +14,12 @@
 
     @Test
     void aStopWaitsForRequestsInProgress() {
-        stop.ask(0);
+        stop.request(0);
 
         assertThat(stop.advance(3, true, 400 * NANOS_PER_MILLI)).isEqualTo(Phase.ANNOUNCED);
-        assertThat(stop.takesAll()).isTrue();
+        assertThat(stop.acceptsAllRequests()).isTrue();
         assertThat(stop.advance(3, true, 600 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
-        assertThat(stop.takesAll()).isFalse();
+        assertThat(stop.acceptsAllRequests()).isFalse();
         assertThat(stop.advance(1, true, 9000 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
         assertThat(stop.advance(0, false, 9100 * NANOS_PER_MILLI)).isEqualTo(Phase.ENDED);
     }
@@ -27,7 +27,7 @@
     /** Guards against losing requests that arrive after the process has found nothing in progress. */
     @Test
     void aStopDoesNotEndWhileRequestsMayStillArrive() {
-        stop.ask(0);
+        stop.request(0);
 
         assertThat(stop.advance(0, true, 600 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
         assertThat(stop.advance(0, true, 700 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
@@ -39,31 +39,31 @@
     /** Guards against a request that is accepted after the grace period and cut off at the bound. */
     @Test
     void afterTheGracePeriodOnlyRequestsThatEndBeforeTheBoundAreAccepted() {
-        stop.ask(0);
+        stop.request(0);
         stop.advance(1, true, 400 * NANOS_PER_MILLI);
-        assertThat(stop.takes(60_000, 400 * NANOS_PER_MILLI)).isTrue();
+        assertThat(stop.acceptsRequest(60_000, 400 * NANOS_PER_MILLI)).isTrue();
 
         stop.advance(1, true, 600 * NANOS_PER_MILLI);
-        assertThat(stop.takes(9400, 600 * NANOS_PER_MILLI)).isTrue();
-        assertThat(stop.takes(9401, 600 * NANOS_PER_MILLI)).isFalse();
-        assertThat(stop.takes(1, 10_000 * NANOS_PER_MILLI)).isFalse();
+        assertThat(stop.acceptsRequest(9400, 600 * NANOS_PER_MILLI)).isTrue();
+        assertThat(stop.acceptsRequest(9401, 600 * NANOS_PER_MILLI)).isFalse();
+        assertThat(stop.acceptsRequest(1, 10_000 * NANOS_PER_MILLI)).isFalse();
     }
 
     /** Guards against a bound before the end of the grace period, which would cut off all accepted requests. */
     @Test
     void theGracePeriodTakesAtMostHalfOfTheBound() {
         PlannedStop shortStop = new PlannedStop(2600, 2000);
-        shortStop.ask(0);
+        shortStop.request(0);
 
         assertThat(shortStop.advance(1, true, 999 * NANOS_PER_MILLI)).isEqualTo(Phase.ANNOUNCED);
         assertThat(shortStop.advance(1, true, 1000 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
-        assertThat(shortStop.takes(1001, 1000 * NANOS_PER_MILLI)).isFalse();
+        assertThat(shortStop.acceptsRequest(1001, 1000 * NANOS_PER_MILLI)).isFalse();
     }
 
     /** A caller that does not close its connection must not keep the process running forever. */
     @Test
     void aStopEndsAtItsBoundWhileCallersAreConnected() {
-        stop.ask(0);
+        stop.request(0);
         stop.advance(0, true, 600 * NANOS_PER_MILLI);
 
         assertThat(stop.advance(0, true, 9_999 * NANOS_PER_MILLI)).isEqualTo(Phase.CLOSING);
@@ -73,7 +73,7 @@
     /** Guards against a request that is accepted right before the bound and cut off when the process ends. */
     @Test
     void shortlyBeforeItsBoundAStopClosesWhileRequestsAreInProgress() {
-        stop.ask(0);
+        stop.request(0);
         stop.advance(1, true, 600 * NANOS_PER_MILLI);
 
         assertThat(stop.advance(1, true, 9_499 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
@@ -86,7 +86,7 @@
     @Test
     void aShortBoundLeavesTimeBetweenTheGracePeriodAndClosing() {
         PlannedStop shortStop = new PlannedStop(2600, 1000);
-        shortStop.ask(0);
+        shortStop.request(0);
 
         assertThat(shortStop.advance(1, true, 500 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
         assertThat(shortStop.advance(1, true, 899 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
@@ -96,16 +96,16 @@
     /** The operator requests the stop again: work in progress is still completed. */
     @Test
     void aSecondStopRequestHasNoEffect() {
-        stop.ask(0);
+        stop.request(0);
         stop.advance(3, true, 600 * NANOS_PER_MILLI);
-        stop.ask(700 * NANOS_PER_MILLI);
+        stop.request(700 * NANOS_PER_MILLI);
 
         assertThat(stop.advance(3, true, 1300 * NANOS_PER_MILLI)).isEqualTo(Phase.DRAINING);
     }
 
     @Test
     void aStopEndsAtItsBound() {
-        stop.ask(0);
+        stop.request(0);
         stop.advance(1, true, 600 * NANOS_PER_MILLI);
 
         assertThat(stop.advance(1, true, 10_000 * NANOS_PER_MILLI)).isEqualTo(Phase.ENDED);
@@ -134,6 +134,6 @@
         leaving.update(LeavingSource.PEER, "e1", true);
 
         assertThat(leaving.all()).containsExactly("e1");
-        assertThat(leaving.firstHand()).isEmpty();
+        assertThat(leaving.directlyObserved()).isEmpty();
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/job/JobModel.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobModel.java
@@ -136,7 +136,7 @@
                     }
                     job.chunkLoaded(chunk, bodies);
                 });
-                job.take(id, nowNanos).ifPresent(runningItems::add);
+                job.handOutNext(id, nowNanos).ifPresent(runningItems::add);
             });
         }
 
@@ -150,7 +150,7 @@
                 runningItems.remove(item);
             }
             if (random.nextInt(10) == 0) {
-                owned.get().stewardLost(id);
+                owned.get().reclaimFromSteward(id);
             }
             ItemEnd[] ends = ItemEnd.values();
             ItemEnd end = random.nextInt(3) > 0 ? ItemEnd.COMPLETED : ends[random.nextInt(ends.length)];
--- a/src/test/java/org/gooseberryhill/decision/job/IntakeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobSubmissionTest.java
@@ -11,9 +11,9 @@
 import net.jqwik.api.Property;
 import org.gooseberryhill.decision.FakeKeyValue;
 import org.gooseberryhill.decision.FakeKeyValue.Condition;
-import org.gooseberryhill.decision.job.Intake.Step;
+import org.gooseberryhill.decision.job.JobSubmission.Step;
 
-class IntakeTest {
+class JobSubmissionTest {
     private static final String KEY = "job";
 
     /**
@@ -50,25 +50,25 @@
     /** One submission through one host. */
     private static final class Submission {
         private final String hash;
-        private final Intake intake;
+        private final JobSubmission submission;
         private Step step;
 
         Submission(String hash) {
             this.hash = hash;
-            intake = new Intake(hash);
-            step = intake.begin();
+            submission = new JobSubmission(hash);
+            step = submission.begin();
         }
 
         void advance(FakeKeyValue<JobRecord> store) {
             if (step == Step.CREATE) {
                 JobRecord record = new JobRecord(JobState.RUNNING, hash, "s", "m", 0, 0, 1, 1, List.of("c"));
                 step = store.write(List.of(Condition.absent(KEY)), Map.of(KEY, record))
-                        .map(intake::created)
-                        .orElseGet(intake::unanswered);
+                        .map(submission::created)
+                        .orElseGet(submission::unanswered);
             } else if (step == Step.READ) {
                 step = store.read(KEY)
-                        .map(found -> intake.read(found.map(FakeKeyValue.Stored::value)))
-                        .orElseGet(intake::unanswered);
+                        .map(found -> submission.read(found.map(FakeKeyValue.Stored::value)))
+                        .orElseGet(submission::unanswered);
             }
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
@@ -91,7 +91,7 @@
     @Test
     void aReportOfAnEarlierHandOutHasNoEffect() {
         WorkItem early = take();
-        job.stewardLost(STEWARD);
+        job.reclaimFromSteward(STEWARD);
         WorkItem again = take();
 
         assertThat(again.index()).isEqualTo(early.index());
@@ -107,13 +107,13 @@
         WorkItem held = take();
         advanceOneSecond();
 
-        job.takeBackMissing(STEWARD, Set.of(held.handout()), 2000, nowNanos);
-        assertThat(job.running()).isEqualTo(2);
+        job.reclaimMissing(STEWARD, Set.of(held.handout()), 2000, nowNanos);
+        assertThat(job.runningItems()).isEqualTo(2);
         advanceOneSecond();
         advanceOneSecond();
-        job.takeBackMissing(STEWARD, Set.of(held.handout()), 2000, nowNanos);
+        job.reclaimMissing(STEWARD, Set.of(held.handout()), 2000, nowNanos);
 
-        assertThat(job.running()).isEqualTo(1);
+        assertThat(job.runningItems()).isEqualTo(1);
         assertThat(take().index()).isEqualTo(lost.index());
     }
 
@@ -128,7 +128,7 @@
         ItemOutcome old = new ItemOutcome(item.index(), FENCE - 1, item.handout(), ItemEnd.REJECTED, "", 0);
 
         assertThat(job.report(old, nowNanos)).isEmpty();
-        assertThat(job.running()).isEqualTo(1);
+        assertThat(job.runningItems()).isEqualTo(1);
     }
 
     @Test
@@ -136,7 +136,7 @@
         WorkItem item = take();
         job.stop();
 
-        assertThat(job.take(STEWARD, nowNanos)).isEmpty();
+        assertThat(job.handOutNext(STEWARD, nowNanos)).isEmpty();
         assertThat(report(item, ItemEnd.COMPLETED)).isEmpty();
     }
 
@@ -147,7 +147,7 @@
         job.stop();
         job.chunkLoaded(chunk, List.of("{}", "{}"));
 
-        assertThat(job.take(STEWARD, nowNanos)).isEmpty();
+        assertThat(job.handOutNext(STEWARD, nowNanos)).isEmpty();
     }
 
     @Test
@@ -168,7 +168,7 @@
         DispatchContext context = new DispatchContext(0, Map.of());
         assertThat(EarliestDeadlineFairOrder.isUrgent(slow, context)).isFalse();
         for (int i = 0; i < 8; i++) {
-            WorkItem item = slow.take(STEWARD, nowNanos).orElseThrow();
+            WorkItem item = slow.handOutNext(STEWARD, nowNanos).orElseThrow();
             nowNanos += TimeUnit.SECONDS.toNanos(60);
             slow.report(new ItemOutcome(item.index(), FENCE, item.handout(), ItemEnd.COMPLETED, "", 1), nowNanos);
         }
@@ -178,15 +178,15 @@
 
     @Test
     void urgentJobsGoFirstAndOtherwiseCallersTakeTurns() {
-        JobBoard board = new JobBoard(new EarliestDeadlineFairOrder());
+        OwnedJobs ownedJobs = new OwnedJobs(new EarliestDeadlineFairOrder());
         OwnedJob late = loaded(job("many", 8, 10_000_000));
         OwnedJob other = loaded(job("few", 8, 20_000_000));
         OwnedJob urgent = loaded(job("many", 8, 100));
-        board.add(late);
-        board.add(other);
-        board.add(urgent);
+        ownedJobs.add(late);
+        ownedJobs.add(other);
+        ownedJobs.add(urgent);
 
-        List<WorkItem> items = board.take("s", 12, STEWARD, 0, 0);
+        List<WorkItem> items = ownedJobs.handOut("s", 12, STEWARD, 0, 0);
 
         assertThat(items.subList(0, 8)).allMatch(item -> item.job().equals("many/due-100"));
         assertThat(items.subList(8, 12)).allMatch(item -> item.job().equals("few/due-20000000"));
@@ -198,7 +198,7 @@
 
     private WorkItem take() {
         loaded(job);
-        return job.take(STEWARD, nowNanos).orElseThrow();
+        return job.handOutNext(STEWARD, nowNanos).orElseThrow();
     }
 
     private void advanceOneSecond() {
--- a/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
@@ -12,12 +12,12 @@
 
     @Test
     void workIsOfferedOnceUntilItHasRunOut() {
-        assertThat(offers.waiting("s", 0)).isTrue();
-        assertThat(offers.waiting("s", 1000 * NANOS_PER_MILLI)).isFalse();
-        assertThat(offers.waiting("other", 1000 * NANOS_PER_MILLI)).isTrue();
-        offers.drained("s");
+        assertThat(offers.recordWaiting("s", 0)).isTrue();
+        assertThat(offers.recordWaiting("s", 1000 * NANOS_PER_MILLI)).isFalse();
+        assertThat(offers.recordWaiting("other", 1000 * NANOS_PER_MILLI)).isTrue();
+        offers.recordNoneWaiting("s");
 
-        assertThat(offers.waiting("s", 2000 * NANOS_PER_MILLI)).isTrue();
+        assertThat(offers.recordWaiting("s", 2000 * NANOS_PER_MILLI)).isTrue();
     }
 
     /**
@@ -28,10 +28,10 @@
     void manyYieldsInABurstMakeFewOffers() {
         int made = 0;
         for (int milli = 0; milli < 1000; milli++) {
-            if (offers.waiting("s", milli * NANOS_PER_MILLI)) {
+            if (offers.recordWaiting("s", milli * NANOS_PER_MILLI)) {
                 made++;
             }
-            offers.drained("s");
+            offers.recordNoneWaiting("s");
         }
 
         assertThat(made).isEqualTo(4);
--- a/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
@@ -23,9 +23,11 @@
     void aListedHostIsAliveBeforeItWasHeard() {
         list(0, "self", "a");
 
-        assertThat(roster.liveStarts(at(60_000))).containsEntry("a", "a1").containsEntry("self", "s1");
+        assertThat(roster.liveProcessStarts(at(60_000)))
+                .containsEntry("a", "a1")
+                .containsEntry("self", "s1");
         assertThat(roster.gateways(at(0))).extracting(Host::id).containsExactly(A);
-        assertThat(roster.staying(at(0))).isEmpty();
+        assertThat(roster.activeGateways(at(0))).isEmpty();
     }
 
     /**
@@ -37,14 +39,14 @@
         List<ListedHost> entries = new ArrayList<>();
         List.of("a", "b").forEach(id -> entries.add(new ListedHost(host(id), id + "1")));
         List.of("x", "y", "z").forEach(id -> entries.add(new ListedHost(host(id, Role.STORE), id + "1")));
-        roster.listed(entries, at(0));
+        roster.updateListedHosts(entries, at(0));
         hear(A, 0);
         hear(B, 0);
         hear(A, 6000);
 
         assertThat(roster.stores()).extracting(host -> host.id().value()).containsExactly("x", "y", "z");
         assertThat(roster.gateways(at(6000))).extracting(Host::id).containsExactly(A, B);
-        assertThat(roster.liveStarts(at(6000))).doesNotContainKey("b").containsKey("a");
+        assertThat(roster.liveProcessStarts(at(6000))).doesNotContainKey("b").containsKey("a");
     }
 
     /**
@@ -58,9 +60,9 @@
         list(100);
         hear(A, 1000);
 
-        assertThat(roster.liveStarts(at(1500))).containsEntry("a", "a1").doesNotContainKey("b");
+        assertThat(roster.liveProcessStarts(at(1500))).containsEntry("a", "a1").doesNotContainKey("b");
         assertThat(roster.find(A, at(1500))).isPresent();
-        assertThat(roster.staying(at(1500))).extracting(Host::id).containsExactly(A);
+        assertThat(roster.activeGateways(at(1500))).extracting(Host::id).containsExactly(A);
     }
 
     /**
@@ -76,9 +78,9 @@
 
         for (int millis = 1000; millis <= 10_000; millis += 1000) {
             hear(B, millis);
-            roster.takeSilent(at(millis));
+            roster.takeNewlySilent(at(millis));
         }
-        assertThat(roster.liveStarts(at(10_000))).doesNotContainKey("a").containsEntry("b", "b1");
+        assertThat(roster.liveProcessStarts(at(10_000))).doesNotContainKey("a").containsEntry("b", "b1");
         assertThat(roster.find(A, at(10_000))).isEmpty();
     }
 
@@ -93,8 +95,8 @@
         hear(B, 0);
         hear(B, 4000);
 
-        assertThat(roster.liveStarts(at(4900))).containsKey("a");
-        assertThat(roster.liveStarts(at(5100))).doesNotContainKey("a").containsKey("b");
+        assertThat(roster.liveProcessStarts(at(4900))).containsKey("a");
+        assertThat(roster.liveProcessStarts(at(5100))).doesNotContainKey("a").containsKey("b");
     }
 
     /** This host was suspended for long or is partitioned: all other hosts seem silent, but none of them is lost. */
@@ -104,15 +106,15 @@
         hear(A, 0);
         hear(B, 0);
 
-        assertThat(roster.liveStarts(at(20_000))).containsKeys("a", "b");
+        assertThat(roster.liveProcessStarts(at(20_000))).containsKeys("a", "b");
     }
 
     @Test
     void theReportedProcessTakesPrecedenceOverTheListedOne() {
         list(0, "self", "a");
-        roster.heard(A, new HostSign("a2", false, true), at(100));
+        roster.recordReport(A, new HostReport("a2", false, true), at(100));
 
-        assertThat(roster.liveStarts(at(200))).containsEntry("a", "a2");
+        assertThat(roster.liveProcessStarts(at(200))).containsEntry("a", "a2");
     }
 
     @Test
@@ -120,22 +122,22 @@
         list(0, "self", "a");
         hear(A, 0);
 
-        assertThat(roster.takeSilent(at(3400))).isEmpty();
-        assertThat(roster.takeSilent(at(3600))).containsExactly(A);
-        assertThat(roster.takeSilent(at(4600))).isEmpty();
+        assertThat(roster.takeNewlySilent(at(3400))).isEmpty();
+        assertThat(roster.takeNewlySilent(at(3600))).containsExactly(A);
+        assertThat(roster.takeNewlySilent(at(4600))).isEmpty();
         hear(A, 5000);
-        assertThat(roster.takeSilent(at(5100))).isEmpty();
-        assertThat(roster.takeSilent(at(9000))).containsExactly(A);
+        assertThat(roster.takeNewlySilent(at(5100))).isEmpty();
+        assertThat(roster.takeNewlySilent(at(9000))).containsExactly(A);
     }
 
     @Test
     void hostsThatStopOrDoNotReachTheStoreAreNotAskedForHelp() {
         list(0, "self", "a", "b");
-        roster.heard(A, new HostSign("a1", true, true), at(0));
-        roster.heard(B, new HostSign("b1", false, false), at(0));
+        roster.recordReport(A, new HostReport("a1", true, true), at(0));
+        roster.recordReport(B, new HostReport("b1", false, false), at(0));
 
-        assertThat(roster.staying(at(1))).extracting(Host::id).containsExactly(B);
-        assertThat(roster.reachingStore(at(1))).extracting(Host::id).containsExactly(A);
+        assertThat(roster.activeGateways(at(1))).extracting(Host::id).containsExactly(B);
+        assertThat(roster.gatewaysReachingStore(at(1))).extracting(Host::id).containsExactly(A);
     }
 
     /**
@@ -145,29 +147,29 @@
     @Test
     void aHostThatNobodyKnowsYetAsksTheListedOnesForHelp() {
         list(0, "self", "a", "b");
-        assertThat(roster.reachingStore(at(1))).extracting(Host::id).containsExactly(A, B);
+        assertThat(roster.gatewaysReachingStore(at(1))).extracting(Host::id).containsExactly(A, B);
 
-        roster.heard(A, new HostSign("a1", false, false), at(2));
-        assertThat(roster.reachingStore(at(3))).isEmpty();
+        roster.recordReport(A, new HostReport("a1", false, false), at(2));
+        assertThat(roster.gatewaysReachingStore(at(3))).isEmpty();
     }
 
     @Test
     void anAnswerShowsThatAHostIsAlive() {
         list(0, "self", "a");
         hear(A, 0);
-        roster.answered(A, at(3000));
+        roster.recordAnswer(A, at(3000));
 
-        assertThat(roster.staying(at(6000))).extracting(Host::id).containsExactly(A);
+        assertThat(roster.activeGateways(at(6000))).extracting(Host::id).containsExactly(A);
     }
 
     private void hear(HostId host, long millis) {
-        roster.heard(host, new HostSign(host.value() + "1", false, true), at(millis));
+        roster.recordReport(host, new HostReport(host.value() + "1", false, true), at(millis));
     }
 
     private void list(long millis, String... hosts) {
         List<ListedHost> entries = new ArrayList<>();
         Arrays.stream(hosts).forEach(host -> entries.add(new ListedHost(host(host), host + "1")));
-        roster.listed(entries, at(millis));
+        roster.updateListedHosts(entries, at(millis));
     }
 
     private static Host host(String id) {
--- a/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
@@ -32,7 +32,7 @@
 
         cluster.forEachRunning(
                 view -> assertThat(view.stateOf(new HostId("h3"))).contains(HostState.DEAD));
-        cluster.forEachRunning(view -> assertThat(view.present()).hasSize(7));
+        cluster.forEachRunning(view -> assertThat(view.presentHosts()).hasSize(7));
     }
 
     /** The link between two hosts is broken. The other hosts still reach both, so neither is considered dead. */
@@ -43,7 +43,7 @@
         cluster.brokenLinks.add("h2-h1");
         cluster.run(400);
 
-        cluster.forEachRunning(view -> assertThat(view.present()).hasSize(5));
+        cluster.forEachRunning(view -> assertThat(view.presentHosts()).hasSize(5));
     }
 
     /** A host is paused until it is considered dead. When it resumes, it refutes that with a greater incarnation. */
@@ -58,7 +58,7 @@
         cluster.downHosts.clear();
         cluster.run(200);
 
-        cluster.forEachRunning(view -> assertThat(view.present()).hasSize(5));
+        cluster.forEachRunning(view -> assertThat(view.presentHosts()).hasSize(5));
     }
 
     /** One third of all messages is lost for a long time, which must not make any host be considered dead. */
@@ -88,9 +88,9 @@
     void theHostListMayLoseAHostThatStillAnswers() {
         Cluster cluster = new Cluster(4);
         cluster.run(20);
-        cluster.memberships.get("h0").candidates(List.of(cluster.host(1)), cluster.nowNanos);
+        cluster.memberships.get("h0").updateCandidates(List.of(cluster.host(1)), cluster.nowNanos);
 
-        assertThat(cluster.memberships.get("h0").present()).hasSize(3);
+        assertThat(cluster.memberships.get("h0").presentHosts()).hasSize(3);
     }
 
     /** A simulated cluster whose messages are delivered immediately or lost. */
@@ -114,7 +114,7 @@
             for (Host host : hosts) {
                 Membership view =
                         new Membership(host.id(), MembershipSettings.DEFAULT, new Random(hosts.indexOf(host)));
-                view.candidates(hosts, 0);
+                view.updateCandidates(hosts, 0);
                 memberships.put(host.id().value(), view);
             }
         }
@@ -137,7 +137,7 @@
                     }
                 });
                 deaths += (int) memberships.values().stream()
-                        .filter(view -> view.present().size() < size - 1)
+                        .filter(view -> view.presentHosts().size() < size - 1)
                         .count();
             }
         }
@@ -165,12 +165,12 @@
             if (!arrives(from, to)) {
                 return false;
             }
-            receiver.heard(new HostId(from), sender.incarnation(), false, rumors, nowNanos);
+            receiver.recordContact(new HostId(from), sender.incarnation(), false, rumors, nowNanos);
             List<Rumor> replyRumors = receiver.rumorsFor(new HostId(from));
             if (!arrives(to, from)) {
                 return false;
             }
-            sender.heard(new HostId(to), receiver.incarnation(), false, replyRumors, nowNanos);
+            sender.recordContact(new HostId(to), receiver.incarnation(), false, replyRumors, nowNanos);
             return true;
         }
 
@@ -188,14 +188,14 @@
             }
 
             @Override
-            public void probeThrough(Host helper, Host target) {
+            public void probeIndirectly(Host helper, Host target) {
                 String helperName = helper.id().value();
                 boolean reached = arrives(from, helperName)
                         && exchange(helperName, target.id().value(), List.of())
                         && arrives(helperName, from);
                 Optional.of(reached)
                         .filter(Boolean::booleanValue)
-                        .ifPresent(yes -> memberships.get(from).reachedThrough(target.id(), nowNanos));
+                        .ifPresent(yes -> memberships.get(from).recordIndirectReply(target.id(), nowNanos));
             }
         }
     }
