--- a/src/main/java/org/gooseberryhill/dialect/AttemptTraits.java
+++ b/src/main/java/org/gooseberryhill/dialect/AttemptMetadata.java
@@ -11,5 +11,5 @@
  * @param lastEventId id of the event after which the stream continues
  * @param requestId id of the request, if its own headers do not contain one
  */
-public record AttemptTraits(
+public record AttemptMetadata(
         String endpointId, OptionalLong leftMillis, Optional<Long> lastEventId, Optional<String> requestId) {}
--- a/src/main/java/org/gooseberryhill/dialect/SystemCall.java
+++ b/src/main/java/org/gooseberryhill/dialect/BatchApiCall.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.dialect;
 
 /** A call of the system's own interface, which is served besides the routes. Immutable. */
-public sealed interface SystemCall {
+public sealed interface BatchApiCall {
     /**
      * Reads the results of a request batch.
      *
@@ -9,7 +9,7 @@
      * @param after first position requested, from 0
      * @param waitMillis maximum time that the call waits for a result
      */
-    record ReadResults(String batch, int after, long waitMillis) implements SystemCall {}
+    record ReadResults(String batch, int after, long waitMillis) implements BatchApiCall {}
 
     /**
      * Reads the body of an item that has no result yet.
@@ -17,12 +17,12 @@
      * @param batch id of the batch
      * @param item id of the item
      */
-    record ReadItem(String batch, String item) implements SystemCall {}
+    record ReadItem(String batch, String item) implements BatchApiCall {}
 
     /**
      * Ends a request batch.
      *
      * @param batch id of the batch
      */
-    record EndBatch(String batch) implements SystemCall {}
+    record EndBatch(String batch) implements BatchApiCall {}
 }
--- a/src/main/java/org/gooseberryhill/dialect/BatchDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/BatchDialect.java
@@ -10,11 +10,11 @@
 /** Translates the HTTP interface for submitting, reading and ending request batches. Thread-safe; decides nothing. */
 public interface BatchDialect {
     /** Returns the call of the system's own interface that a request makes; empty if a route may handle the request. */
-    Optional<SystemCall> read(HttpCall call);
+    Optional<BatchApiCall> parseCall(HttpCall call);
 
     /** Returns the items of a submitted body, or all errors found in it. */
-    Either<List<String>, List<BatchItem>> items(byte[] body);
+    Either<List<String>, List<BatchItem>> parseItems(byte[] body);
 
     /** Returns the body of the answer to a call that reads results. */
-    byte[] page(BatchPage page);
+    byte[] formatPage(BatchPage page);
 }
--- a/src/main/java/org/gooseberryhill/dialect/DirectoryDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/DirectoryDialect.java
@@ -10,5 +10,5 @@
     String prefix();
 
     /** Returns the endpoint that an entry registers, or the reason why the entry names no usable endpoint. */
-    Either<String, EndpointEntry> endpoint(KeyChange entry);
+    Either<String, EndpointEntry> parseRegistration(KeyChange entry);
 }
--- a/src/main/java/org/gooseberryhill/dialect/OperatorDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/OperatorDialect.java
@@ -11,10 +11,10 @@
     String prefix();
 
     /** Returns the configuration in an entry, or what is wrong with it; empty for an entry with another key. */
-    Optional<Either<String, RouteConfiguration>> configuration(KeyChange entry);
+    Optional<Either<String, RouteConfiguration>> parseConfiguration(KeyChange entry);
 
     /** Returns the host that an entry requests to be evacuated; empty for an entry with another key. */
-    Optional<String> evacuatedHost(KeyChange entry);
+    Optional<String> parseEvacuation(KeyChange entry);
 
     /** Returns the key under which the status of an evacuation is stored. */
     String evacuationStatusKey(String host);
--- a/src/main/java/org/gooseberryhill/dialect/RequestTraits.java
+++ b/src/main/java/org/gooseberryhill/dialect/RequestMetadata.java
@@ -11,5 +11,5 @@
  * @param prompt prompt; present for a request for tokens
  * @param lastEventId id of the last event that the caller has received, if it resumes a stream
  */
-public record RequestTraits(
+public record RequestMetadata(
         Optional<String> id, Optional<Long> deadlineMillis, Optional<Prompt> prompt, Optional<Long> lastEventId) {}
--- a/src/main/java/org/gooseberryhill/dialect/TrafficDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/TrafficDialect.java
@@ -7,10 +7,10 @@
 /** Translates the metadata that requests and answers carry for the system. Thread-safe; decides nothing. */
 public interface TrafficDialect {
     /** Returns the metadata of a request; values that cannot be parsed count as absent. */
-    RequestTraits read(HttpHeaders request);
+    RequestMetadata parseRequest(HttpHeaders request);
 
     /** Adds the metadata of an attempt to a request. */
-    void addAttempt(HttpHeaders request, AttemptTraits attempt);
+    void addAttemptMetadata(HttpHeaders request, AttemptMetadata attempt);
 
     /** Returns whether an answer states that the endpoint has not run the request and never will. */
     boolean isNotRun(int status, HttpHeaders answer);
@@ -28,5 +28,5 @@
     Optional<String> endpointId(HttpHeaders answer);
 
     /** Returns the status code for a refusal: one that promises not-run only if the refusal does. */
-    int status(Refusal refusal);
+    int statusOf(Refusal refusal);
 }
--- a/src/main/java/org/gooseberryhill/gateway/BatchDesk.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
@@ -8,7 +8,7 @@
 import org.gooseberryhill.decision.requestbatch.BatchItem;
 import org.gooseberryhill.decision.requestbatch.BatchPage;
 import org.gooseberryhill.decision.requestbatch.OwnedBatch;
-import org.gooseberryhill.dialect.SystemCall;
+import org.gooseberryhill.dialect.BatchApiCall;
 import org.gooseberryhill.host.Host;
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.peer.GatewayMessage;
@@ -19,7 +19,7 @@
  *
  * <p>Invariant: a page contains only committed results, whichever host answers the call.
  */
-final class BatchDesk {
+final class BatchApiHandler {
     /** Maximum number of characters in one page; the interface allows a megabyte per answer. */
     static final int MAX_PAGE_CHARACTERS = 700_000;
 
@@ -30,36 +30,36 @@
     private static final long REPLY_MARGIN_MILLIS = 500;
 
     private final GatewayContext context;
-    private final BatchReplies replies;
+    private final BatchRefusals refusals;
     private final PeerLinks links;
-    private final BatchBoard board;
-    private final BatchEnding ending;
-    private final StoredResults stored;
+    private final BatchRegistry registry;
+    private final BatchEnder ender;
+    private final StoredBatchReader storedBatchReader;
 
-    BatchDesk(
+    BatchApiHandler(
             GatewayContext context,
-            BatchReplies replies,
+            BatchRefusals refusals,
             PeerLinks links,
-            BatchBoard board,
-            StoredResults stored,
-            BatchEnding ending) {
+            BatchRegistry registry,
+            StoredBatchReader storedBatchReader,
+            BatchEnder ender) {
         this.context = context;
-        this.replies = replies;
+        this.refusals = refusals;
         this.links = links;
-        this.board = board;
-        this.stored = stored;
-        this.ending = ending;
+        this.registry = registry;
+        this.storedBatchReader = storedBatchReader;
+        this.ender = ender;
     }
 
     /** Answers an API call. Callable from any thread. */
-    void answer(HttpCall call, SystemCall systemCall) {
+    void handle(HttpCall call, BatchApiCall batchApiCall) {
         context.loop().execute(() -> {
-            if (systemCall instanceof SystemCall.ReadResults read) {
+            if (batchApiCall instanceof BatchApiCall.ReadResults read) {
                 readResults(call, read);
-            } else if (systemCall instanceof SystemCall.ReadItem read) {
+            } else if (batchApiCall instanceof BatchApiCall.ReadItem read) {
                 readItem(call, read);
-            } else if (systemCall instanceof SystemCall.EndBatch end) {
-                ending.end(call, end.batch());
+            } else if (batchApiCall instanceof BatchApiCall.EndBatch end) {
+                ender.end(call, end.batch());
             }
         });
     }
@@ -69,8 +69,8 @@
      *
      * @param receiver gets the page, or empty if this host does not own the batch
      */
-    void ownResults(String id, int after, long waitMillis, PageReceiver receiver) {
-        Optional<OwnedBatch> batch = board.find(id);
+    void readOwnedResults(String id, int after, long waitMillis, PageReceiver receiver) {
+        Optional<OwnedBatch> batch = registry.find(id);
         if (batch.isEmpty()) {
             receiver.receive(Optional.empty());
             return;
@@ -81,19 +81,19 @@
             return;
         }
         RunOnce answerOnce = new RunOnce(
-                () -> receiver.receive(board.find(id).map(found -> found.page(after, MAX_PAGE_CHARACTERS))));
-        board.addWaiter(id, answerOnce);
+                () -> receiver.receive(registry.find(id).map(found -> found.page(after, MAX_PAGE_CHARACTERS))));
+        registry.addWaiter(id, answerOnce);
         context.loop().after(waitMillis, answerOnce);
     }
 
-    private void readResults(HttpCall call, SystemCall.ReadResults read) {
+    private void readResults(HttpCall call, BatchApiCall.ReadResults read) {
         // A stopping host answers at once: a waiting call would be cut off when the process ends.
         long waitMillis = context.stop().phase() == PlannedStop.Phase.SERVING ? read.waitMillis() : 0;
-        if (board.find(read.batch()).isPresent()) {
-            ownResults(read.batch(), read.after(), waitMillis, page -> replyPage(call, read, page));
+        if (registry.find(read.batch()).isPresent()) {
+            readOwnedResults(read.batch(), read.after(), waitMillis, page -> replyPage(call, read, page));
             return;
         }
-        Optional<Host> owner = board.owner(read.batch()).flatMap(links::find);
+        Optional<Host> owner = registry.owner(read.batch()).flatMap(links::find);
         if (owner.isEmpty()) {
             readStoredResults(call, read);
             return;
@@ -105,33 +105,33 @@
         });
     }
 
-    private void replyPage(HttpCall call, SystemCall.ReadResults read, Optional<BatchPage> page) {
+    private void replyPage(HttpCall call, BatchApiCall.ReadResults read, Optional<BatchPage> page) {
         if (page.isPresent()) {
-            call.reply(OK, JSON_HEADERS, context.dialects().batches().page(page.get()));
+            call.reply(OK, JSON_HEADERS, context.dialects().batches().formatPage(page.get()));
         } else {
             readStoredResults(call, read);
         }
     }
 
-    private void readStoredResults(HttpCall call, SystemCall.ReadResults read) {
-        context.onLoop(stored.readPage(read.batch(), read.after()), (page, failure) -> {
+    private void readStoredResults(HttpCall call, BatchApiCall.ReadResults read) {
+        context.onLoop(storedBatchReader.readPage(read.batch(), read.after()), (page, failure) -> {
             if (failure != null) {
-                replies.unavailable(call, read.batch(), false);
+                refusals.unavailable(call, read.batch(), false);
             } else if (page.isEmpty()) {
-                replies.refuse(call, read.batch(), Refusal.notRun(ErrorCode.NOT_FOUND, "there is no such batch"));
+                refusals.refuse(call, read.batch(), Refusal.notRun(ErrorCode.NOT_FOUND, "there is no such batch"));
             } else {
-                call.reply(OK, JSON_HEADERS, context.dialects().batches().page(page.get()));
+                call.reply(OK, JSON_HEADERS, context.dialects().batches().formatPage(page.get()));
             }
         });
     }
 
-    private void readItem(HttpCall call, SystemCall.ReadItem read) {
-        Optional<OwnedBatch> batch = board.find(read.batch());
+    private void readItem(HttpCall call, BatchApiCall.ReadItem read) {
+        Optional<OwnedBatch> batch = registry.find(read.batch());
         if (batch.isPresent()) {
-            replyItem(call, read, ownItem(read.batch(), read.item()));
+            replyItem(call, read, findOwnedItemBody(read.batch(), read.item()));
             return;
         }
-        Optional<Host> owner = board.owner(read.batch()).flatMap(links::find);
+        Optional<Host> owner = registry.owner(read.batch()).flatMap(links::find);
         if (owner.isEmpty()) {
             readStoredItem(call, read);
             return;
@@ -147,28 +147,28 @@
     }
 
     /** Returns the body of an item without a committed result, if this host owns the batch and it is not ended. */
-    Optional<byte[]> ownItem(String batchId, String item) {
-        return board.find(batchId)
+    Optional<byte[]> findOwnedItemBody(String batchId, String item) {
+        return registry.find(batchId)
                 .filter(batch -> !batch.record().ended())
                 .flatMap(batch -> batch.uncommittedItem(item))
                 .map(BatchItem::body);
     }
 
-    private void readStoredItem(HttpCall call, SystemCall.ReadItem read) {
-        context.onLoop(stored.readItemBody(read.batch(), read.item()), (body, failure) -> {
+    private void readStoredItem(HttpCall call, BatchApiCall.ReadItem read) {
+        context.onLoop(storedBatchReader.readItemBody(read.batch(), read.item()), (body, failure) -> {
             if (failure != null) {
-                replies.unavailable(call, read.batch(), false);
+                refusals.unavailable(call, read.batch(), false);
             } else {
                 replyItem(call, read, body);
             }
         });
     }
 
-    private void replyItem(HttpCall call, SystemCall.ReadItem read, Optional<byte[]> body) {
+    private void replyItem(HttpCall call, BatchApiCall.ReadItem read, Optional<byte[]> body) {
         if (body.isPresent()) {
             call.reply(OK, Map.of("content-type", "application/octet-stream"), body.get());
         } else {
-            replies.refuse(call, read.batch(), Refusal.notRun(ErrorCode.NOT_FOUND, "there is no such open item"));
+            refusals.refuse(call, read.batch(), Refusal.notRun(ErrorCode.NOT_FOUND, "there is no such open item"));
         }
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
@@ -19,28 +19,28 @@
 final class BatchCleanup {
     private final GatewayContext context;
     private final PeerLinks links;
-    private final BatchBoard board;
+    private final BatchRegistry registry;
     private final BatchStore store;
     private final BatchExpiry expiry;
     private final Set<String> deleting = new TreeSet<>();
 
-    BatchCleanup(GatewayContext context, PeerLinks links, BatchBoard board, BatchStore store) {
+    BatchCleanup(GatewayContext context, PeerLinks links, BatchRegistry registry, BatchStore store) {
         this.context = context;
         this.links = links;
-        this.board = board;
+        this.registry = registry;
         this.store = store;
         this.expiry = new BatchExpiry(context.settings().resultRetentionMillis());
     }
 
     /** Processes a complete listing of the batch records. */
-    void looked(List<BatchStore.Stored> records) {
+    void onListed(List<BatchStore.Stored> records) {
         Map<String, BatchStore.Stored> finished = records.stream()
                 .filter(found -> found.record().isFinished())
                 .collect(Collectors.toMap(BatchStore.Stored::id, Function.identity()));
-        board.evictFinished(context.nowNanos());
-        board.retainKnown(records.stream().map(BatchStore.Stored::id).collect(Collectors.toSet()));
+        registry.evictFinished(context.nowNanos());
+        registry.retainKnown(records.stream().map(BatchStore.Stored::id).collect(Collectors.toSet()));
         for (String id : expiry.observe(finished.keySet(), context.nowNanos())) {
-            if (links.isChosen("batch/" + id) && deleting.add(id)) {
+            if (links.isResponsibleFor("batch/" + id) && deleting.add(id)) {
                 delete(finished.get(id));
             }
         }
@@ -50,7 +50,7 @@
         context.onLoop(store.delete(found), (deleted, failure) -> {
             deleting.remove(found.id());
             if (failure == null && deleted) {
-                board.remove(found.id());
+                registry.remove(found.id());
                 context.timeline()
                         .event(EventKind.BATCH_DELETED)
                         .job(found.id())
--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -28,7 +28,7 @@
     private final GatewayContext context;
     private final BatchStore store;
     private final RecordWriter writer;
-    private final BatchBoard board;
+    private final BatchRegistry registry;
     private final BatchRoutes routes;
     private final Consumer<String> onLost;
     private final SaveTiming saveTiming = new SaveTiming();
@@ -36,11 +36,15 @@
     private final Set<String> writesInFlight = new HashSet<>();
 
     BatchCommitter(
-            GatewayContext context, BatchStore store, BatchBoard board, BatchRoutes routes, Consumer<String> onLost) {
+            GatewayContext context,
+            BatchStore store,
+            BatchRegistry registry,
+            BatchRoutes routes,
+            Consumer<String> onLost) {
         this.context = context;
         this.store = store;
         this.writer = new RecordWriter(context, store);
-        this.board = board;
+        this.registry = registry;
         this.routes = routes;
         this.onLost = onLost;
     }
@@ -49,7 +53,7 @@
     void tick(boolean stopping) {
         List<OwnedBatch> idle = new ArrayList<>();
         boolean due = false;
-        for (OwnedBatch batch : board.batches()) {
+        for (OwnedBatch batch : registry.batches()) {
             if (writesInFlight.contains(batch.id()) || batch.isFinished() || !batch.isRecorded()) {
                 continue;
             }
@@ -100,7 +104,7 @@
      * Handles a listed revision of an owned batch that is later than the one this host wrote: another process ended the
      * batch or took it over. A write of this host that is in flight detects the change itself.
      */
-    void changedElsewhere(BatchStore.Stored found) {
+    void onRecordChanged(BatchStore.Stored found) {
         if (!writesInFlight.contains(found.id())) {
             onOwnershipLost(found.id(), Optional.of(found));
         }
@@ -145,7 +149,7 @@
             return;
         }
         context.onLoop(store.read(id), (found, failure) -> {
-            Optional<OwnedBatch> owned = board.find(id);
+            Optional<OwnedBatch> owned = registry.find(id);
             if (failure != null || owned.isEmpty()) {
                 return;
             }
@@ -178,7 +182,7 @@
 
     private void onCommitted(BatchStore.Commit commit, long revision) {
         writesInFlight.remove(commit.id());
-        board.find(commit.id()).ifPresent(batch -> {
+        registry.find(commit.id()).ifPresent(batch -> {
             batch.commitSucceeded(commit.record(), revision);
             context.timeline()
                     .event(EventKind.BATCH_COMMITTED)
@@ -187,7 +191,7 @@
                     .with("items", commit.record().items())
                     .with("leftMillis", leftMillis(batch).orElse(0))
                     .write();
-            board.notifyWaiters(commit.id());
+            registry.notifyWaiters(commit.id());
             if (endReceivers.containsKey(commit.id())) {
                 writeEndedRecord(batch);
             }
@@ -220,7 +224,7 @@
         writesInFlight.remove(batch.id());
         batch.recordChanged(ended, revision);
         context.timeline().event(EventKind.BATCH_ENDED).job(batch.id()).write();
-        board.notifyWaiters(batch.id());
+        registry.notifyWaiters(batch.id());
         notifyEndReceivers(batch.id(), true);
     }
 
@@ -234,7 +238,7 @@
                 .with("owner", found.map(stored -> stored.record().owner()).orElse(""))
                 .write();
         saveTiming.resetDelays(id);
-        board.remove(id);
+        registry.remove(id);
         onLost.accept(id);
         notifyEndReceivers(id, ended);
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnding.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
@@ -21,7 +21,7 @@
  * whenever it can be found: an owner that learns of the end later than the caller starts items in between whose results
  * nobody reads.
  */
-final class BatchEnding {
+final class BatchEnder {
     private static final int OK = 200;
     private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
@@ -37,42 +37,42 @@
     private static final long NOTIFY_OWNER_INTERVAL_MILLIS = 200;
 
     private final GatewayContext context;
-    private final BatchReplies replies;
+    private final BatchRefusals refusals;
     private final PeerLinks links;
-    private final BatchBoard board;
+    private final BatchRegistry registry;
     private final BatchStore store;
     private final BatchCommitter committer;
     private final BatchRunner runner;
-    private final StoredResults stored;
+    private final StoredBatchReader storedBatchReader;
 
-    BatchEnding(
+    BatchEnder(
             GatewayContext context,
-            BatchReplies replies,
+            BatchRefusals refusals,
             PeerLinks links,
-            BatchBoard board,
+            BatchRegistry registry,
             BatchStore store,
             BatchCommitter committer,
             BatchRunner runner,
-            StoredResults stored) {
+            StoredBatchReader storedBatchReader) {
         this.context = context;
-        this.replies = replies;
+        this.refusals = refusals;
         this.links = links;
-        this.board = board;
+        this.registry = registry;
         this.store = store;
         this.committer = committer;
         this.runner = runner;
-        this.stored = stored;
+        this.storedBatchReader = storedBatchReader;
     }
 
     /** Ends a batch, whichever host owns it. */
     void end(HttpCall call, String id) {
-        if (board.find(id).isPresent()) {
+        if (registry.find(id).isPresent()) {
             EndReply reply = new EndReply(call, id);
-            endOwn(id, reply::send);
+            endOwned(id, reply::send);
             context.loop().after(END_TIMEOUT_MILLIS, () -> reply.send(false));
             return;
         }
-        Optional<Host> owner = board.owner(id).flatMap(links::find);
+        Optional<Host> owner = registry.owner(id).flatMap(links::find);
         if (owner.isPresent()) {
             endAtOwner(id, owner.get(), () -> confirm(call), () -> endStored(call, id, owner));
         } else {
@@ -81,8 +81,8 @@
     }
 
     /** Ends a batch if this host owns it; the receiver gets whether its record is marked as ended. */
-    void endOwn(String id, Consumer<Boolean> receiver) {
-        Optional<OwnedBatch> batch = board.find(id);
+    void endOwned(String id, Consumer<Boolean> receiver) {
+        Optional<OwnedBatch> batch = registry.find(id);
         if (batch.isEmpty()) {
             receiver.accept(false);
             return;
@@ -110,9 +110,9 @@
     private void endStored(HttpCall call, String id, Optional<Host> asked) {
         context.onLoop(store.read(id), (found, failure) -> {
             if (failure != null) {
-                replies.unavailable(call, id, true);
+                refusals.unavailable(call, id, true);
             } else if (found.isEmpty()) {
-                replies.refuse(call, id, Refusal.notRun(ErrorCode.NOT_FOUND, "there is no such batch"));
+                refusals.refuse(call, id, Refusal.notRun(ErrorCode.NOT_FOUND, "there is no such batch"));
             } else if (found.get().record().isFinished()) {
                 confirm(call);
             } else {
@@ -150,12 +150,12 @@
         BatchRecord ended = found.record().asEnded();
         context.onLoop(store.replace(found.id(), found.revision(), ended), (result, failure) -> {
             if (failure == null && result.succeeded()) {
-                stored.evict(found.id());
+                storedBatchReader.evict(found.id());
                 confirm(call);
                 notifyOwner(found, NOTIFY_OWNER_ATTEMPTS);
             } else {
                 // The owner committed in the meantime, or the answer was lost: the caller has to try again.
-                replies.unavailable(call, found.id(), true);
+                refusals.unavailable(call, found.id(), true);
             }
         });
     }
@@ -205,7 +205,7 @@
             if (ended) {
                 confirm(call);
             } else {
-                replies.unavailable(call, id, true);
+                refusals.unavailable(call, id, true);
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
@@ -26,14 +26,14 @@
 
     private final GatewayContext context;
     private final PeerLinks links;
-    private final BatchBoard board;
+    private final BatchRegistry registry;
     private final BatchCommitter committer;
     private final Set<String> offered = new HashSet<>();
 
-    BatchHandOver(GatewayContext context, PeerLinks links, BatchBoard board, BatchCommitter committer) {
+    BatchHandOver(GatewayContext context, PeerLinks links, BatchRegistry registry, BatchCommitter committer) {
         this.context = context;
         this.links = links;
-        this.board = board;
+        this.registry = registry;
         this.committer = committer;
     }
 
@@ -41,8 +41,8 @@
      * Offers each open batch that is recorded, has no write in flight and no uncommitted results. Called repeatedly
      * until the host has ended.
      */
-    void advance() {
-        for (OwnedBatch batch : board.batches()) {
+    void offerBatches() {
+        for (OwnedBatch batch : registry.batches()) {
             boolean settled = batch.isRecorded() && !committer.hasWriteInFlight(batch.id()) && !batch.hasUncommitted();
             if (!batch.isFinished() && settled && !offered.contains(batch.id())) {
                 offer(batch);
@@ -51,13 +51,13 @@
     }
 
     /** Returns how many open batches this host still has. */
-    int left() {
+    int openBatchCount() {
         return (int)
-                board.batches().stream().filter(batch -> !batch.isFinished()).count();
+                registry.batches().stream().filter(batch -> !batch.isFinished()).count();
     }
 
     private void offer(OwnedBatch batch) {
-        List<Host> candidates = new ArrayList<>(links.staying());
+        List<Host> candidates = new ArrayList<>(links.activeGateways());
         Optional<Host> chosen =
                 Ownership.rank("batch/" + batch.id(), candidates).stream().findFirst();
         if (chosen.isEmpty()) {
@@ -79,8 +79,8 @@
                 context.loop().after(OFFER_RETRY_MILLIS, () -> offered.remove(batch.id()));
             }
             if (taken) {
-                board.remove(batch.id());
-                board.ownedBy(batch.id(), chosen.get().id());
+                registry.remove(batch.id());
+                registry.setOwner(batch.id(), chosen.get().id());
             }
         });
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchReplies.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRefusals.java
@@ -8,13 +8,13 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /** Sends refusals of calls about request batches. Thread-safe. */
-final class BatchReplies {
+final class BatchRefusals {
     private static final long RETRY_AFTER_MILLIS = 1000;
 
     private final GatewayContext context;
     private final GatewayTraffic traffic;
 
-    BatchReplies(GatewayContext context, GatewayTraffic traffic) {
+    BatchRefusals(GatewayContext context, GatewayTraffic traffic) {
         this.context = context;
         this.traffic = traffic;
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchBoard.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRegistry.java
@@ -19,7 +19,7 @@
  * <p>Invariant: an owned batch has exactly one entry from {@link #add} to {@link #remove}. A second copy would list
  * again the results that the first copy has committed.
  */
-final class BatchBoard {
+final class BatchRegistry {
     /**
      * How long a finished batch stays in memory. Callers poll twice a second until they have all results; a result
      * takes several kilobytes, and a host owns many batches a day.
@@ -51,7 +51,7 @@
     }
 
     /** Returns whether this host owns the batch and last wrote its record at a later revision than the given one. */
-    boolean hasWritten(String id, long revision) {
+    boolean hasWrittenAfter(String id, long revision) {
         return find(id).filter(batch -> batch.recordRevision() > revision).isPresent();
     }
 
@@ -85,7 +85,7 @@
         finishedSinceNanos.keySet().retainAll(owned.keySet());
     }
 
-    void ownedBy(String id, HostId host) {
+    void setOwner(String id, HostId host) {
         if (!owned.containsKey(id)) {
             owners.put(id, host);
         }
--- a/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
@@ -23,7 +23,7 @@
     private static final long MISSING_ROUTE_RETENTION_MILLIS = 20_000;
 
     private final GatewayContext context;
-    private final BatchBoard board;
+    private final BatchRegistry registry;
     private final BatchRoutes routes;
     private final ItemDispatch dispatch;
     private final Runnable onLoadChange;
@@ -32,23 +32,23 @@
 
     BatchRunner(
             GatewayContext context,
-            BatchBoard board,
+            BatchRegistry registry,
             BatchRoutes routes,
             ItemDispatch dispatch,
             Runnable onLoadChange) {
         this.context = context;
-        this.board = board;
+        this.registry = registry;
         this.routes = routes;
         this.dispatch = dispatch;
         this.onLoadChange = onLoadChange;
     }
 
     /** Stops starting items, because the host is stopping. */
-    void pause() {
+    void stopStarting() {
         stopping = true;
     }
 
-    int running() {
+    int runningItems() {
         return dispatch.runningCount();
     }
 
@@ -56,17 +56,17 @@
      * Adjusts the running items to the current state: items yield where too much is in flight, others start where slots
      * are free.
      */
-    void balance() {
+    void schedule() {
         giveUpExpired();
         cancelRuns(dispatch.chooseRunsToYield(context.nowNanos(), System.currentTimeMillis()));
         if (!stopping) {
-            dispatch.startRuns(board.openBatches(), context.nowNanos(), System.currentTimeMillis())
+            dispatch.startRuns(registry.openBatches(), context.nowNanos(), System.currentTimeMillis())
                     .forEach(this::start);
         }
     }
 
     /** Processes the output that the running items have generated since the last call. */
-    void takeEvents() {
+    void processQueuedEvents() {
         runs.values().forEach(ItemRun::processQueuedEvents);
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** Cancels all runs. */
-    void stopAll() {
+    void cancelAllRuns() {
         cancelRuns(dispatch.allRuns());
     }
 
@@ -130,7 +130,7 @@
      */
     private void giveUpExpired() {
         long nowMillis = System.currentTimeMillis();
-        for (OwnedBatch batch : board.openBatches()) {
+        for (OwnedBatch batch : registry.openBatches()) {
             Optional<Route> route = routes.of(batch);
             long ageMillis = nowMillis - batch.record().acceptedAtMillis();
             boolean tooOld = route.map(found -> found.retentionMillis() > 0 && ageMillis > found.retentionMillis())
--- a/src/main/java/org/gooseberryhill/gateway/BatchIntake.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchSubmissionHandler.java
@@ -27,7 +27,7 @@
  * <p>Invariant: a submission is confirmed only after its record and items are in the key-value store or on enough
  * disks; a refusal that promises not-run is given only if they are certainly stored nowhere and never will be.
  */
-final class BatchIntake {
+final class BatchSubmissionHandler {
     private static final int ACCEPTED = 202;
     private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
@@ -37,27 +37,27 @@
     private static final long SUBMIT_TIMEOUT_MILLIS = 2500;
 
     private final GatewayContext context;
-    private final BatchReplies replies;
+    private final BatchRefusals refusals;
     private final PeerLinks links;
-    private final BatchBoard board;
+    private final BatchRegistry registry;
     private final BatchStore store;
     private final RecordWriter writer;
     private final BatchCommitter committer;
     private final BatchRunner runner;
     private final SubmissionCopies copies;
 
-    BatchIntake(
+    BatchSubmissionHandler(
             GatewayContext context,
-            BatchReplies replies,
+            BatchRefusals refusals,
             PeerLinks links,
-            BatchBoard board,
+            BatchRegistry registry,
             BatchStore store,
             BatchCommitter committer,
             BatchRunner runner) {
         this.context = context;
-        this.replies = replies;
+        this.refusals = refusals;
         this.links = links;
-        this.board = board;
+        this.registry = registry;
         this.store = store;
         this.writer = new RecordWriter(context, store);
         this.committer = committer;
@@ -68,9 +68,9 @@
     /** Accepts or refuses a submitted batch. Callable from any thread. */
     void submit(HttpCall call, String id, Route route, byte[] body, long arrivedNanos) {
         Either<List<String>, List<BatchItem>> items =
-                context.dialects().batches().items(body);
+                context.dialects().batches().parseItems(body);
         if (items.isLeft()) {
-            replies.refuse(call, id, Refusal.notRun(ErrorCode.INVALID_REQUEST, String.join("; ", items.getLeft())));
+            refusals.refuse(call, id, Refusal.notRun(ErrorCode.INVALID_REQUEST, String.join("; ", items.getLeft())));
             return;
         }
         String host = call.headers().get(HttpHeaderNames.HOST, "");
@@ -92,12 +92,12 @@
     }
 
     private void create(Submission submission) {
-        if (board.find(submission.id).isPresent()) {
+        if (registry.find(submission.id).isPresent()) {
             confirm(submission);
             return;
         }
         if (!context.stop().acceptsRequest(SUBMIT_TIMEOUT_MILLIS, context.nowNanos())) {
-            replies.refuse(submission.call, submission.id, GatewayTraffic.STOPPING);
+            refusals.refuse(submission.call, submission.id, GatewayTraffic.STOPPING_REFUSAL);
             return;
         }
         RecordWriter.PendingWrite pending = writer.write(
@@ -122,7 +122,7 @@
     }
 
     private void onRecorded(Submission submission, long revision) {
-        Optional<OwnedBatch> accepted = board.find(submission.id);
+        Optional<OwnedBatch> accepted = registry.find(submission.id);
         dropCopies(submission);
         if (accepted.isPresent()) {
             committer.onRecordCreated(accepted.get(), submission.record, revision);
@@ -132,7 +132,7 @@
         if (submission.acceptance.recorded()) {
             confirm(submission);
         }
-        runner.balance();
+        runner.schedule();
     }
 
     /** Requests copies on the disks of other hosts, which replace the record until the key-value store answers. */
@@ -146,7 +146,7 @@
         if (submission.acceptance.copyStored()) {
             takeOwnership(submission, submission.record, 0);
             confirm(submission);
-            runner.balance();
+            runner.schedule();
         }
     }
 
@@ -162,24 +162,24 @@
         }
         Outcome outcome = submission.acceptance.giveUp(pending.abandon());
         dropCopies(submission);
-        replies.unavailable(submission.call, submission.id, outcome == Outcome.MAY_HAVE_RUN);
+        refusals.unavailable(submission.call, submission.id, outcome == Outcome.MAY_HAVE_RUN);
     }
 
     private void onIdTaken(Submission submission, Optional<BatchStore.Stored> found) {
         dropCopies(submission);
-        Optional<OwnedBatch> accepted = board.find(submission.id).filter(batch -> !batch.isRecorded());
+        Optional<OwnedBatch> accepted = registry.find(submission.id).filter(batch -> !batch.isRecorded());
         if (accepted.isPresent()) {
             onRecordedByAnother(accepted.get(), found);
             return;
         }
         boolean answerDue = submission.acceptance.recorded();
         if (found.isEmpty()) {
-            replies.unavailable(submission.call, submission.id, true);
+            refusals.unavailable(submission.call, submission.id, true);
             return;
         }
         BatchRecord existing = found.get().record();
         if (!existing.bodyHash().equals(submission.record.bodyHash())) {
-            replies.refuse(
+            refusals.refuse(
                     submission.call,
                     submission.id,
                     Refusal.notRun(ErrorCode.CONFLICT, "another batch was accepted under this id"));
@@ -188,7 +188,7 @@
         boolean hasNoResults = !existing.isFinished() && existing.listed() == 0;
         if (isOwnedByThisProcess(existing)
                 && hasNoResults
-                && board.find(submission.id).isEmpty()) {
+                && registry.find(submission.id).isEmpty()) {
             // An earlier submission of the same body through this process was given up, but its creation took effect
             // later. A batch that has results already is found by the next scan of the records instead.
             takeOwnership(submission, existing, found.get().revision());
@@ -217,10 +217,10 @@
     }
 
     private void takeOwnership(Submission submission, BatchRecord record, long revision) {
-        if (!board.add(new OwnedBatch(submission.id, record, revision, submission.items, List.of()))) {
+        if (!registry.add(new OwnedBatch(submission.id, record, revision, submission.items, List.of()))) {
             return;
         }
-        links.tellAll(new GatewayMessage.BatchNotice(submission.id));
+        links.broadcast(new GatewayMessage.BatchNotice(submission.id));
         context.timeline()
                 .event(EventKind.BATCH_ACCEPTED)
                 .job(submission.id)
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -31,13 +31,13 @@
 
     private final GatewayContext context;
     private final PeerLinks links;
-    private final BatchBoard board;
+    private final BatchRegistry registry;
     private final BatchStore store;
     private final RecordWriter writer;
     private final OwnerFailureDetector failureDetector;
     private final Runnable onTaken;
     private final Consumer<BatchStore.Stored> onChangedElsewhere;
-    private final Consumer<List<BatchStore.Stored>> onRecordsListed;
+    private final Consumer<List<BatchStore.Stored>> onListed;
     private final Set<String> takeoversInProgress = new HashSet<>();
     private boolean scanning;
     private boolean rescanScheduled;
@@ -45,32 +45,32 @@
     BatchTakeover(
             GatewayContext context,
             PeerLinks links,
-            BatchBoard board,
+            BatchRegistry registry,
             BatchStore store,
             Runnable onTaken,
             Consumer<BatchStore.Stored> onChangedElsewhere,
-            Consumer<List<BatchStore.Stored>> onRecordsListed) {
+            Consumer<List<BatchStore.Stored>> onListed) {
         this.context = context;
         this.links = links;
-        this.board = board;
+        this.registry = registry;
         this.store = store;
         this.writer = new RecordWriter(context, store);
         this.failureDetector =
                 new OwnerFailureDetector(context.settings().self().id().value());
         this.onTaken = onTaken;
         this.onChangedElsewhere = onChangedElsewhere;
-        this.onRecordsListed = onRecordsListed;
+        this.onListed = onListed;
     }
 
     /** Updates the set of live hosts, and scans the records as soon as one of them is lost. Called often. */
     void tick() {
-        if (failureDetector.updateLiveProcesses(links.liveStarts(), context.nowNanos())) {
-            look(true);
+        if (failureDetector.updateLiveProcesses(links.liveProcessStarts(), context.nowNanos())) {
+            scanRecords(true);
         }
     }
 
     /** Scans the records; only one scan runs at a time. */
-    void look(boolean mayBeStale) {
+    void scanRecords(boolean mayBeStale) {
         if (scanning) {
             return;
         }
@@ -79,7 +79,7 @@
             scanning = false;
             if (failure == null) {
                 records.forEach(this::checkOwner);
-                onRecordsListed.accept(records);
+                onListed.accept(records);
             }
         });
     }
@@ -93,13 +93,13 @@
      */
     void takeOver(GatewayMessage.BatchHandOver handOver, Consumer<Boolean> then) {
         BatchStore.Stored offered = new BatchStore.Stored(handOver.batch(), handOver.record(), handOver.revision());
-        if (board.hasWritten(offered.id(), offered.revision())) {
+        if (registry.hasWrittenAfter(offered.id(), offered.revision())) {
             then.accept(true);
             return;
         }
         dropIfChangedElsewhere(offered);
         boolean mayTake = context.stop().phase() == PlannedStop.Phase.SERVING
-                && board.find(offered.id()).isEmpty();
+                && registry.find(offered.id()).isEmpty();
         if (!mayTake || !takeoversInProgress.add(offered.id())) {
             then.accept(false);
             return;
@@ -112,7 +112,7 @@
      * creation by this host is still in progress and detects the change itself.
      */
     private void dropIfChangedElsewhere(BatchStore.Stored found) {
-        board.find(found.id())
+        registry.find(found.id())
                 .filter(owned -> owned.isRecorded() && found.revision() > owned.recordRevision())
                 .ifPresent(owned -> onChangedElsewhere.accept(found));
     }
@@ -120,7 +120,7 @@
     private void checkOwner(BatchStore.Stored found) {
         BatchRecord record = found.record();
         dropIfChangedElsewhere(found);
-        if (record.isFinished() || board.find(found.id()).isPresent() || takeoversInProgress.contains(found.id())) {
+        if (record.isFinished() || registry.find(found.id()).isPresent() || takeoversInProgress.contains(found.id())) {
             return;
         }
         if (isOwnedByThisProcess(record)) {
@@ -128,13 +128,13 @@
             return;
         }
         if (!failureDetector.isLost(record.owner(), record.ownerStart(), context.nowNanos())) {
-            board.ownedBy(found.id(), new HostId(record.owner()));
+            registry.setOwner(found.id(), new HostId(record.owner()));
             rescanIfOwnerMissing(record);
             return;
         }
         boolean ownedByEarlierProcess =
                 record.owner().equals(context.settings().self().id().value());
-        if (ownedByEarlierProcess || links.isChosen("batch/" + found.id())) {
+        if (ownedByEarlierProcess || links.isResponsibleFor("batch/" + found.id())) {
             takeoversInProgress.add(found.id());
             claim(found, Optional.empty(), taken -> {});
         }
@@ -147,7 +147,7 @@
         rescanScheduled = true;
         context.loop().after(MISSING_OWNER_RESCAN_MILLIS, () -> {
             rescanScheduled = false;
-            look(true);
+            scanRecords(true);
         });
     }
 
@@ -167,7 +167,7 @@
                     && found.isPresent()
                     && isOwnedByThisProcess(found.get().record())
                     && !found.get().record().isFinished()
-                    && board.find(id).isEmpty();
+                    && registry.find(id).isEmpty();
             if (own) {
                 load(found.get(), Optional.empty());
             } else {
@@ -227,7 +227,7 @@
 
     private void onLoaded(BatchStore.Stored taken, LoadedBatch loaded) {
         takeoversInProgress.remove(taken.id());
-        if (!board.add(loaded.batch)) {
+        if (!registry.add(loaded.batch)) {
             // The caller has submitted the batch again in the meantime.
             return;
         }
@@ -238,7 +238,7 @@
                 .with("items", taken.record().items())
                 .with("begun", loaded.progress.size())
                 .write();
-        links.tellAll(new GatewayMessage.BatchNotice(taken.id()));
+        links.broadcast(new GatewayMessage.BatchNotice(taken.id()));
         onTaken.run();
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
+++ b/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
@@ -42,7 +42,7 @@
                 .with("fingerprint", request.value())
                 .with("verdict", suspects.verdict(request, context.nowNanos()))
                 .write();
-        links.tellAll(new PeerMessage.CrashNotice(endpoint, List.of(request.value())));
+        links.broadcast(new PeerMessage.CrashNotice(endpoint, List.of(request.value())));
     }
 
     /** Clears a request that got its complete answer, since it crashes no endpoint, and notifies the other gateways. */
@@ -53,7 +53,7 @@
         Fingerprint request = intake.fingerprint();
         if (suspects.verdict(request, context.nowNanos()) != Verdict.CLEAR) {
             suspects.clear(request);
-            links.tellAll(new PeerMessage.SuspectRelease(intake.service(), request.value(), true));
+            links.broadcast(new PeerMessage.SuspectRelease(intake.service(), request.value(), true));
         }
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/Evacuations.java
+++ b/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
@@ -18,7 +18,7 @@
  * first two gateways by rank do this, the second in case the first is lost in the meantime; reporting twice changes
  * nothing.
  */
-final class Evacuations {
+final class EvacuationReporter {
     private static final int REPORTING_GATEWAYS = 2;
 
     /** Delay of the second gateway: by then the first one has reported, or is lost. */
@@ -33,7 +33,7 @@
     private final PeerLinks links;
     private final Set<String> handledRequests = new HashSet<>();
 
-    Evacuations(GatewayContext context, PeerLinks links) {
+    EvacuationReporter(GatewayContext context, PeerLinks links) {
         this.context = context;
         this.links = links;
     }
@@ -43,7 +43,7 @@
      *
      * @param rank the position of this gateway among the live ones
      */
-    void asked(String host, long revision, int rank) {
+    void evacuationRequested(String host, long revision, int rank) {
         if (rank < REPORTING_GATEWAYS && handledRequests.add(host + "@" + revision)) {
             context.loop()
                     .after(
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
@@ -12,11 +12,11 @@
     private final LoadExchange load;
     private final GatewayViews views;
     private final CrashTracking crashes;
-    private final BatchBoard board;
-    private final BatchDesk desk;
-    private final BatchEnding ending;
+    private final BatchRegistry registry;
+    private final BatchApiHandler batchApiHandler;
+    private final BatchEnder ender;
     private final BatchTakeover takeover;
-    private final RelayedStore store;
+    private final RelayingKeyValueStore store;
 
     /** Creates a handler that dispatches messages to the given objects. */
     GatewayMessageHandler(
@@ -24,18 +24,18 @@
             LoadExchange load,
             GatewayViews views,
             CrashTracking crashes,
-            BatchBoard board,
-            BatchDesk desk,
-            BatchEnding ending,
+            BatchRegistry registry,
+            BatchApiHandler batchApiHandler,
+            BatchEnder ender,
             BatchTakeover takeover,
-            RelayedStore store) {
+            RelayingKeyValueStore store) {
         this.context = context;
         this.load = load;
         this.views = views;
         this.crashes = crashes;
-        this.board = board;
-        this.desk = desk;
-        this.ending = ending;
+        this.registry = registry;
+        this.batchApiHandler = batchApiHandler;
+        this.ender = ender;
         this.takeover = takeover;
         this.store = store;
     }
@@ -57,26 +57,27 @@
         } else if (message instanceof PeerMessage.SuspectRelease release) {
             crashes.onSuspectRelease(release);
         } else if (message instanceof GatewayMessage.BatchNotice notice) {
-            board.ownedBy(notice.batch(), from);
+            registry.setOwner(notice.batch(), from);
         } else if (message instanceof GatewayMessage.ResultsAsk request) {
-            desk.ownResults(
+            batchApiHandler.readOwnedResults(
                     request.batch(),
                     request.after(),
                     request.waitMillis(),
                     page -> reply.complete(new GatewayMessage.Results(page)));
             return;
         } else if (message instanceof GatewayMessage.ItemBodyAsk request) {
-            boolean owned = board.find(request.batch()).isPresent();
-            reply.complete(new GatewayMessage.ItemBody(owned, desk.ownItem(request.batch(), request.item())));
+            boolean owned = registry.find(request.batch()).isPresent();
+            reply.complete(new GatewayMessage.ItemBody(
+                    owned, batchApiHandler.findOwnedItemBody(request.batch(), request.item())));
             return;
         } else if (message instanceof GatewayMessage.BatchEndAsk request) {
-            ending.endOwn(request.batch(), ended -> reply.complete(new GatewayMessage.BatchEnded(ended)));
+            ender.endOwned(request.batch(), ended -> reply.complete(new GatewayMessage.BatchEnded(ended)));
             return;
         } else if (message instanceof GatewayMessage.BatchHandOver handedOver) {
             takeover.takeOver(handedOver, taken -> reply.complete(new GatewayMessage.BatchEnded(taken)));
             return;
         } else if (message instanceof GatewayMessage.StoreCall call) {
-            store.serve(call).thenAccept(reply::complete);
+            store.callForPeer(call).thenAccept(reply::complete);
             return;
         } else if (message instanceof GatewayMessage.ViewAsk request) {
             reply.complete(views.listing(request.prefix())
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -34,7 +34,7 @@
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.peer.PeerServer;
 import org.gooseberryhill.registration.HostRegistration;
-import org.gooseberryhill.registration.ProcessStarts;
+import org.gooseberryhill.registration.ProcessStartIds;
 import org.gooseberryhill.route.ClientLimits;
 import org.gooseberryhill.route.RouteConfiguration;
 import org.gooseberryhill.route.RouteTable;
@@ -84,11 +84,11 @@
     private volatile GatewaySettings settings;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(TRAFFIC_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
-    private final StoreReach storeReachability = new StoreReach();
-    private final RelayedStore store;
+    private final StoreReachability storeReachability = new StoreReachability();
+    private final RelayingKeyValueStore store;
     private final GatewayContext context;
     private final PeerLinks links;
-    private final StoreHelpers helpers;
+    private final StoreRelayClient relayClient;
     private final LoadExchange load;
     private final CrashTracking crashes;
     private final GatewayTraffic traffic;
@@ -96,11 +96,11 @@
     private final HostRegistration registration;
     private final EndpointProbes probes;
     private final GatewayViews views;
-    private final BatchBoard board = new BatchBoard();
+    private final BatchRegistry registry = new BatchRegistry();
     private final BatchRoutes batchRoutes = new BatchRoutes();
     private final BatchRunner runner;
     private final BatchCommitter committer;
-    private final BatchDesk desk;
+    private final BatchApiHandler batchApiHandler;
     private final BatchTakeover takeover;
     private final BatchHandOver handOver;
     private final GatewayMessageHandler messages;
@@ -124,13 +124,13 @@
         HostId self = settings.self().id();
         HttpClient http = new HttpClient(group);
         Fleet fleet = new Fleet(http::hasKept);
-        this.store = new RelayedStore(
+        this.store = new RelayingKeyValueStore(
                 storeFactory.create(http), storeReachability, this::relayStoreCall, this::storeReachabilityChanged);
         CrashSuspects suspects = new CrashSuspects(SUSPECT_RETENTION_MILLIS, MAX_SUSPECTS);
         DispatchPolicies policies = DispatchPolicies.defaults(random);
         this.context = new GatewayContext(
                 () -> this.settings,
-                ProcessStarts.next(),
+                ProcessStartIds.next(),
                 new ControlLoop(self.value()),
                 http,
                 new PeerClient(group, self, clock),
@@ -142,7 +142,7 @@
                 new Timeline(self.value(), clock, log),
                 new GatewayMetrics());
         this.links = new PeerLinks(context);
-        this.helpers = new StoreHelpers(context, links, random);
+        this.relayClient = new StoreRelayClient(context, links, random);
         this.load = new LoadExchange(context, links, storeReachability);
         this.crashes = new CrashTracking(context, links, suspects);
         this.traffic = new GatewayTraffic(context, crashes, this::loadChanged, this::directoryAgeMillis);
@@ -154,24 +154,27 @@
         this.probes = new EndpointProbes(context);
         BatchStore batchStore = new BatchStore(context.store(), dialects.batches());
         ItemDispatch items = new ItemDispatch(self, fleet, batchRoutes, new FeasibleFirstOrder(), policies.items());
-        this.runner = new BatchRunner(context, board, batchRoutes, items, this::loadChanged);
-        this.committer = new BatchCommitter(context, batchStore, board, batchRoutes, runner::stop);
-        BatchReplies replies = new BatchReplies(context, traffic);
-        StoredResults stored = new StoredResults(context, batchStore);
-        BatchEnding ending = new BatchEnding(context, replies, links, board, batchStore, committer, runner, stored);
-        this.desk = new BatchDesk(context, replies, links, board, stored, ending);
-        BatchIntake intake = new BatchIntake(context, replies, links, board, batchStore, committer, runner);
-        BatchCleanup cleanup = new BatchCleanup(context, links, board, batchStore);
+        this.runner = new BatchRunner(context, registry, batchRoutes, items, this::loadChanged);
+        this.committer = new BatchCommitter(context, batchStore, registry, batchRoutes, runner::stop);
+        BatchRefusals refusals = new BatchRefusals(context, traffic);
+        StoredBatchReader storedBatchReader = new StoredBatchReader(context, batchStore);
+        BatchEnder ender =
+                new BatchEnder(context, refusals, links, registry, batchStore, committer, runner, storedBatchReader);
+        this.batchApiHandler = new BatchApiHandler(context, refusals, links, registry, storedBatchReader, ender);
+        BatchSubmissionHandler submissionHandler =
+                new BatchSubmissionHandler(context, refusals, links, registry, batchStore, committer, runner);
+        BatchCleanup cleanup = new BatchCleanup(context, links, registry, batchStore);
         this.takeover = new BatchTakeover(
-                context, links, board, batchStore, runner::balance, committer::changedElsewhere, cleanup::looked);
-        this.handOver = new BatchHandOver(context, links, board, committer);
+                context, links, registry, batchStore, runner::schedule, committer::onRecordChanged, cleanup::onListed);
+        this.handOver = new BatchHandOver(context, links, registry, committer);
         this.views = new GatewayViews(context, links, this::configure, this::endpointsChanged);
         StartGate gate = new StartGate(context.nowNanos());
         this.readiness = new Readiness(context, gate);
         this.stop = new StopSequence(
                 context, traffic, runner, handOver, registration, this::callersServer, this::stopRequested);
-        this.messages = new GatewayMessageHandler(context, load, views, crashes, board, desk, ending, takeover, store);
-        this.requestRouter = new RequestRouter(context, traffic, intake, desk, gate, random);
+        this.messages = new GatewayMessageHandler(
+                context, load, views, crashes, registry, batchApiHandler, ender, takeover, store);
+        this.requestRouter = new RequestRouter(context, traffic, submissionHandler, batchApiHandler, gate, random);
     }
 
     /** Starts serving at the addresses in the settings. */
@@ -228,9 +231,9 @@
     }
 
     /** Requests the planned stop, whose time limit starts now; may be called from any thread and repeatedly. */
-    public void askStop() {
+    public void requestStop() {
         long askedNanos = context.nowNanos();
-        context.loop().execute(() -> stop.ask(askedNanos));
+        context.loop().execute(() -> stop.requestStop(askedNanos));
     }
 
     /** Returns a future that completes when the planned stop is over. */
@@ -262,8 +265,8 @@
     private void startMetrics(Address address) {
         GatewayMetrics metrics = context.metrics();
         metrics.gauge("gooseberry_requests_in_progress", "Routed requests in progress", traffic::inProgress);
-        metrics.gauge("gooseberry_items_in_progress", "Items of request batches that run", runner::running);
-        metrics.gauge("gooseberry_batches_open", "Request batches that this host runs", handOver::left);
+        metrics.gauge("gooseberry_items_in_progress", "Items of request batches that run", runner::runningItems);
+        metrics.gauge("gooseberry_batches_open", "Request batches that this host runs", handOver::openBatchCount);
         metrics.gauge("gooseberry_store_calls", "Calls of the key-value store", () -> store.calls());
         metrics.gauge(
                 "gooseberry_connects", "Connections made", () -> context.http().connects());
@@ -283,9 +286,9 @@
         context.loop().every(HEARTBEAT_PERIOD_MILLIS, load::sendHeartbeat);
         context.loop().every(HEARTBEAT_PERIOD_MILLIS, trafficDelayDetector::measure);
         context.loop().every(LOG_FLUSH_PERIOD_MILLIS, log::flush);
-        context.loop().every(RECORD_SCAN_PERIOD_MILLIS, () -> takeover.look(true));
+        context.loop().every(RECORD_SCAN_PERIOD_MILLIS, () -> takeover.scanRecords(true));
         // Batches that an earlier process of this host owned can be taken over without waiting for other hosts.
-        takeover.look(false);
+        takeover.scanRecords(false);
     }
 
     private void tick() {
@@ -298,8 +301,8 @@
                         .with("suspendedMillis", delay.suspendedMillis())
                         .write());
         views.tick();
-        runner.takeEvents();
-        runner.balance();
+        runner.processQueuedEvents();
+        runner.schedule();
         committer.tick(!context.stop().acceptsAllRequests());
         updateReadiness();
     }
@@ -328,7 +331,7 @@
 
     private void endpointsChanged() {
         updateReadiness();
-        runner.balance();
+        runner.schedule();
     }
 
     private void configure(RouteConfiguration configuration) {
@@ -345,7 +348,7 @@
                 .with("routes", configuration.routes().size())
                 .write();
         updateReadiness();
-        runner.balance();
+        runner.schedule();
     }
 
     /** Logs that the store was lost or regained; may be called from any thread. */
@@ -358,7 +361,7 @@
 
     /** Asks another host to call the store; may be called from any thread. */
     private CompletableFuture<PeerMessage> relayStoreCall(GatewayMessage.StoreCall call, long timeoutMillis) {
-        return helpers.ask(call, timeoutMillis);
+        return relayClient.relay(call, timeoutMillis);
     }
 
     private long directoryAgeMillis() {
--- a/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
@@ -16,7 +16,7 @@
     private static final long STOPPING_RETRY_AFTER_MILLIS = 10;
 
     /** Refusal of a request that arrives so late in a stop that it might be cut off. */
-    static final Refusal STOPPING =
+    static final Refusal STOPPING_REFUSAL =
             Refusal.notRun(ErrorCode.STOPPING, "this host is about to end", STOPPING_RETRY_AFTER_MILLIS);
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -97,7 +97,7 @@
                                 .put("outcome", refusal.outcome().wireName())
                                 .put("message", refusal.message())
                                 .put("request_id", requestId)));
-        int status = context.dialects().traffic().status(refusal);
+        int status = context.dialects().traffic().statusOf(refusal);
         call.reply(status, headers, error.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -40,7 +40,7 @@
     private final PeerLinks links;
     private final Consumer<RouteConfiguration> onConfiguration;
     private final Runnable onEndpoints;
-    private final Evacuations evacuations;
+    private final EvacuationReporter evacuationReporter;
     private final ViewUpdater registrations;
     private final ViewUpdater operators;
     private final ViewUpdater hosts;
@@ -59,7 +59,7 @@
         this.onConfiguration = onConfiguration;
         this.onEndpoints = onEndpoints;
         this.rankUpdatedNanos = context.nowNanos() - RANK_UPDATE_PERIOD_NANOS;
-        this.evacuations = new Evacuations(context, links);
+        this.evacuationReporter = new EvacuationReporter(context, links);
         this.registeredEndpoints = new RegisteredEndpoints(context.dialects().directory(), context.timeline());
         this.registrations = new ViewUpdater(
                 context,
@@ -169,11 +169,11 @@
         for (KeyChange entry : changes) {
             context.dialects()
                     .operators()
-                    .evacuatedHost(entry)
-                    .ifPresent(host -> evacuations.asked(host, entry.revision(), computeRank()));
+                    .parseEvacuation(entry)
+                    .ifPresent(host -> evacuationReporter.evacuationRequested(host, entry.revision(), computeRank()));
             context.dialects()
                     .operators()
-                    .configuration(entry)
+                    .parseConfiguration(entry)
                     .ifPresent(decoded -> decoded.peek(onConfiguration)
                             .peekLeft(finding -> context.timeline()
                                     .event(EventKind.CONFIGURATION_INVALID)
--- a/src/main/java/org/gooseberryhill/gateway/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/gateway/ItemRun.java
@@ -12,7 +12,7 @@
 import org.gooseberryhill.decision.requestbatch.ItemProgress;
 import org.gooseberryhill.decision.requestbatch.PlacedItem;
 import org.gooseberryhill.decision.requestbatch.RunEnd;
-import org.gooseberryhill.dialect.AttemptTraits;
+import org.gooseberryhill.dialect.AttemptMetadata;
 import org.gooseberryhill.http.EventSplitter;
 import org.gooseberryhill.http.Exchange;
 import org.gooseberryhill.http.ExchangeFailure;
@@ -62,12 +62,12 @@
         HttpHeaders request = new DefaultHttpHeaders();
         item.item().headers().forEach(request::set);
         request.set(HttpHeaderNames.HOST, placed.batch().record().host());
-        AttemptTraits traits = new AttemptTraits(
+        AttemptMetadata metadata = new AttemptMetadata(
                 placed.endpoint().id(),
                 OptionalLong.empty(),
                 item.lastEventId(),
                 Optional.of(item.item().id()));
-        context.dialects().traffic().addAttempt(request, traits);
+        context.dialects().traffic().addAttemptMetadata(request, metadata);
         String id = item.item().id();
         ExchangeOptions options = new ExchangeOptions(
                 SILENCE_TIMEOUT_MILLIS,
--- a/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
+++ b/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
@@ -18,10 +18,10 @@
 
     private final GatewayContext context;
     private final PeerLinks links;
-    private final StoreReach storeReachability;
+    private final StoreReachability storeReachability;
     private boolean reportScheduled;
 
-    LoadExchange(GatewayContext context, PeerLinks links, StoreReach storeReachability) {
+    LoadExchange(GatewayContext context, PeerLinks links, StoreReachability storeReachability) {
         this.context = context;
         this.links = links;
         this.storeReachability = storeReachability;
@@ -35,7 +35,7 @@
         reportScheduled = true;
         context.loop().after(COALESCING_MILLIS, () -> {
             reportScheduled = false;
-            links.tellAll(report());
+            links.broadcast(report());
         });
     }
 
@@ -68,7 +68,7 @@
         return new GatewayMessage.InFlightReport(
                 context.processStart(),
                 leaving,
-                storeReachability.isDirect(),
+                storeReachability.isReachable(),
                 context.fleet().ownInFlight());
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
+++ b/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns the process start ids of all hosts that are known to be alive, including this one, by host. */
-    Map<String, String> liveStarts() {
+    Map<String, String> liveProcessStarts() {
         return roster.liveProcessStarts(context.nowNanos());
     }
 
@@ -67,12 +67,12 @@
     }
 
     /** Returns the other gateways that reported recently and are not stopping. */
-    List<Host> staying() {
+    List<Host> activeGateways() {
         return roster.activeGateways(context.nowNanos());
     }
 
     /** Returns the other gateways that reach the key-value store. */
-    List<Host> reachingStore() {
+    List<Host> gatewaysReachingStore() {
         return roster.gatewaysReachingStore(context.nowNanos());
     }
 
@@ -81,8 +81,8 @@
     }
 
     /** Returns whether rendezvous hashing assigns a key to this host, among the gateways that are not stopping. */
-    boolean isChosen(String key) {
-        List<Host> hosts = new ArrayList<>(staying());
+    boolean isResponsibleFor(String key) {
+        List<Host> hosts = new ArrayList<>(activeGateways());
         hosts.add(context.settings().self());
         return Ownership.rank(key, hosts)
                 .get(0)
@@ -99,7 +99,7 @@
     }
 
     /** Posts a message to all other gateways; one that does not receive it learns of its content in another way. */
-    void tellAll(PeerMessage message) {
+    void broadcast(PeerMessage message) {
         List<Address> addresses = new ArrayList<>();
         gateways().forEach(host -> addresses.add(host.address()));
         context.peers().postAll(addresses, PeerLane.CONTROL, message);
--- a/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
+++ b/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
@@ -51,7 +51,7 @@
     }
 
     private Optional<EndpointEntry> parse(KeyChange registration) {
-        return dialect.endpoint(registration)
+        return dialect.parseRegistration(registration)
                 .peekLeft(finding -> timeline.event(EventKind.REGISTRATION_INVALID)
                         .with("key", registration.key())
                         .with("finding", finding)
--- a/src/main/java/org/gooseberryhill/gateway/RelayedStore.java
+++ b/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
@@ -19,17 +19,21 @@
  * answer was lost may be repeated through another host, because it takes effect only at the revisions that it names; a
  * write without conditions is repeated with the same content.
  */
-final class RelayedStore implements PollingKeyValueStore {
+final class RelayingKeyValueStore implements PollingKeyValueStore {
     private static final long RELAY_TIMEOUT_MILLIS = 900;
 
     private final PollingKeyValueStore directStore;
-    private final StoreReach reach;
+    private final StoreReachability storeReachability;
     private final Relay relay;
     private final ReachListener reachListener;
 
-    RelayedStore(PollingKeyValueStore directStore, StoreReach reach, Relay relay, ReachListener reachListener) {
+    RelayingKeyValueStore(
+            PollingKeyValueStore directStore,
+            StoreReachability storeReachability,
+            Relay relay,
+            ReachListener reachListener) {
         this.directStore = directStore;
-        this.reach = reach;
+        this.storeReachability = storeReachability;
         this.relay = relay;
         this.reachListener = reachListener;
     }
@@ -58,7 +62,7 @@
     /** Not relayed: the hosts that reach the store pass on all changes anyway. */
     @Override
     public CompletableFuture<Changes> changesAfter(String prefix, long revision, long waitMillis) {
-        if (!reach.mayCallDirectly(System.nanoTime())) {
+        if (!storeReachability.mayCallDirectly(System.nanoTime())) {
             return CompletableFuture.failedFuture(new ExternalServiceException(
                     Kind.NOT_DONE, "direct calls to the key-value store are suspended after a failed call"));
         }
@@ -104,7 +108,7 @@
     }
 
     /** Makes a call on behalf of another host, directly and without relaying it further. */
-    CompletableFuture<PeerMessage> serve(GatewayMessage.StoreCall call) {
+    CompletableFuture<PeerMessage> callForPeer(GatewayMessage.StoreCall call) {
         if (call.readKey().isPresent()) {
             return toStoreAnswer(
                     directStore.read(call.readKey().get()),
@@ -144,7 +148,7 @@
             Supplier<CompletableFuture<T>> directCall,
             GatewayMessage.StoreCall call,
             Function<GatewayMessage.StoreAnswer, Optional<T>> extractResult) {
-        if (!reach.mayCallDirectly(System.nanoTime())) {
+        if (!storeReachability.mayCallDirectly(System.nanoTime())) {
             return callThroughRelay(
                     call,
                     extractResult,
@@ -173,9 +177,9 @@
         return directCall.get().whenComplete((result, failure) -> {
             Kind kind = failure == null ? null : ExternalServiceException.kindOf(failure);
             boolean unanswered = kind == Kind.NOT_DONE || kind == Kind.UNKNOWN;
-            if (unanswered && reach.recordFailure(sentNanos, System.nanoTime())) {
+            if (unanswered && storeReachability.recordFailure(sentNanos, System.nanoTime())) {
                 reachListener.reachChanged(false, String.valueOf(failure.getMessage()));
-            } else if (!unanswered && reach.recordAnswer(sentNanos)) {
+            } else if (!unanswered && storeReachability.recordAnswer(sentNanos)) {
                 reachListener.reachChanged(true, "");
             }
         });
--- a/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
@@ -10,8 +10,8 @@
 import org.gooseberryhill.contract.Fingerprint;
 import org.gooseberryhill.contract.Refusal;
 import org.gooseberryhill.decision.dispatch.RoutedIntake;
-import org.gooseberryhill.dialect.RequestTraits;
-import org.gooseberryhill.dialect.SystemCall;
+import org.gooseberryhill.dialect.BatchApiCall;
+import org.gooseberryhill.dialect.RequestMetadata;
 import org.gooseberryhill.http.HttpBody;
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.http.WholeBody;
@@ -30,8 +30,8 @@
 
     private final GatewayContext context;
     private final GatewayTraffic traffic;
-    private final BatchIntake intake;
-    private final BatchDesk batches;
+    private final BatchSubmissionHandler submissionHandler;
+    private final BatchApiHandler batchApiHandler;
     private final StartGate gate;
     private final Random random;
     private volatile RouteTable table = RouteTable.EMPTY;
@@ -39,14 +39,14 @@
     RequestRouter(
             GatewayContext context,
             GatewayTraffic traffic,
-            BatchIntake intake,
-            BatchDesk batches,
+            BatchSubmissionHandler submissionHandler,
+            BatchApiHandler batchApiHandler,
             StartGate gate,
             Random random) {
         this.context = context;
         this.traffic = traffic;
-        this.intake = intake;
-        this.batches = batches;
+        this.submissionHandler = submissionHandler;
+        this.batchApiHandler = batchApiHandler;
         this.gate = gate;
         this.random = random;
     }
@@ -61,30 +61,31 @@
         long arrivedNanos = context.nowNanos();
         RouteTable current = table;
         int maxBytes = current.configuration().limits().maxBodyBytes();
-        Optional<SystemCall> systemCall = context.dialects().batches().read(call);
-        if (systemCall.isPresent()) {
-            return readBody(call, maxBytes, body -> batches.answer(call, systemCall.get()));
+        Optional<BatchApiCall> batchApiCall = context.dialects().batches().parseCall(call);
+        if (batchApiCall.isPresent()) {
+            return readBody(call, maxBytes, body -> batchApiHandler.handle(call, batchApiCall.get()));
         }
-        RequestTraits traits = context.dialects().traffic().read(call.headers());
-        return readBody(call, maxBytes, body -> routeOrHold(call, traits, body, arrivedNanos));
+        RequestMetadata metadata = context.dialects().traffic().parseRequest(call.headers());
+        return readBody(call, maxBytes, body -> routeOrHold(call, metadata, body, arrivedNanos));
     }
 
-    private void routeOrHold(HttpCall call, RequestTraits traits, byte[] body, long arrivedNanos) {
+    private void routeOrHold(HttpCall call, RequestMetadata metadata, byte[] body, long arrivedNanos) {
         if (!gate.isOpen()) {
             context.loop().execute(() -> {
-                boolean accepted = gate.runOrHold(() -> routeNow(call, traits, body, arrivedNanos), context.nowNanos());
+                boolean accepted =
+                        gate.runOrHold(() -> routeNow(call, metadata, body, arrivedNanos), context.nowNanos());
                 if (!accepted) {
-                    routeNow(call, traits, body, arrivedNanos);
+                    routeNow(call, metadata, body, arrivedNanos);
                 }
             });
             return;
         }
-        routeNow(call, traits, body, arrivedNanos);
+        routeNow(call, metadata, body, arrivedNanos);
     }
 
-    private void routeNow(HttpCall call, RequestTraits traits, byte[] body, long arrivedNanos) {
+    private void routeNow(HttpCall call, RequestMetadata metadata, byte[] body, long arrivedNanos) {
         RouteTable current = table;
-        String id = traits.id().orElse("");
+        String id = metadata.id().orElse("");
         if (current.configuration().isEmpty()) {
             refuse(
                     call,
@@ -105,19 +106,19 @@
             return;
         }
         if (route.get().kind() == RouteKind.BATCH) {
-            intake.submit(call, id, route.get(), body, arrivedNanos);
+            submissionHandler.submit(call, id, route.get(), body, arrivedNanos);
             return;
         }
         RoutedIntake intake = new RoutedIntake(
                 id,
                 route.get(),
                 chooseService(route.get()),
-                traits.prompt(),
+                metadata.prompt(),
                 Lazy.of(() -> Fingerprint.of(
                         call.method() + " " + call.headers().get(HttpHeaderNames.HOST, "") + call.target(), body)),
                 arrivedNanos,
-                arrivedNanos + TimeUnit.MILLISECONDS.toNanos(deadlineMillis(traits, route.get())));
-        new RoutedCall(context, traffic, call, traits, intake, body).start();
+                arrivedNanos + TimeUnit.MILLISECONDS.toNanos(deadlineMillis(metadata, route.get())));
+        new RoutedCall(context, traffic, call, metadata, intake, body).start();
     }
 
     private String chooseService(Route route) {
@@ -161,8 +162,8 @@
         return end < 0 ? path : path.substring(0, end + 1);
     }
 
-    private static long deadlineMillis(RequestTraits traits, Route route) {
+    private static long deadlineMillis(RequestMetadata metadata, Route route) {
         long timeoutMillis = route.timeoutMillis() > 0 ? route.timeoutMillis() : DEFAULT_DEADLINE_MILLIS;
-        return Math.max(0, Math.min(traits.deadlineMillis().orElse(timeoutMillis), timeoutMillis));
+        return Math.max(0, Math.min(metadata.deadlineMillis().orElse(timeoutMillis), timeoutMillis));
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -14,8 +14,8 @@
 import org.gooseberryhill.decision.dispatch.RoutedIntake;
 import org.gooseberryhill.decision.dispatch.RoutedRequest;
 import org.gooseberryhill.decision.dispatch.ServiceState;
-import org.gooseberryhill.dialect.AttemptTraits;
-import org.gooseberryhill.dialect.RequestTraits;
+import org.gooseberryhill.dialect.AttemptMetadata;
+import org.gooseberryhill.dialect.RequestMetadata;
 import org.gooseberryhill.directory.EndpointEntry;
 import org.gooseberryhill.http.Exchange;
 import org.gooseberryhill.http.ExchangeOptions;
@@ -51,7 +51,7 @@
     private final GatewayContext context;
     private final GatewayTraffic traffic;
     private final HttpCall call;
-    private final RequestTraits traits;
+    private final RequestMetadata metadata;
     private final byte[] body;
     private final RoutedRequest request;
     private final AnswerRelay relay;
@@ -65,16 +65,16 @@
             GatewayContext context,
             GatewayTraffic traffic,
             HttpCall call,
-            RequestTraits traits,
+            RequestMetadata metadata,
             RoutedIntake intake,
             byte[] body) {
         this.context = context;
         this.traffic = traffic;
         this.call = call;
-        this.traits = traits;
+        this.metadata = metadata;
         this.body = body;
         this.request = context.core().newRequest(intake);
-        this.relay = new AnswerRelay(call, intake.route(), traits.lastEventId());
+        this.relay = new AnswerRelay(call, intake.route(), metadata.lastEventId());
     }
 
     /** Starts the request; may be called from any thread. */
@@ -99,7 +99,7 @@
         long leftMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos));
         context.loop().after(leftMillis, this::deadlineExceeded);
         if (!context.stop().acceptsRequest(leftMillis, context.nowNanos())) {
-            refuse(GatewayTraffic.STOPPING, Optional.empty());
+            refuse(GatewayTraffic.STOPPING_REFUSAL, Optional.empty());
             return;
         }
         applyDecision(context.core().dispatch(request, context.nowNanos()));
@@ -144,9 +144,9 @@
         long leftMillis = TimeUnit.NANOSECONDS.toMillis(request.intake().deadlineNanos() - context.nowNanos());
         context.dialects()
                 .traffic()
-                .addAttempt(
+                .addAttemptMetadata(
                         headers,
-                        new AttemptTraits(
+                        new AttemptMetadata(
                                 endpoint.id(),
                                 OptionalLong.of(Math.max(1, leftMillis)),
                                 relay.lastEventId(),
--- a/src/main/java/org/gooseberryhill/gateway/StopSequence.java
+++ b/src/main/java/org/gooseberryhill/gateway/StopSequence.java
@@ -49,21 +49,21 @@
     }
 
     /** Starts the stop that was requested at the given time; a second call changes nothing. */
-    void ask(long askedNanos) {
+    void requestStop(long askedNanos) {
         if (context.stop().phase() != PlannedStop.Phase.SERVING) {
             return;
         }
         context.timeline()
                 .event(EventKind.PROCESS_STOPPING)
                 .with("inProgress", traffic.inProgress())
-                .with("items", runner.running())
-                .with("batches", handOver.left())
+                .with("items", runner.runningItems())
+                .with("batches", handOver.openBatchCount())
                 .with("sinceAskedMillis", TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - askedNanos))
                 .write();
         context.stop().request(askedNanos);
         onRequested.run();
-        runner.pause();
-        runner.stopAll();
+        runner.stopStarting();
+        runner.cancelAllRuns();
         advance();
         context.loop().every(CHECK_PERIOD_MILLIS, this::advance);
     }
@@ -77,14 +77,14 @@
         if (context.stop().phase() == PlannedStop.Phase.ENDED) {
             return;
         }
-        handOver.advance();
-        int inProgress = traffic.inProgress() + runner.running() + handOver.left();
+        handOver.offerBatches();
+        int inProgress = traffic.inProgress() + runner.runningItems() + handOver.openBatchCount();
         HttpServer server = callers.get();
         PlannedStop.Phase phase = context.stop().advance(inProgress, !server.isDrained(), context.nowNanos());
         StoppingServer.follow(server, phase);
         if (phase == PlannedStop.Phase.ENDED) {
-            runner.stopAll();
-            registration.release(() -> complete(inProgress));
+            runner.cancelAllRuns();
+            registration.remove(() -> complete(inProgress));
             context.loop().after(RELEASE_TIMEOUT_MILLIS, () -> complete(inProgress));
         }
     }
--- a/src/main/java/org/gooseberryhill/gateway/StoreReach.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreReachability.java
@@ -12,7 +12,7 @@
  * <p>Invariant: calls are ordered by the time at which they were sent. A call that hung during an outage fails seconds
  * after later calls were answered; it says nothing about the current state of the store.
  */
-final class StoreReach {
+final class StoreReachability {
     /**
      * Interval between direct calls while the store is unreachable: each has a cost, and other hosts relay calls
      * meanwhile.
@@ -24,7 +24,7 @@
     private long lastAnsweredSentNanos = Long.MIN_VALUE;
 
     /** Returns whether the latest direct call was answered. */
-    synchronized boolean isDirect() {
+    synchronized boolean isReachable() {
         return reachable;
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/StoreHelpers.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreRelayClient.java
@@ -10,22 +10,22 @@
 import org.gooseberryhill.peer.PeerMessage;
 
 /** Relays calls to the key-value store through other hosts while this host can't reach it. Thread-safe. */
-final class StoreHelpers {
+final class StoreRelayClient {
     private final GatewayContext context;
     private final PeerLinks links;
     private final Random random;
 
-    StoreHelpers(GatewayContext context, PeerLinks links, Random random) {
+    StoreRelayClient(GatewayContext context, PeerLinks links, Random random) {
         this.context = context;
         this.links = links;
         this.random = random;
     }
 
     /** Sends a call through a gateway that reaches the store; fails with kind {@code NOT_DONE} if there is none. */
-    CompletableFuture<PeerMessage> ask(GatewayMessage.StoreCall call, long timeoutMillis) {
+    CompletableFuture<PeerMessage> relay(GatewayMessage.StoreCall call, long timeoutMillis) {
         CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
         context.loop().execute(() -> {
-            List<Host> helpers = links.reachingStore();
+            List<Host> helpers = links.gatewaysReachingStore();
             if (helpers.isEmpty()) {
                 answer.completeExceptionally(
                         new ExternalServiceException(Kind.NOT_DONE, "no other gateway reaches the key-value store"));
--- a/src/main/java/org/gooseberryhill/gateway/StoredResults.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
@@ -19,7 +19,7 @@
  * <p>Committed results never change, so they are cached: callers poll twice a second, and each call to the store has a
  * cost.
  */
-final class StoredResults {
+final class StoredBatchReader {
     /** Maximum number of batches whose results are cached; each takes some hundred kilobytes. */
     private static final int MAX_CACHED_BATCHES = 60;
 
@@ -27,7 +27,7 @@
     private final BatchStore store;
     private final Map<String, CachedResults> cache = new LinkedHashMap<>();
 
-    StoredResults(GatewayContext context, BatchStore store) {
+    StoredBatchReader(GatewayContext context, BatchStore store) {
         this.context = context;
         this.store = store;
     }
@@ -94,7 +94,7 @@
             int characters = 0;
             for (int position = after; position < results.size(); position++) {
                 characters += results.get(position).text().length();
-                if (!found.isEmpty() && characters > BatchDesk.MAX_PAGE_CHARACTERS) {
+                if (!found.isEmpty() && characters > BatchApiHandler.MAX_PAGE_CHARACTERS) {
                     break;
                 }
                 found.add(results.get(position));
--- a/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
@@ -145,7 +145,7 @@
         // The store answers on a change or when the wait is over, so the answer is current as of its arrival.
         view.advance(from, changes.revision(), changes.changes())
                 .ifPresent(newChanges -> viewRefreshed(context.nowNanos(), newChanges));
-        links.tellAll(new GatewayMessage.ViewChanges(prefix, from, changes.revision(), changes.changes(), 0));
+        links.broadcast(new GatewayMessage.ViewChanges(prefix, from, changes.revision(), changes.changes(), 0));
     }
 
     private void changesQueryFailed(Throwable failure) {
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -20,7 +20,7 @@
 import org.gooseberryhill.peer.PeerServer;
 import org.gooseberryhill.peer.PeerTraffic;
 import org.gooseberryhill.registration.HostRegistration;
-import org.gooseberryhill.registration.ProcessStarts;
+import org.gooseberryhill.registration.ProcessStartIds;
 import org.gooseberryhill.stored.BatchStore;
 import org.gooseberryhill.timeline.EventKind;
 import org.gooseberryhill.timeline.Timeline;
@@ -42,7 +42,7 @@
     private static final long RELEASE_TIMEOUT_MILLIS = 1000;
 
     private final OutboxSettings settings;
-    private final String processStart = ProcessStarts.next();
+    private final String processStart = ProcessStartIds.next();
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
     private final HttpClient http = new HttpClient(group);
@@ -97,7 +97,7 @@
             timeline.event(EventKind.PROCESS_STOPPING)
                     .with("submissions", service.submissionCount())
                     .write();
-            registration.release(this::completeStop);
+            registration.remove(this::completeStop);
             loop.after(RELEASE_TIMEOUT_MILLIS, this::completeStop);
         });
     }
--- a/src/main/java/org/gooseberryhill/registration/HostRegistration.java
+++ b/src/main/java/org/gooseberryhill/registration/HostRegistration.java
@@ -55,7 +55,7 @@
     }
 
     /** Removes the key at a planned stop by revoking its lease, then runs the action. */
-    public void release(Runnable then) {
+    public void remove(Runnable then) {
         released = true;
         if (lease.isEmpty()) {
             then.run();
--- a/src/main/java/org/gooseberryhill/registration/ProcessStarts.java
+++ b/src/main/java/org/gooseberryhill/registration/ProcessStartIds.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /** Generates ids that distinguish the process of a host from earlier ones. Stateless. */
-public final class ProcessStarts {
-    private ProcessStarts() {}
+public final class ProcessStartIds {
+    private ProcessStartIds() {}
 
     /**
      * Returns an id that no earlier process of this host has, built from the time and a random number. A UUID would also
--- a/src/main/java/org/gooseberryhill/route/EngineTraits.java
+++ b/src/main/java/org/gooseberryhill/route/EngineProperties.java
@@ -6,4 +6,4 @@
  * @param slots number of requests that one endpoint runs concurrently
  * @param kvCapacityTokens number of tokens that the memory of one endpoint holds, running and cached ones together
  */
-public record EngineTraits(int slots, long kvCapacityTokens) {}
+public record EngineProperties(int slots, long kvCapacityTokens) {}
--- a/src/main/java/org/gooseberryhill/route/RouteConfiguration.java
+++ b/src/main/java/org/gooseberryhill/route/RouteConfiguration.java
@@ -12,7 +12,7 @@
  * @param limits limits for client requests
  */
 public record RouteConfiguration(
-        long version, List<Route> routes, Map<String, ServiceTraits> services, ClientLimits limits) {
+        long version, List<Route> routes, Map<String, ServiceProperties> services, ClientLimits limits) {
     /** Configuration in force before the first one is known. */
     public static final RouteConfiguration EMPTY = new RouteConfiguration(0, List.of(), Map.of(), ClientLimits.DEFAULT);
 
--- a/src/main/java/org/gooseberryhill/route/ServiceTraits.java
+++ b/src/main/java/org/gooseberryhill/route/ServiceProperties.java
@@ -10,4 +10,5 @@
  * @param maxConnections maximum number of connections that one endpoint accepts from all callers together
  * @param engine properties of the endpoints of a model service; empty for other services
  */
-public record ServiceTraits(String name, String healthPath, int maxConnections, Optional<EngineTraits> engine) {}
+public record ServiceProperties(
+        String name, String healthPath, int maxConnections, Optional<EngineProperties> engine) {}
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -179,7 +179,7 @@
     /** Reads all items of a batch. */
     public CompletableFuture<List<BatchItem>> items(String id, BatchRecord record) {
         return readParts(id, record, 0, new ByteArrayOutputStream())
-                .thenApply(body -> dialect.items(body)
+                .thenApply(body -> dialect.parseItems(body)
                         .getOrElseThrow(findings ->
                                 new ExternalServiceException("items of batch " + id + " are invalid: " + findings)));
     }
--- a/src/test/java/org/gooseberryhill/gateway/BatchBoardTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/BatchRegistryTest.java
@@ -8,10 +8,10 @@
 import org.gooseberryhill.host.HostId;
 import org.junit.jupiter.api.Test;
 
-class BatchBoardTest {
+class BatchRegistryTest {
     private static final long REVISION = 5;
 
-    private final BatchBoard board = new BatchBoard();
+    private final BatchRegistry registry = new BatchRegistry();
 
     /**
      * Guards against results that are listed twice because a batch is submitted again while its host is taking it over.
@@ -20,37 +20,37 @@
     void addingAnOwnedBatchAgainKeepsTheFirstCopy() {
         OwnedBatch first = batch();
 
-        assertThat(board.add(first)).isTrue();
-        assertThat(board.add(batch())).isFalse();
+        assertThat(registry.add(first)).isTrue();
+        assertThat(registry.add(batch())).isFalse();
 
-        assertThat(board.find("b")).containsSame(first);
+        assertThat(registry.find("b")).containsSame(first);
     }
 
     @Test
     void aRemovedBatchCanBeAddedAgain() {
-        board.add(batch());
-        board.remove("b");
+        registry.add(batch());
+        registry.remove("b");
         OwnedBatch later = batch();
 
-        assertThat(board.add(later)).isTrue();
-        assertThat(board.find("b")).containsSame(later);
+        assertThat(registry.add(later)).isTrue();
+        assertThat(registry.find("b")).containsSame(later);
     }
 
     @Test
     void anOwnedBatchHasNoOtherOwner() {
-        board.ownedBy("b", new HostId("other"));
-        board.add(batch());
+        registry.setOwner("b", new HostId("other"));
+        registry.add(batch());
 
-        assertThat(board.owner("b")).isEmpty();
+        assertThat(registry.owner("b")).isEmpty();
     }
 
     @Test
     void hasWrittenIsTrueOnlyForRevisionsBeforeTheLastWrite() {
-        board.add(batch());
+        registry.add(batch());
 
-        assertThat(board.hasWritten("b", REVISION - 1)).isTrue();
-        assertThat(board.hasWritten("b", REVISION)).isFalse();
-        assertThat(board.hasWritten("other", 0)).isFalse();
+        assertThat(registry.hasWrittenAfter("b", REVISION - 1)).isTrue();
+        assertThat(registry.hasWrittenAfter("b", REVISION)).isFalse();
+        assertThat(registry.hasWrittenAfter("other", 0)).isFalse();
     }
 
     private static OwnedBatch batch() {
