--- a/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
+++ b/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
@@ -36,7 +36,7 @@
 
     ClaimDriver(HostProcess process, String caller, String idempotencyKey, String requestHash) {
         this.process = process;
-        this.key = Keys.call(
+        this.key = Keys.idempotencyClaim(
                 caller,
                 Fingerprint.of("key", idempotencyKey.getBytes(StandardCharsets.UTF_8))
                         .value());
--- a/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
@@ -109,7 +109,7 @@
         }
         byte[] content = String.join("\n", chunk).getBytes(StandardCharsets.UTF_8);
         chunk.clear();
-        String name = SegmentNames.items(request.key(), segmentNames.size(), content);
+        String name = SegmentNames.itemsName(request.key(), segmentNames.size(), content);
         segmentNames.add(name);
         // Reading pauses while a chunk is stored, so that a fast sender can't fill this host's memory.
         call.readBody(false);
--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public long calls() {
+    public long callCount() {
         return calls.sum();
     }
 
--- a/src/main/java/org/gooseberryhill/external/KeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/KeyValueStore.java
@@ -13,7 +13,7 @@
  */
 public interface KeyValueStore extends Closeable {
     /** Returns the number of calls made so far; a watch counts as one. */
-    long calls();
+    long callCount();
 
     /** Reads one key. */
     CompletableFuture<ReadResult> read(String key);
--- a/src/main/java/org/gooseberryhill/external/Keys.java
+++ b/src/main/java/org/gooseberryhill/external/Keys.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns the key of the claim by which a host owns a job. */
-    public static String owner(JobKey job) {
+    public static String jobClaim(JobKey job) {
         return OWNERS + job.path();
     }
 
@@ -48,17 +48,17 @@
     }
 
     /** Returns the key of the claim of a call with an idempotency key, which must not run twice. */
-    public static String call(String caller, String idempotencyKeyHash) {
+    public static String idempotencyClaim(String caller, String idempotencyKeyHash) {
         return CALLS + caller + "/" + idempotencyKeyHash;
     }
 
     /** Returns the key of the claim by which a host may send orders to an endpoint. */
-    public static String endpoint(String endpoint) {
+    public static String endpointClaim(String endpoint) {
         return ENDPOINTS + endpoint;
     }
 
     /** Returns the key of one of the slots that limit concurrent model loads. */
-    public static String load(int place) {
+    public static String loadSlot(int place) {
         return LOADS + place;
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
@@ -33,12 +33,12 @@
     }
 
     /** Processes a complete listing of the batch records. */
-    void onListed(List<BatchStore.Stored> records) {
-        Map<String, BatchStore.Stored> finished = records.stream()
+    void onListed(List<BatchStore.StoredRecord> records) {
+        Map<String, BatchStore.StoredRecord> finished = records.stream()
                 .filter(found -> found.record().isFinished())
-                .collect(Collectors.toMap(BatchStore.Stored::id, Function.identity()));
+                .collect(Collectors.toMap(BatchStore.StoredRecord::id, Function.identity()));
         registry.evictFinished(context.nowNanos());
-        registry.retainKnown(records.stream().map(BatchStore.Stored::id).collect(Collectors.toSet()));
+        registry.retainKnown(records.stream().map(BatchStore.StoredRecord::id).collect(Collectors.toSet()));
         for (String id : expiry.observe(finished.keySet(), context.nowNanos())) {
             if (links.isResponsibleFor("batch/" + id) && deleting.add(id)) {
                 delete(finished.get(id));
@@ -46,7 +46,7 @@
         }
     }
 
-    private void delete(BatchStore.Stored found) {
+    private void delete(BatchStore.StoredRecord found) {
         context.onLoop(store.delete(found), (deleted, failure) -> {
             deleting.remove(found.id());
             if (failure == null && deleted) {
--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -96,7 +96,7 @@
      * Handles the loss of a batch that this host accepted by copies on disks: its record names another process, or
      * there is no record.
      */
-    void onRecordedElsewhere(String id, Optional<BatchStore.Stored> found) {
+    void onRecordedElsewhere(String id, Optional<BatchStore.StoredRecord> found) {
         onOwnershipLost(id, found);
     }
 
@@ -104,7 +104,7 @@
      * Handles a listed revision of an owned batch that is later than the one this host wrote: another process ended the
      * batch or took it over. A write of this host that is in flight detects the change itself.
      */
-    void onRecordChanged(BatchStore.Stored found) {
+    void onRecordChanged(BatchStore.StoredRecord found) {
         if (!writesInFlight.contains(found.id())) {
             onOwnershipLost(found.id(), Optional.of(found));
         }
@@ -148,7 +148,7 @@
         if (writesInFlight.contains(id)) {
             return;
         }
-        context.onLoop(store.read(id), (found, failure) -> {
+        context.onLoop(store.readRecord(id), (found, failure) -> {
             Optional<OwnedBatch> owned = registry.find(id);
             if (failure != null || owned.isEmpty()) {
                 return;
@@ -174,7 +174,7 @@
                     }
 
                     @Override
-                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                    public void onSuperseded(Optional<BatchStore.StoredRecord> found) {
                         onOwnershipLost(commit.id(), found);
                     }
                 });
@@ -206,7 +206,7 @@
         writer.write(
                 batch.id(),
                 ended,
-                () -> store.replace(batch.id(), batch.recordRevision(), ended),
+                () -> store.replaceRecord(batch.id(), batch.recordRevision(), ended),
                 new RecordWriter.WriteListener() {
                     @Override
                     public void onWritten(long revision) {
@@ -214,7 +214,7 @@
                     }
 
                     @Override
-                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                    public void onSuperseded(Optional<BatchStore.StoredRecord> found) {
                         onOwnershipLost(batch.id(), found);
                     }
                 });
@@ -228,7 +228,7 @@
         notifyEndReceivers(batch.id(), true);
     }
 
-    private void onOwnershipLost(String id, Optional<BatchStore.Stored> found) {
+    private void onOwnershipLost(String id, Optional<BatchStore.StoredRecord> found) {
         writesInFlight.remove(id);
         boolean ended = found.map(stored -> stored.record().ended()).orElse(true);
         context.timeline()
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
@@ -108,7 +108,7 @@
      * @param asked the host that was asked without success
      */
     private void endStored(HttpCall call, String id, Optional<Host> asked) {
-        context.onLoop(store.read(id), (found, failure) -> {
+        context.onLoop(store.readRecord(id), (found, failure) -> {
             if (failure != null) {
                 refusals.unavailable(call, id, true);
             } else if (found.isEmpty()) {
@@ -121,7 +121,7 @@
         });
     }
 
-    private void endRecord(HttpCall call, BatchStore.Stored found, Optional<Host> asked) {
+    private void endRecord(HttpCall call, BatchStore.StoredRecord found, Optional<Host> asked) {
         findOwner(found, owner -> {
             if (owner.isPresent() && !owner.equals(asked)) {
                 endAtOwner(found.id(), owner.get(), () -> confirm(call), () -> writeEndedRecord(call, found));
@@ -135,7 +135,7 @@
      * Finds the owner among the known hosts, otherwise by its key in the store: a host that has just started may not
      * have the owner on its list yet.
      */
-    private void findOwner(BatchStore.Stored found, Consumer<Optional<Host>> receiver) {
+    private void findOwner(BatchStore.StoredRecord found, Consumer<Optional<Host>> receiver) {
         HostId owner = new HostId(found.record().owner());
         Optional<Host> known = links.find(owner);
         if (known.isPresent()) {
@@ -143,12 +143,12 @@
             return;
         }
         context.onLoop(
-                store.host(owner), (host, failure) -> receiver.accept(failure == null ? host : Optional.empty()));
+                store.readHost(owner), (host, failure) -> receiver.accept(failure == null ? host : Optional.empty()));
     }
 
-    private void writeEndedRecord(HttpCall call, BatchStore.Stored found) {
+    private void writeEndedRecord(HttpCall call, BatchStore.StoredRecord found) {
         BatchRecord ended = found.record().asEnded();
-        context.onLoop(store.replace(found.id(), found.revision(), ended), (result, failure) -> {
+        context.onLoop(store.replaceRecord(found.id(), found.revision(), ended), (result, failure) -> {
             if (failure == null && result.succeeded()) {
                 storedBatchReader.evict(found.id());
                 confirm(call);
@@ -164,7 +164,7 @@
      * Notifies the owner that the record is ended. It would otherwise notice only at its next write, and start further
      * items until then.
      */
-    private void notifyOwner(BatchStore.Stored found, int attempts) {
+    private void notifyOwner(BatchStore.StoredRecord found, int attempts) {
         if (attempts == 0) {
             return;
         }
--- a/src/main/java/org/gooseberryhill/gateway/BatchSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchSubmissionHandler.java
@@ -81,7 +81,7 @@
                 context.settings().self().id().value(),
                 context.processStart(),
                 System.currentTimeMillis(),
-                BatchStore.bodyParts(body),
+                BatchStore.countBodyParts(body),
                 items.get().size(),
                 false,
                 List.of(),
@@ -111,7 +111,7 @@
                     }
 
                     @Override
-                    public void onSuperseded(Optional<BatchStore.Stored> found) {
+                    public void onSuperseded(Optional<BatchStore.StoredRecord> found) {
                         onIdTaken(submission, found);
                     }
                 });
@@ -165,7 +165,7 @@
         refusals.unavailable(submission.call, submission.id, outcome == Outcome.MAY_HAVE_RUN);
     }
 
-    private void onIdTaken(Submission submission, Optional<BatchStore.Stored> found) {
+    private void onIdTaken(Submission submission, Optional<BatchStore.StoredRecord> found) {
         dropCopies(submission);
         Optional<OwnedBatch> accepted = registry.find(submission.id).filter(batch -> !batch.isRecorded());
         if (accepted.isPresent()) {
@@ -202,7 +202,7 @@
      * Handles a record that a host with a copy created, for this process or for another one that accepted the same
      * batch.
      */
-    private void onRecordedByAnother(OwnedBatch accepted, Optional<BatchStore.Stored> found) {
+    private void onRecordedByAnother(OwnedBatch accepted, Optional<BatchStore.StoredRecord> found) {
         if (found.isPresent() && isOwnedByThisProcess(found.get().record())) {
             committer.onRecordCreated(
                     accepted, found.get().record(), found.get().revision());
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -36,8 +36,8 @@
     private final RecordWriter writer;
     private final OwnerFailureDetector failureDetector;
     private final Runnable onTaken;
-    private final Consumer<BatchStore.Stored> onChangedElsewhere;
-    private final Consumer<List<BatchStore.Stored>> onListed;
+    private final Consumer<BatchStore.StoredRecord> onRecordChanged;
+    private final Consumer<List<BatchStore.StoredRecord>> onListed;
     private final Set<String> takeoversInProgress = new HashSet<>();
     private boolean scanning;
     private boolean rescanScheduled;
@@ -48,8 +48,8 @@
             BatchRegistry registry,
             BatchStore store,
             Runnable onTaken,
-            Consumer<BatchStore.Stored> onChangedElsewhere,
-            Consumer<List<BatchStore.Stored>> onListed) {
+            Consumer<BatchStore.StoredRecord> onRecordChanged,
+            Consumer<List<BatchStore.StoredRecord>> onListed) {
         this.context = context;
         this.links = links;
         this.registry = registry;
@@ -58,7 +58,7 @@
         this.failureDetector =
                 new OwnerFailureDetector(context.settings().self().id().value());
         this.onTaken = onTaken;
-        this.onChangedElsewhere = onChangedElsewhere;
+        this.onRecordChanged = onRecordChanged;
         this.onListed = onListed;
     }
 
@@ -75,7 +75,7 @@
             return;
         }
         scanning = true;
-        context.onLoop(store.list(mayBeStale), (records, failure) -> {
+        context.onLoop(store.listRecords(mayBeStale), (records, failure) -> {
             scanning = false;
             if (failure == null) {
                 records.forEach(this::checkOwner);
@@ -92,7 +92,8 @@
      * @param then gets whether this host has taken the batch
      */
     void takeOver(GatewayMessage.BatchHandOver handOver, Consumer<Boolean> then) {
-        BatchStore.Stored offered = new BatchStore.Stored(handOver.batch(), handOver.record(), handOver.revision());
+        BatchStore.StoredRecord offered =
+                new BatchStore.StoredRecord(handOver.batch(), handOver.record(), handOver.revision());
         if (registry.hasWrittenAfter(offered.id(), offered.revision())) {
             then.accept(true);
             return;
@@ -111,13 +112,13 @@
      * Drops an owned batch whose record another process has changed. A batch without a record is left alone: its
      * creation by this host is still in progress and detects the change itself.
      */
-    private void dropIfChangedElsewhere(BatchStore.Stored found) {
+    private void dropIfChangedElsewhere(BatchStore.StoredRecord found) {
         registry.find(found.id())
                 .filter(owned -> owned.isRecorded() && found.revision() > owned.recordRevision())
-                .ifPresent(owned -> onChangedElsewhere.accept(found));
+                .ifPresent(owned -> onRecordChanged.accept(found));
     }
 
-    private void checkOwner(BatchStore.Stored found) {
+    private void checkOwner(BatchStore.StoredRecord found) {
         BatchRecord record = found.record();
         dropIfChangedElsewhere(found);
         if (record.isFinished() || registry.find(found.id()).isPresent() || takeoversInProgress.contains(found.id())) {
@@ -162,7 +163,7 @@
      */
     private void loadIfOwned(String id) {
         takeoversInProgress.add(id);
-        context.onLoop(store.read(id), (found, failure) -> {
+        context.onLoop(store.readRecord(id), (found, failure) -> {
             boolean own = failure == null
                     && found.isPresent()
                     && isOwnedByThisProcess(found.get().record())
@@ -180,22 +181,22 @@
      * Makes this process the owner of a batch. The listed record may be stale; the write is conditional on its revision
      * and fails in that case.
      */
-    private void claim(BatchStore.Stored found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
+    private void claim(BatchStore.StoredRecord found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
         BatchRecord claimed =
                 found.record().withOwner(context.settings().self().id().value(), context.processStart());
         writer.write(
                 found.id(),
                 claimed,
-                () -> store.replace(found.id(), found.revision(), claimed),
+                () -> store.replaceRecord(found.id(), found.revision(), claimed),
                 new RecordWriter.WriteListener() {
                     @Override
                     public void onWritten(long revision) {
                         then.accept(true);
-                        load(new BatchStore.Stored(found.id(), claimed, revision), progress);
+                        load(new BatchStore.StoredRecord(found.id(), claimed, revision), progress);
                     }
 
                     @Override
-                    public void onSuperseded(Optional<BatchStore.Stored> other) {
+                    public void onSuperseded(Optional<BatchStore.StoredRecord> other) {
                         takeoversInProgress.remove(found.id());
                         then.accept(false);
                     }
@@ -207,9 +208,9 @@
      *
      * @param handedOver the progress of its items if the last owner passed it on; otherwise the stored progress is read
      */
-    private void load(BatchStore.Stored taken, Optional<List<ItemCheckpoint>> handedOver) {
+    private void load(BatchStore.StoredRecord taken, Optional<List<ItemCheckpoint>> handedOver) {
         CompletableFuture<List<ItemCheckpoint>> progress =
-                handedOver.map(CompletableFuture::completedFuture).orElseGet(() -> store.progress(taken.id()));
+                handedOver.map(CompletableFuture::completedFuture).orElseGet(() -> store.readCheckpoints(taken.id()));
         context.onLoop(store.load(taken).thenCombine(progress, LoadedBatch::new), (loaded, failure) -> {
             if (failure != null) {
                 context.timeline()
@@ -225,7 +226,7 @@
         });
     }
 
-    private void onLoaded(BatchStore.Stored taken, LoadedBatch loaded) {
+    private void onLoaded(BatchStore.StoredRecord taken, LoadedBatch loaded) {
         takeoversInProgress.remove(taken.id());
         if (!registry.add(loaded.batch)) {
             // The caller has submitted the batch again in the meantime.
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -267,7 +267,7 @@
         metrics.gauge("gooseberry_requests_in_progress", "Routed requests in progress", traffic::inProgress);
         metrics.gauge("gooseberry_items_in_progress", "Items of request batches that run", runner::runningItems);
         metrics.gauge("gooseberry_batches_open", "Request batches that this host runs", handOver::openBatchCount);
-        metrics.gauge("gooseberry_store_calls", "Calls of the key-value store", () -> store.calls());
+        metrics.gauge("gooseberry_store_calls", "Calls of the key-value store", () -> store.callCount());
         metrics.gauge(
                 "gooseberry_connects", "Connections made", () -> context.http().connects());
         metrics.gauge("gooseberry_lines_dropped", "Log lines dropped by a full ring", log::droppedLines);
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -19,8 +19,8 @@
 import org.gooseberryhill.peer.GatewayMessage;
 import org.gooseberryhill.peer.PeerLane;
 import org.gooseberryhill.route.RouteConfiguration;
-import org.gooseberryhill.stored.StoredForms;
 import org.gooseberryhill.stored.StoredKeys;
+import org.gooseberryhill.stored.StoredValueCodec;
 import org.gooseberryhill.timeline.EventKind;
 
 /** Follows endpoints, operator entries and live hosts in the key-value store. Used by the control thread only. */
@@ -186,7 +186,7 @@
     private void hostsChanged(List<KeyChange> changes) {
         List<ListedHost> live = new ArrayList<>();
         for (KeyChange entry : hosts.view().entries()) {
-            StoredForms.readHost(entry.value().orElseThrow()).onSuccess(live::add);
+            StoredValueCodec.readHost(entry.value().orElseThrow()).onSuccess(live::add);
         }
         links.updateListedHosts(live);
     }
--- a/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
@@ -53,7 +53,7 @@
         void onWritten(long revision);
 
         /** Another process changed the record; the argument is empty if the record no longer exists. */
-        void onSuperseded(Optional<BatchStore.Stored> found);
+        void onSuperseded(Optional<BatchStore.StoredRecord> found);
     }
 
     /** A write whose outcome is not known yet. */
@@ -134,13 +134,13 @@
         }
 
         private void readRecord() {
-            context.onLoop(store.read(id), (found, failure) -> {
+            context.onLoop(store.readRecord(id), (found, failure) -> {
                 if (finished) {
                     return;
                 }
                 if (failure != null) {
                     scheduleRetry(recordWrite.readUnanswered());
-                } else if (recordWrite.read(found.map(BatchStore.Stored::record)) == RecordWrite.Step.DONE) {
+                } else if (recordWrite.read(found.map(BatchStore.StoredRecord::record)) == RecordWrite.Step.DONE) {
                     finished = true;
                     listener.onWritten(found.orElseThrow().revision());
                 } else {
--- a/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
@@ -39,8 +39,8 @@
     }
 
     @Override
-    public long calls() {
-        return directStore.calls();
+    public long callCount() {
+        return directStore.callCount();
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
+++ b/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
@@ -25,7 +25,7 @@
     private static final int ENTRIES_PER_PROGRESS = 2;
 
     private final List<BatchStore.Commit> commits = new ArrayList<>();
-    private final List<BatchStore.Progress> progress = new ArrayList<>();
+    private final List<BatchStore.Checkpoints> progress = new ArrayList<>();
     private final Map<OwnedBatch, Long> bundledEventsByBatch = new LinkedHashMap<>();
     private int entries;
     private int characters;
@@ -52,7 +52,7 @@
         return commits;
     }
 
-    List<BatchStore.Progress> progress() {
+    List<BatchStore.Checkpoints> progress() {
         return progress;
     }
 
@@ -78,7 +78,7 @@
         if (items.isEmpty() || !hasRoom(ENTRIES_PER_PROGRESS)) {
             return;
         }
-        progress.add(new BatchStore.Progress(batch.id(), batch.recordRevision(), items));
+        progress.add(new BatchStore.Checkpoints(batch.id(), batch.recordRevision(), items));
         bundledEventsByBatch.put(batch, batch.eventCount());
         entries += ENTRIES_PER_PROGRESS;
         characters += items.stream().mapToInt(item -> item.text().length()).sum();
--- a/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
@@ -38,12 +38,12 @@
         if (cached != null && (cached.record.isFinished() || cached.results.size() > after)) {
             return CompletableFuture.completedFuture(Optional.of(cached.page(after)));
         }
-        return store.read(id).thenCompose(found -> {
+        return store.readRecord(id).thenCompose(found -> {
             if (found.isEmpty()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             BatchRecord record = found.get().record();
-            return store.results(id, record, 0, record.chunks().size()).thenApply(results -> {
+            return store.readResults(id, record, 0, record.chunks().size()).thenApply(results -> {
                 CachedResults fresh = new CachedResults(record, List.copyOf(results));
                 context.loop().execute(() -> addToCache(id, fresh));
                 return Optional.of(fresh.page(after));
@@ -53,13 +53,15 @@
 
     /** Reads the body of an item without a committed result; empty if there is no such item, or its batch is ended. */
     CompletableFuture<Optional<byte[]>> readItemBody(String id, String itemId) {
-        return store.read(id).thenCompose(found -> {
+        return store.readRecord(id).thenCompose(found -> {
             if (found.isEmpty() || found.get().record().ended()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             BatchRecord record = found.get().record();
-            return store.results(id, record, 0, record.chunks().size())
-                    .thenCombine(store.items(id, record), (results, items) -> unlistedItemBody(itemId, results, items));
+            return store.readResults(id, record, 0, record.chunks().size())
+                    .thenCombine(
+                            store.readItems(id, record),
+                            (results, items) -> uncommittedItemBody(itemId, results, items));
         });
     }
 
@@ -76,7 +78,8 @@
         }
     }
 
-    private static Optional<byte[]> unlistedItemBody(String itemId, List<ItemResult> results, List<BatchItem> items) {
+    private static Optional<byte[]> uncommittedItemBody(
+            String itemId, List<ItemResult> results, List<BatchItem> items) {
         boolean listed = results.stream().anyMatch(result -> result.id().equals(itemId));
         if (listed) {
             return Optional.empty();
--- a/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
@@ -84,7 +84,7 @@
      */
     boolean applyForwardedChanges(GatewayMessage.ViewChanges changes) {
         Optional<List<KeyChange>> newChanges =
-                view.advance(changes.fromRevision(), changes.toRevision(), changes.changes());
+                view.applyChanges(changes.fromRevision(), changes.toRevision(), changes.changes());
         newChanges.ifPresent(
                 found -> viewRefreshed(context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(changes.ageMillis()), found));
         return newChanges.isPresent();
@@ -94,7 +94,7 @@
     void applyListing(GatewayMessage.ViewListing listing) {
         if (listing.revision() > 0) {
             long readNanos = context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(listing.ageMillis());
-            viewRefreshed(readNanos, view.replace(listing.revision(), listing.entries()));
+            viewRefreshed(readNanos, view.applyListing(listing.revision(), listing.entries()));
         }
     }
 
@@ -118,7 +118,7 @@
 
     private void applyStoreListing(KeyValueStore.Listing listing, long sentNanos) {
         long before = view.revision();
-        List<KeyChange> newChanges = view.replace(listing.revision(), listing.entries());
+        List<KeyChange> newChanges = view.applyListing(listing.revision(), listing.entries());
         context.timeline()
                 .event(EventKind.VIEW_LISTED)
                 .with("prefix", prefix)
@@ -143,7 +143,7 @@
 
     private void applyStoreChanges(long from, PollingKeyValueStore.Changes changes) {
         // The store answers on a change or when the wait is over, so the answer is current as of its arrival.
-        view.advance(from, changes.revision(), changes.changes())
+        view.applyChanges(from, changes.revision(), changes.changes())
                 .ifPresent(newChanges -> viewRefreshed(context.nowNanos(), newChanges));
         links.broadcast(new GatewayMessage.ViewChanges(prefix, from, changes.revision(), changes.changes(), 0));
     }
--- a/src/main/java/org/gooseberryhill/outbox/OutboxEntryCodec.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxEntryCodec.java
@@ -3,7 +3,7 @@
 import io.vavr.control.Try;
 import java.io.IOException;
 import org.gooseberryhill.decision.requestbatch.BatchRecord;
-import org.gooseberryhill.stored.StoredForms;
+import org.gooseberryhill.stored.StoredValueCodec;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
@@ -13,7 +13,7 @@
     private OutboxEntryCodec() {}
 
     static byte[] write(OutboxEntry entry) throws IOException {
-        byte[] record = StoredForms.write(entry.record());
+        byte[] record = StoredValueCodec.write(entry.record());
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packString(entry.batch()).packLong(entry.storedAtMillis());
             packer.packBinaryHeader(record.length).writePayload(record);
@@ -27,7 +27,7 @@
             try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(content)) {
                 String batch = unpacker.unpackString();
                 long keptAtMillis = unpacker.unpackLong();
-                BatchRecord record = StoredForms.readRecord(unpacker.readPayload(unpacker.unpackBinaryHeader()))
+                BatchRecord record = StoredValueCodec.readRecord(unpacker.readPayload(unpacker.unpackBinaryHeader()))
                         .get();
                 byte[] body = unpacker.readPayload(unpacker.unpackBinaryHeader());
                 return new OutboxEntry(batch, record, body, keptAtMillis);
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -92,7 +92,7 @@
     }
 
     /** Requests the planned stop; may be called repeatedly, from any thread. Stored submissions stay on the disk. */
-    public void askStop() {
+    public void requestStop() {
         loop.execute(() -> {
             timeline.event(EventKind.PROCESS_STOPPING)
                     .with("submissions", service.submissionCount())
@@ -108,7 +108,7 @@
     }
 
     /** Writes the buffered log lines, within a time-out in milliseconds. */
-    public void finishLog(long millis) {
+    public void flushLog(long millis) {
         log.finish(millis);
     }
 
--- a/src/main/java/org/gooseberryhill/process/AdminServer.java
+++ b/src/main/java/org/gooseberryhill/process/AdminServer.java
@@ -71,7 +71,7 @@
                 registry,
                 "gooseberry_key_value_calls",
                 "Calls of the key-value service",
-                () -> process.keyValue().calls());
+                () -> process.keyValue().callCount());
     }
 
     /** Replies to a call with the metrics of a registry in the Prometheus text format. */
--- a/src/main/java/org/gooseberryhill/registration/HostRegistration.java
+++ b/src/main/java/org/gooseberryhill/registration/HostRegistration.java
@@ -9,8 +9,8 @@
 import org.gooseberryhill.external.ExternalServiceException;
 import org.gooseberryhill.external.KeyValueStore;
 import org.gooseberryhill.external.Transaction;
-import org.gooseberryhill.stored.StoredForms;
 import org.gooseberryhill.stored.StoredKeys;
+import org.gooseberryhill.stored.StoredValueCodec;
 import org.gooseberryhill.timeline.EventKind;
 import org.gooseberryhill.timeline.Timeline;
 
@@ -84,7 +84,7 @@
         }
         ListedHost value = self.get();
         Transaction put = Transaction.builder()
-                .putUnderLease(StoredKeys.host(value.host().id().value()), StoredForms.write(value), lease.get())
+                .putUnderLease(StoredKeys.host(value.host().id().value()), StoredValueCodec.write(value), lease.get())
                 .build();
         onLoop(store.write(put), this::onWriteCompleted);
     }
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -132,8 +132,8 @@
             return;
         }
         Transaction write = Transaction.builder()
-                .ifAbsent(Keys.owner(key))
-                .putUnderLease(Keys.owner(key), process.claimValue(), leaseId.get())
+                .ifAbsent(Keys.jobClaim(key))
+                .putUnderLease(Keys.jobClaim(key), process.claimValue(), leaseId.get())
                 .build();
         process.keyValue()
                 .write(write)
@@ -163,7 +163,7 @@
      */
     private void findOwnClaim(JobKey key) {
         process.keyValue()
-                .read(Keys.owner(key))
+                .read(Keys.jobClaim(key))
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
                     Optional<KeyValueStore.Entry> own = failure != null
                             ? Optional.empty()
@@ -260,8 +260,8 @@
     private void releaseClaim(JobKey key, long fence) {
         process.keyValue()
                 .write(Transaction.builder()
-                        .ifCreatedAt(Keys.owner(key), fence)
-                        .delete(Keys.owner(key))
+                        .ifCreatedAt(Keys.jobClaim(key), fence)
+                        .delete(Keys.jobClaim(key))
                         .build());
     }
 
--- a/src/main/java/org/gooseberryhill/steward/JobSegments.java
+++ b/src/main/java/org/gooseberryhill/steward/JobSegments.java
@@ -51,7 +51,7 @@
     void commit(OwnedJob job, ChunkResult result) {
         commitsInProgress++;
         byte[] content = (String.join("\n", result.lines()) + "\n").getBytes(StandardCharsets.UTF_8);
-        String name = SegmentNames.results(job.key(), result.chunk(), job.fence(), content);
+        String name = SegmentNames.resultsName(job.key(), result.chunk(), job.fence(), content);
         ChunkRecord record = new ChunkRecord(name, result.lines().size(), result.failed(), job.fence());
         store(job, new PendingCommit(result.chunk(), record, content));
     }
@@ -59,11 +59,11 @@
     /** Marks a job as done once all its chunks are committed. */
     void finish(OwnedJob job) {
         Transaction write = Transaction.builder()
-                .ifCreatedAt(Keys.owner(job.key()), job.fence())
+                .ifCreatedAt(Keys.jobClaim(job.key()), job.fence())
                 .ifWrittenAt(Keys.job(job.key()), job.recordRevision())
                 .put(Keys.job(job.key()), Json.bytes(job.record().in(JobState.DONE)))
                 .delete(Keys.openJob(job.key()))
-                .delete(Keys.owner(job.key()))
+                .delete(Keys.jobClaim(job.key()))
                 .build();
         process.keyValue()
                 .write(write)
@@ -163,7 +163,7 @@
     private static Transaction commitTransaction(OwnedJob job, PendingCommit commit) {
         String key = Keys.chunk(job.key(), commit.chunk);
         return Transaction.builder()
-                .ifCreatedAt(Keys.owner(job.key()), job.fence())
+                .ifCreatedAt(Keys.jobClaim(job.key()), job.fence())
                 .ifWrittenAt(Keys.job(job.key()), job.recordRevision())
                 .ifAbsent(key)
                 .put(key, Json.bytes(commit.record))
--- a/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
+++ b/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
@@ -33,7 +33,7 @@
             return;
         }
         busy = true;
-        String key = Keys.load(nextSlot);
+        String key = Keys.loadSlot(nextSlot);
         nextSlot = (nextSlot + 1) % slots;
         byte[] holder = process.settings().self().id().value().getBytes(StandardCharsets.UTF_8);
         Transaction write = Transaction.builder()
--- a/src/main/java/org/gooseberryhill/steward/OrderDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/OrderDriver.java
@@ -85,7 +85,7 @@
             decision.claimed(Optional.empty(), process.loop().nowNanos());
             return;
         }
-        String key = Keys.endpoint(endpoint.name());
+        String key = Keys.endpointClaim(endpoint.name());
         Transaction write = Transaction.builder()
                 .ifAbsent(key)
                 .putUnderLease(key, process.claimValue(), leaseId.get())
--- a/src/main/java/org/gooseberryhill/store/SegmentNames.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentNames.java
@@ -19,7 +19,7 @@
      * Returns the name of the segment that holds the items of a chunk. The hash of the content distinguishes different
      * bodies submitted under one job id.
      */
-    public static String items(JobKey job, int chunk, byte[] content) {
+    public static String itemsName(JobKey job, int chunk, byte[] content) {
         return "items." + job.caller() + "." + job.id() + "." + chunk + "." + hash(content);
     }
 
@@ -27,7 +27,7 @@
      * Returns the name of the segment that holds the results of a chunk. The fencing token distinguishes the results of
      * different owners.
      */
-    public static String results(JobKey job, int chunk, long fence, byte[] content) {
+    public static String resultsName(JobKey job, int chunk, long fence, byte[] content) {
         return "results." + job.caller() + "." + job.id() + "." + chunk + "." + fence + "." + hash(content);
     }
 
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns the number of values that a body is split into. */
-    public static int bodyParts(byte[] body) {
+    public static int countBodyParts(byte[] body) {
         return Math.max(1, (body.length + MAX_VALUE_BYTES - 1) / MAX_VALUE_BYTES);
     }
 
@@ -53,7 +53,7 @@
     public CompletableFuture<KeyValueStore.WriteResult> create(String id, BatchRecord record, byte[] body) {
         Transaction.Builder transaction = Transaction.builder()
                 .ifWrittenAt(StoredKeys.batch(id), 0)
-                .put(StoredKeys.batch(id), StoredForms.write(record));
+                .put(StoredKeys.batch(id), StoredValueCodec.write(record));
         for (int part = 0; part < record.bodyParts(); part++) {
             int from = part * MAX_VALUE_BYTES;
             byte[] value = Arrays.copyOfRange(body, from, Math.min(body.length, from + MAX_VALUE_BYTES));
@@ -63,16 +63,17 @@
     }
 
     /** Reads a batch's record and its revision; empty if there is no such batch. */
-    public CompletableFuture<Optional<Stored>> read(String id) {
+    public CompletableFuture<Optional<StoredRecord>> readRecord(String id) {
         return store.read(StoredKeys.batch(id))
                 .thenApply(result -> result.first().map(entry -> decodeRecord(id, entry.value(), entry.modRevision())));
     }
 
     /** Reads the entry of a live host; empty if it has none or if it is unreadable. */
-    public CompletableFuture<Optional<Host>> host(HostId id) {
+    public CompletableFuture<Optional<Host>> readHost(HostId id) {
         return store.read(StoredKeys.host(id.value()))
                 .thenApply(result -> result.first()
-                        .flatMap(entry -> StoredForms.readHost(entry.value()).toJavaOptional())
+                        .flatMap(entry ->
+                                StoredValueCodec.readHost(entry.value()).toJavaOptional())
                         .map(ListedHost::host));
     }
 
@@ -81,9 +82,9 @@
      *
      * @param mayBeStale whether the list may be seconds old, which costs the store less
      */
-    public CompletableFuture<List<Stored>> list(boolean mayBeStale) {
+    public CompletableFuture<List<StoredRecord>> listRecords(boolean mayBeStale) {
         return store.list(StoredKeys.BATCHES, mayBeStale).thenApply(listing -> {
-            List<Stored> records = new ArrayList<>();
+            List<StoredRecord> records = new ArrayList<>();
             for (KeyChange entry : listing.entries()) {
                 String id = entry.key().substring(StoredKeys.BATCHES.length());
                 records.add(decodeRecord(id, entry.value().orElseThrow(), entry.revision()));
@@ -96,10 +97,10 @@
      * Replaces a record if it still has the given revision. If the batch is finished, deletes its checkpoints in the
      * same transaction.
      */
-    public CompletableFuture<KeyValueStore.WriteResult> replace(String id, long revision, BatchRecord record) {
+    public CompletableFuture<KeyValueStore.WriteResult> replaceRecord(String id, long revision, BatchRecord record) {
         Transaction.Builder transaction = Transaction.builder()
                 .ifWrittenAt(StoredKeys.batch(id), revision)
-                .put(StoredKeys.batch(id), StoredForms.write(record));
+                .put(StoredKeys.batch(id), StoredValueCodec.write(record));
         if (record.isFinished()) {
             transaction.delete(StoredKeys.progress(id));
         }
@@ -110,22 +111,24 @@
      * Saves the results and checkpoints of several batches in one transaction, on condition that the record of each
      * batch still has its revision.
      */
-    public CompletableFuture<KeyValueStore.WriteResult> save(List<Commit> commits, List<Progress> progress) {
+    public CompletableFuture<KeyValueStore.WriteResult> save(List<Commit> commits, List<Checkpoints> progress) {
         Transaction.Builder transaction = Transaction.builder();
         for (Commit commit : commits) {
             transaction
                     .ifWrittenAt(StoredKeys.batch(commit.id), commit.revision)
-                    .put(StoredKeys.batch(commit.id), StoredForms.write(commit.record))
-                    .put(StoredKeys.results(commit.id, commit.firstPosition), StoredForms.writeResults(commit.results));
+                    .put(StoredKeys.batch(commit.id), StoredValueCodec.write(commit.record))
+                    .put(
+                            StoredKeys.results(commit.id, commit.firstPosition),
+                            StoredValueCodec.writeResults(commit.results));
             if (commit.record.isFinished()) {
                 transaction.delete(StoredKeys.progress(commit.id));
             }
         }
-        for (Progress checkpoints : progress) {
+        for (Checkpoints checkpoints : progress) {
             if (commits.stream().noneMatch(commit -> commit.id.equals(checkpoints.id))) {
                 transaction.ifWrittenAt(StoredKeys.batch(checkpoints.id), checkpoints.revision);
             }
-            transaction.put(StoredKeys.progress(checkpoints.id), StoredForms.writeCheckpoints(checkpoints.items));
+            transaction.put(StoredKeys.progress(checkpoints.id), StoredValueCodec.writeCheckpoints(checkpoints.items));
         }
         return store.write(transaction.build());
     }
@@ -134,7 +137,7 @@
      * Deletes all keys of a batch if its record still has its revision, else returns false. Deletes results first and
      * the record last, since all transactions depend on the record's revision.
      */
-    public CompletableFuture<Boolean> delete(Stored found) {
+    public CompletableFuture<Boolean> delete(StoredRecord found) {
         List<String> keys = new ArrayList<>();
         found.record().chunks().forEach(position -> keys.add(StoredKeys.results(found.id(), position)));
         keys.add(StoredKeys.progress(found.id()));
@@ -145,7 +148,7 @@
         return delete(found, keys, 0);
     }
 
-    private CompletableFuture<Boolean> delete(Stored found, List<String> keys, int from) {
+    private CompletableFuture<Boolean> delete(StoredRecord found, List<String> keys, int from) {
         if (from >= keys.size()) {
             return CompletableFuture.completedFuture(true);
         }
@@ -159,25 +162,25 @@
     }
 
     /** Reads the latest saved checkpoints of a batch's open items; empty if none are saved. */
-    public CompletableFuture<List<ItemCheckpoint>> progress(String id) {
+    public CompletableFuture<List<ItemCheckpoint>> readCheckpoints(String id) {
         String key = StoredKeys.progress(id);
         return store.read(key)
                 .thenApply(result -> result.first()
-                        .map(entry -> requireDecoded(key, StoredForms.readCheckpoints(entry.value())))
+                        .map(entry -> requireDecoded(key, StoredValueCodec.readCheckpoints(entry.value())))
                         .orElse(List.of()));
     }
 
     /** Loads a batch for its owner: its items and all its committed results. */
-    public CompletableFuture<OwnedBatch> load(Stored found) {
+    public CompletableFuture<OwnedBatch> load(StoredRecord found) {
         BatchRecord record = found.record();
-        return items(found.id(), record)
+        return readItems(found.id(), record)
                 .thenCombine(
-                        results(found.id(), record, 0, record.chunks().size()),
+                        readResults(found.id(), record, 0, record.chunks().size()),
                         (items, results) -> new OwnedBatch(found.id(), record, found.revision(), items, results));
     }
 
     /** Reads all items of a batch. */
-    public CompletableFuture<List<BatchItem>> items(String id, BatchRecord record) {
+    public CompletableFuture<List<BatchItem>> readItems(String id, BatchRecord record) {
         return readParts(id, record, 0, new ByteArrayOutputStream())
                 .thenApply(body -> dialect.parseItems(body)
                         .getOrElseThrow(findings ->
@@ -190,7 +193,7 @@
      * @param firstChunk the index of the first chunk to read
      * @param chunks the maximum number of chunks to read
      */
-    public CompletableFuture<List<ItemResult>> results(String id, BatchRecord record, int firstChunk, int chunks) {
+    public CompletableFuture<List<ItemResult>> readResults(String id, BatchRecord record, int firstChunk, int chunks) {
         int last = Math.min(record.chunks().size(), firstChunk + chunks);
         return readChunks(id, record, firstChunk, last, new ArrayList<>());
     }
@@ -223,16 +226,16 @@
     private static List<ItemResult> decodeResults(String key, Optional<KeyValueStore.Entry> entry) {
         byte[] value = entry.orElseThrow(() -> new ExternalServiceException(key + " is missing"))
                 .value();
-        return requireDecoded(key, StoredForms.readResults(value));
+        return requireDecoded(key, StoredValueCodec.readResults(value));
     }
 
     private static <T> T requireDecoded(String key, Try<T> decoded) {
         return decoded.getOrElseThrow(failure -> new ExternalServiceException(key + ": " + failure.getMessage()));
     }
 
-    private static Stored decodeRecord(String id, byte[] value, long revision) {
-        BatchRecord record = requireDecoded("batch " + id, StoredForms.readRecord(value));
-        return new Stored(id, record, revision);
+    private static StoredRecord decodeRecord(String id, byte[] value, long revision) {
+        BatchRecord record = requireDecoded("batch " + id, StoredValueCodec.readRecord(value));
+        return new StoredRecord(id, record, revision);
     }
 
     /**
@@ -242,7 +245,7 @@
      * @param record the record
      * @param revision the revision that last wrote the record
      */
-    public record Stored(String id, BatchRecord record, long revision) {}
+    public record StoredRecord(String id, BatchRecord record, long revision) {}
 
     /**
      * A chunk of results to commit. Immutable.
@@ -262,5 +265,5 @@
      * @param revision the record's current revision
      * @param items the checkpoint of each item
      */
-    public record Progress(String id, long revision, List<ItemCheckpoint> items) {}
+    public record Checkpoints(String id, long revision, List<ItemCheckpoint> items) {}
 }
--- a/src/main/java/org/gooseberryhill/stored/StoredForms.java
+++ b/src/main/java/org/gooseberryhill/stored/StoredValueCodec.java
@@ -24,8 +24,8 @@
  * <p>Invariant: every host can read what any other host wrote. A value that lacks a field is unreadable; unknown fields
  * are ignored.
  */
-public final class StoredForms {
-    private StoredForms() {}
+public final class StoredValueCodec {
+    private StoredValueCodec() {}
 
     /** Encodes the entry of a live host. */
     public static byte[] write(ListedHost listed) {
--- a/src/main/java/org/gooseberryhill/view/KeyView.java
+++ b/src/main/java/org/gooseberryhill/view/KeyView.java
@@ -40,7 +40,7 @@
      * nothing before the first listing, or if {@code fromRevision} is beyond the known revision: the changes in between
      * are missing.
      */
-    public Optional<List<KeyChange>> advance(long fromRevision, long toRevision, List<KeyChange> changes) {
+    public Optional<List<KeyChange>> applyChanges(long fromRevision, long toRevision, List<KeyChange> changes) {
         if (revision == 0 || fromRevision > revision) {
             return Optional.empty();
         }
@@ -61,7 +61,7 @@
      * the listing is removed, unless it was written after the listing. Listings older than the known revision are
      * ignored.
      */
-    public List<KeyChange> replace(long listedRevision, List<KeyChange> listing) {
+    public List<KeyChange> applyListing(long listedRevision, List<KeyChange> listing) {
         if (listedRevision < revision) {
             return List.of();
         }
--- a/src/test/java/org/gooseberryhill/program/SystemFixture.java
+++ b/src/test/java/org/gooseberryhill/program/SystemFixture.java
@@ -137,7 +137,7 @@
             Loopback.await("an owner of " + id, () -> {
                 Optional<String> found = connection
                         .keyValue()
-                        .read(Keys.owner(key))
+                        .read(Keys.jobClaim(key))
                         .join()
                         .first()
                         .map(entry -> new String(entry.value(), StandardCharsets.UTF_8));
--- a/src/test/java/org/gooseberryhill/stored/StoredFormsTest.java
+++ b/src/test/java/org/gooseberryhill/stored/StoredValueCodecTest.java
@@ -16,7 +16,7 @@
 import org.gooseberryhill.zone.AvailabilityZone;
 import org.junit.jupiter.api.Test;
 
-class StoredFormsTest {
+class StoredValueCodecTest {
     private static final BatchRecord RECORD =
             new BatchRecord("host", "/b/1?x=\"y\"", "hash", "owner", "start", 1L << 40, 2, 9, true, List.of(0, 4), 6);
 
@@ -29,11 +29,14 @@
                 new ItemResult("i", ItemState.DONE, "a\nb \u00e4 \"c\""), new ItemResult("j", ItemState.GIVEN_UP, ""));
         List<ItemCheckpoint> checkpoints = List.of(new ItemCheckpoint("i", 1L << 33, "so far"));
 
-        assertThat(StoredForms.readHost(StoredForms.write(listed)).get()).isEqualTo(listed);
-        assertThat(StoredForms.readRecord(StoredForms.write(RECORD)).get()).isEqualTo(RECORD);
-        assertThat(StoredForms.readResults(StoredForms.writeResults(results)).get())
+        assertThat(StoredValueCodec.readHost(StoredValueCodec.write(listed)).get())
+                .isEqualTo(listed);
+        assertThat(StoredValueCodec.readRecord(StoredValueCodec.write(RECORD)).get())
+                .isEqualTo(RECORD);
+        assertThat(StoredValueCodec.readResults(StoredValueCodec.writeResults(results))
+                        .get())
                 .isEqualTo(results);
-        assertThat(StoredForms.readCheckpoints(StoredForms.writeCheckpoints(checkpoints))
+        assertThat(StoredValueCodec.readCheckpoints(StoredValueCodec.writeCheckpoints(checkpoints))
                         .get())
                 .isEqualTo(checkpoints);
     }
@@ -41,21 +44,23 @@
     /** A later version of the system may write additional fields; this version reads those that it knows. */
     @Test
     void anUnknownFieldIsIgnored() {
-        String json = new String(StoredForms.write(RECORD), StandardCharsets.UTF_8);
+        String json = new String(StoredValueCodec.write(RECORD), StandardCharsets.UTF_8);
         String more = json.replaceFirst("\\{", "{\"later\":[1],");
 
-        assertThat(StoredForms.readRecord(more.getBytes(StandardCharsets.UTF_8)).get())
+        assertThat(StoredValueCodec.readRecord(more.getBytes(StandardCharsets.UTF_8))
+                        .get())
                 .isEqualTo(RECORD);
     }
 
     @Test
     void aValueThatLacksAFieldOrIsNoJsonIsRejected() {
-        String json = new String(StoredForms.write(RECORD), StandardCharsets.UTF_8);
+        String json = new String(StoredValueCodec.write(RECORD), StandardCharsets.UTF_8);
         String less = json.replace("\"owner\"", "\"other\"");
 
-        assertThat(StoredForms.readRecord(less.getBytes(StandardCharsets.UTF_8)).isFailure())
+        assertThat(StoredValueCodec.readRecord(less.getBytes(StandardCharsets.UTF_8))
+                        .isFailure())
                 .isTrue();
-        assertThat(StoredForms.readRecord(new byte[] {1, 2}).isFailure()).isTrue();
-        assertThat(StoredForms.readRecord(new byte[0]).isFailure()).isTrue();
+        assertThat(StoredValueCodec.readRecord(new byte[] {1, 2}).isFailure()).isTrue();
+        assertThat(StoredValueCodec.readRecord(new byte[0]).isFailure()).isTrue();
     }
 }
--- a/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
+++ b/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
@@ -32,7 +32,7 @@
         }
         KeyView view = new KeyView();
         Map<String, Long> newest = new TreeMap<>();
-        view.replace(1, List.of());
+        view.applyListing(1, List.of());
         for (int i = 0; i < 60; i++) {
             applyRandomUpdate(view, history, random);
             for (KeyChange entry : view.entries()) {
@@ -40,7 +40,7 @@
                 newest.put(entry.key(), entry.revision());
             }
         }
-        view.advance(view.revision(), 29, after(history, view.revision(), 29));
+        view.applyChanges(view.revision(), 29, after(history, view.revision(), 29));
 
         assertThat(view.entries()).containsExactlyElementsOf(listing(history, 29));
     }
@@ -49,9 +49,9 @@
     @Test
     void changesAfterAGapAreRejected() {
         KeyView view = new KeyView();
-        view.replace(5, List.of());
+        view.applyListing(5, List.of());
 
-        assertThat(view.advance(7, 8, List.of(KeyChange.written("a", new byte[0], 8))))
+        assertThat(view.applyChanges(7, 8, List.of(KeyChange.written("a", new byte[0], 8))))
                 .isEmpty();
         assertThat(view.revision()).isEqualTo(5);
     }
@@ -60,10 +60,10 @@
     @Test
     void aKeyAbsentFromAListingIsRemovedUnlessItIsNewer() {
         KeyView view = new KeyView();
-        view.replace(5, List.of(KeyChange.written("a", new byte[0], 3), KeyChange.written("b", new byte[0], 4)));
-        view.advance(5, 9, List.of(KeyChange.written("c", new byte[0], 9)));
+        view.applyListing(5, List.of(KeyChange.written("a", new byte[0], 3), KeyChange.written("b", new byte[0], 4)));
+        view.applyChanges(5, 9, List.of(KeyChange.written("c", new byte[0], 9)));
 
-        List<KeyChange> changed = view.replace(9, List.of(KeyChange.written("b", new byte[0], 4)));
+        List<KeyChange> changed = view.applyListing(9, List.of(KeyChange.written("b", new byte[0], 4)));
 
         assertThat(changed).extracting(KeyChange::key).contains("a");
         assertThat(view.find("a")).isEmpty();
@@ -73,9 +73,9 @@
     @Test
     void anOlderListingChangesNothing() {
         KeyView view = new KeyView();
-        view.replace(9, List.of(KeyChange.written("a", new byte[0], 8)));
+        view.applyListing(9, List.of(KeyChange.written("a", new byte[0], 8)));
 
-        assertThat(view.replace(7, List.of())).isEmpty();
+        assertThat(view.applyListing(7, List.of())).isEmpty();
         assertThat(view.find("a")).isPresent();
     }
 
@@ -83,9 +83,9 @@
         long from = 1 + random.nextInt(28);
         long to = from + random.nextInt((int) (30 - from));
         if (random.nextInt(4) == 0) {
-            view.replace(to, listing(history, to));
+            view.applyListing(to, listing(history, to));
         } else {
-            view.advance(from, to, after(history, from, to));
+            view.applyChanges(from, to, after(history, from, to));
         }
     }
 
