--- a/src/main/java/org/gooseberryhill/entry/CallRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/CallRouter.java
@@ -20,9 +20,9 @@
 import org.gooseberryhill.decision.drain.PlannedStop;
 import org.gooseberryhill.decision.online.OnlineIntake;
 import org.gooseberryhill.host.Role;
-import org.gooseberryhill.http.HttpBody;
+import org.gooseberryhill.http.BodyCollector;
 import org.gooseberryhill.http.HttpCall;
-import org.gooseberryhill.http.WholeBody;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.process.AdminServer;
 
@@ -45,7 +45,7 @@
     }
 
     /** Routes a call by its head and returns the handler of its body. */
-    HttpBody route(HttpCall call) {
+    RequestBodyHandler route(HttpCall call) {
         String path = call.path();
         switch (path) {
             case "/healthz":
@@ -59,7 +59,7 @@
         }
     }
 
-    private HttpBody routeAuthenticated(HttpCall call) {
+    private RequestBodyHandler routeAuthenticated(HttpCall call) {
         String requestId = requestId(call);
         Optional<CallerSettings> caller = context.access().authenticate(call);
         if (caller.isEmpty()) {
@@ -188,19 +188,20 @@
         return context.process().loop().nowNanos() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    private HttpBody collectBody(HttpCall call, String requestId, Consumer<byte[]> onBody) {
+    private RequestBodyHandler collectBody(HttpCall call, String requestId, Consumer<byte[]> onBody) {
         int maxBytes = context.settings().maxBodyBytes();
-        return new WholeBody(
+        return new BodyCollector(
                 maxBytes,
                 onBody,
                 () -> refuse(call, requestId, ErrorCode.TOO_LARGE, "the body has more than " + maxBytes + " bytes"));
     }
 
-    private static HttpBody runAfterBody(HttpCall call, Runnable action) {
-        return new WholeBody(MAX_IGNORED_BODY_BYTES, body -> action.run(), () -> call.reply(413, JSON, new byte[0]));
+    private static RequestBodyHandler runAfterBody(HttpCall call, Runnable action) {
+        return new BodyCollector(
+                MAX_IGNORED_BODY_BYTES, body -> action.run(), () -> call.reply(413, JSON, new byte[0]));
     }
 
-    private static HttpBody refuseAfterBody(HttpCall call, String requestId, ErrorCode code, String message) {
+    private static RequestBodyHandler refuseAfterBody(HttpCall call, String requestId, ErrorCode code, String message) {
         return runAfterBody(call, () -> refuse(call, requestId, code, message));
     }
 
--- a/src/main/java/org/gooseberryhill/entry/EntryProcess.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryProcess.java
@@ -70,7 +70,7 @@
 
     /** Advances the planned stop. A request refused during the stop never runs, but the stop waits for its response. */
     private void advanceStop() {
-        int openResponses = server.map(HttpServer::unanswered).orElse(0);
+        int openResponses = server.map(HttpServer::requestsInProgress).orElse(0);
         process.advanceStop(Math.max(context.traffic().requestsInProgress(), openResponses), false);
     }
 
--- a/src/main/java/org/gooseberryhill/entry/JobRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/JobRouter.java
@@ -9,9 +9,9 @@
 import org.gooseberryhill.contract.ErrorCode;
 import org.gooseberryhill.contract.JobKey;
 import org.gooseberryhill.contract.Refusal;
-import org.gooseberryhill.http.HttpBody;
+import org.gooseberryhill.http.BodyCollector;
 import org.gooseberryhill.http.HttpCall;
-import org.gooseberryhill.http.WholeBody;
+import org.gooseberryhill.http.RequestBodyHandler;
 
 /** Routes the calls below {@code /v1/jobs}. A caller can reach only its own jobs, since job keys contain its name. */
 final class JobRouter {
@@ -29,7 +29,7 @@
         this.operations = new JobOperations(context);
     }
 
-    HttpBody route(HttpCall call, String requestId, CallerSettings caller) {
+    RequestBodyHandler route(HttpCall call, String requestId, CallerSettings caller) {
         if (!caller.maySubmitJobs()) {
             return refuseAfterBody(call, requestId, ErrorCode.NOT_FOUND, "this caller may not submit jobs");
         }
@@ -54,7 +54,7 @@
         };
     }
 
-    private HttpBody submit(HttpCall call, String requestId, CallerSettings caller, JobKey key) {
+    private RequestBodyHandler submit(HttpCall call, String requestId, CallerSettings caller, JobKey key) {
         if (!context.process().stop().acceptsAllRequests()) {
             return refuseAfterBody(call, requestId, ErrorCode.STOPPING, "this host is stopping");
         }
@@ -99,15 +99,15 @@
         return Try.of(() -> Instant.parse(due.get()).toEpochMilli()).toJavaOptional();
     }
 
-    private static HttpBody runAfterBody(HttpCall call, Runnable action) {
-        return new WholeBody(
+    private static RequestBodyHandler runAfterBody(HttpCall call, Runnable action) {
+        return new BodyCollector(
                 MAX_IGNORED_BODY_BYTES,
                 body -> action.run(),
                 () -> ErrorResponse.reply(
                         call, "", Refusal.notRun(ErrorCode.TOO_LARGE, "the call takes no body of this size")));
     }
 
-    private static HttpBody refuseAfterBody(HttpCall call, String requestId, ErrorCode code, String message) {
+    private static RequestBodyHandler refuseAfterBody(HttpCall call, String requestId, ErrorCode code, String message) {
         return runAfterBody(call, () -> ErrorResponse.reply(call, requestId, Refusal.notRun(code, message)));
     }
 }
--- a/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
@@ -19,8 +19,8 @@
 import org.gooseberryhill.external.KeyValueStore;
 import org.gooseberryhill.external.Keys;
 import org.gooseberryhill.external.Transaction;
-import org.gooseberryhill.http.HttpBody;
 import org.gooseberryhill.http.HttpCall;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.process.HostProcess;
 import org.gooseberryhill.store.SegmentNames;
@@ -32,7 +32,7 @@
  * <p>Invariant: the caller receives a success only once all items are on the disks of two zones and the job's record is
  * in the key-value service. If any item is invalid, no record is written and none of the items is accepted.
  */
-final class JobSubmissionHandler implements HttpBody {
+final class JobSubmissionHandler implements RequestBodyHandler {
     /** Items per chunk, the unit of storing and committing (docs/CAPACITY.md). */
     static final int CHUNK_ITEMS = 256;
 
@@ -112,10 +112,10 @@
         String name = SegmentNames.itemsName(request.key(), segmentNames.size(), content);
         segmentNames.add(name);
         // Reading pauses while a chunk is stored, so that a fast sender can't fill this host's memory.
-        call.readBody(false);
+        call.setBodyReading(false);
         chunksStored =
                 chunksStored.thenCompose(done -> context.process().segments().put(name, content));
-        chunksStored.whenComplete((done, failure) -> call.readBody(true));
+        chunksStored.whenComplete((done, failure) -> call.setBodyReading(true));
     }
 
     private void createRecord() {
--- a/src/main/java/org/gooseberryhill/entry/PlainCall.java
+++ b/src/main/java/org/gooseberryhill/entry/PlainCall.java
@@ -146,11 +146,11 @@
         @Override
         public void onBytes(byte[] bytes) {
             if (pendingBytes.addAndGet(bytes.length) > MAX_PENDING_BYTES && exchange != null) {
-                exchange.readAnswer(false);
+                exchange.setAnswerReading(false);
             }
             call.write(bytes).whenComplete((done, failure) -> {
                 if (pendingBytes.addAndGet(-bytes.length) <= MAX_PENDING_BYTES / 2 && exchange != null) {
-                    exchange.readAnswer(true);
+                    exchange.setAnswerReading(true);
                 }
             });
         }
--- a/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
+++ b/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
@@ -115,7 +115,7 @@
         }
 
         private void endStream() {
-            byte[] rest = events.rest();
+            byte[] rest = events.remainder();
             startAnswer();
             if (rest.length > 0) {
                 call.write(rest);
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -123,7 +123,7 @@
         Random random = new Random(seed);
         HostId self = settings.self().id();
         HttpClient http = new HttpClient(group);
-        Fleet fleet = new Fleet(http::hasKept);
+        Fleet fleet = new Fleet(http::hasIdleConnection);
         this.store = new RelayingKeyValueStore(
                 storeFactory.create(http), storeReachability, this::relayStoreCall, this::storeReachabilityChanged);
         CrashSuspects suspects = new CrashSuspects(SUSPECT_RETENTION_MILLIS, MAX_SUSPECTS);
@@ -269,7 +269,7 @@
         metrics.gauge("gooseberry_batches_open", "Request batches that this host runs", handOver::openBatchCount);
         metrics.gauge("gooseberry_store_calls", "Calls of the key-value store", () -> store.callCount());
         metrics.gauge(
-                "gooseberry_connects", "Connections made", () -> context.http().connects());
+                "gooseberry_connects", "Connections made", () -> context.http().connectionAttempts());
         metrics.gauge("gooseberry_lines_dropped", "Log lines dropped by a full ring", log::droppedLines);
         metrics.gauge(
                 "gooseberry_configuration_version",
--- a/src/main/java/org/gooseberryhill/gateway/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/gateway/ItemRun.java
@@ -128,7 +128,7 @@
     @Override
     public void onEnd() {
         boolean notRun = context.dialects().traffic().isNotRun(status, headers);
-        boolean complete = eventSplitter.rest().length == 0;
+        boolean complete = eventSplitter.remainder().length == 0;
         context.loop().execute(() -> {
             if (status == MISDIRECTED) {
                 end(RunEnd.NOT_RUN, AttemptEnd.OTHER_ENDPOINT, "status " + status);
--- a/src/main/java/org/gooseberryhill/gateway/MetricsServer.java
+++ b/src/main/java/org/gooseberryhill/gateway/MetricsServer.java
@@ -3,11 +3,11 @@
 import io.netty.channel.EventLoopGroup;
 import java.io.Closeable;
 import java.util.Map;
-import org.gooseberryhill.http.HttpBody;
+import org.gooseberryhill.http.BodyCollector;
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.http.HttpLimits;
 import org.gooseberryhill.http.HttpServer;
-import org.gooseberryhill.http.WholeBody;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.metrics.MetricSet;
 
@@ -30,8 +30,8 @@
         server.close();
     }
 
-    private HttpBody handle(HttpCall call) {
-        return new WholeBody(MAX_BODY_BYTES, body -> answer(call), () -> call.reply(413, Map.of(), new byte[0]));
+    private RequestBodyHandler handle(HttpCall call) {
+        return new BodyCollector(MAX_BODY_BYTES, body -> answer(call), () -> call.reply(413, Map.of(), new byte[0]));
     }
 
     private void answer(HttpCall call) {
--- a/src/main/java/org/gooseberryhill/gateway/Readiness.java
+++ b/src/main/java/org/gooseberryhill/gateway/Readiness.java
@@ -1,9 +1,9 @@
 package org.gooseberryhill.gateway;
 
 import java.util.Map;
-import org.gooseberryhill.http.HttpBody;
+import org.gooseberryhill.http.BodyCollector;
 import org.gooseberryhill.http.HttpCall;
-import org.gooseberryhill.http.WholeBody;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.timeline.EventKind;
 
 /**
@@ -50,8 +50,8 @@
     }
 
     /** Answers a readiness check of the balancer; may be called from any thread. */
-    HttpBody answer(HttpCall call) {
-        return new WholeBody(
+    RequestBodyHandler answer(HttpCall call) {
+        return new BodyCollector(
                 MAX_BODY_BYTES,
                 body -> call.reply(ready ? READY : NOT_READY, Map.of(), new byte[0]),
                 () -> call.reply(413, Map.of(), new byte[0]));
--- a/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
@@ -12,9 +12,9 @@
 import org.gooseberryhill.decision.dispatch.RoutedIntake;
 import org.gooseberryhill.dialect.BatchApiCall;
 import org.gooseberryhill.dialect.RequestMetadata;
-import org.gooseberryhill.http.HttpBody;
+import org.gooseberryhill.http.BodyCollector;
 import org.gooseberryhill.http.HttpCall;
-import org.gooseberryhill.http.WholeBody;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.route.Route;
 import org.gooseberryhill.route.RouteKind;
 import org.gooseberryhill.route.RouteTable;
@@ -57,7 +57,7 @@
     }
 
     /** Inspects the head of a call and returns the consumer of its body. */
-    HttpBody route(HttpCall call) {
+    RequestBodyHandler route(HttpCall call) {
         long arrivedNanos = context.nowNanos();
         RouteTable current = table;
         int maxBytes = current.configuration().limits().maxBodyBytes();
@@ -133,8 +133,8 @@
         return route.targets().get(0).service();
     }
 
-    private HttpBody readBody(HttpCall call, int maxBytes, Consumer<byte[]> onBody) {
-        return new WholeBody(
+    private RequestBodyHandler readBody(HttpCall call, int maxBytes, Consumer<byte[]> onBody) {
+        return new BodyCollector(
                 maxBytes,
                 onBody,
                 () -> refuse(
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -172,14 +172,14 @@
         if (finished || exchange.filter(watched::equals).isEmpty()) {
             return;
         }
-        long heardNanos = watched.heardNanos();
-        long silentMillis = TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - heardNanos);
+        long lastActivityNanos = watched.lastActivityNanos();
+        long silentMillis = TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - lastActivityNanos);
         if (silentMillis < SILENCE_TIMEOUT_MILLIS) {
             scheduleSilenceCheck(watched, SILENCE_TIMEOUT_MILLIS - silentMillis);
             return;
         }
         if (canFailOver()) {
-            watched.failIfSilentSince(heardNanos);
+            watched.failIfSilentSince(lastActivityNanos);
         }
         scheduleSilenceCheck(watched, SILENCE_RECHECK_MILLIS);
     }
--- a/src/main/java/org/gooseberryhill/gateway/StopSequence.java
+++ b/src/main/java/org/gooseberryhill/gateway/StopSequence.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 import org.gooseberryhill.decision.drain.PlannedStop;
 import org.gooseberryhill.http.HttpServer;
-import org.gooseberryhill.http.StoppingServer;
+import org.gooseberryhill.http.ServerShutdown;
 import org.gooseberryhill.registration.HostRegistration;
 import org.gooseberryhill.timeline.EventKind;
 
@@ -81,7 +81,7 @@
         int inProgress = traffic.inProgress() + runner.runningItems() + handOver.openBatchCount();
         HttpServer server = callers.get();
         PlannedStop.Phase phase = context.stop().advance(inProgress, !server.isDrained(), context.nowNanos());
-        StoppingServer.follow(server, phase);
+        ServerShutdown.applyPhase(server, phase);
         if (phase == PlannedStop.Phase.ENDED) {
             runner.cancelAllRuns();
             registration.remove(() -> complete(inProgress));
@@ -96,7 +96,7 @@
         context.timeline()
                 .event(EventKind.PROCESS_ENDED)
                 .with("inProgress", inProgress)
-                .with("unanswered", callers.get().unanswered())
+                .with("unanswered", callers.get().requestsInProgress())
                 .with("openConnections", callers.get().openConnections())
                 .write();
         ended.complete(null);
--- a/src/main/java/org/gooseberryhill/http/WholeBody.java
+++ b/src/main/java/org/gooseberryhill/http/BodyCollector.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** Collects a request body up to a maximum size and passes it on as a whole. Used by one event loop thread. */
-public final class WholeBody implements HttpBody {
+public final class BodyCollector implements RequestBodyHandler {
     private final int maxBytes;
     private final Consumer<byte[]> onComplete;
     private final Runnable onTooLarge;
@@ -18,7 +18,7 @@
      * @param onComplete receives the complete body
      * @param onTooLarge called once for a body that exceeds the maximum size
      */
-    public WholeBody(int maxBytes, Consumer<byte[]> onComplete, Runnable onTooLarge) {
+    public BodyCollector(int maxBytes, Consumer<byte[]> onComplete, Runnable onTooLarge) {
         this.maxBytes = maxBytes;
         this.onComplete = onComplete;
         this.onTooLarge = onTooLarge;
--- a/src/main/java/org/gooseberryhill/http/ClientExchange.java
+++ b/src/main/java/org/gooseberryhill/http/ClientExchange.java
@@ -31,7 +31,7 @@
     private Outcome outcome = Outcome.NOT_RUN;
     private boolean ended;
     private ScheduledFuture<?> silenceTimer;
-    private volatile long heardNanos = System.nanoTime();
+    private volatile long lastActivityNanos = System.nanoTime();
     private volatile boolean silenceCheckPending;
 
     ClientExchange(HttpClient client, ExchangeRequest request, ExchangeListener listener) {
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void readAnswer(boolean reading) {
+    public void setAnswerReading(boolean reading) {
         runUnlessEnded(connection -> {
             paused = !reading;
             connection.config().setAutoRead(reading);
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public long heardNanos() {
-        return heardNanos;
+    public long lastActivityNanos() {
+        return lastActivityNanos;
     }
 
     /** Schedules at most one check at a time, so that checks do not pile up on a blocked event loop. */
@@ -149,7 +149,7 @@
         }
         connection.pipeline().get(ClientConnectionHandler.class).attach(this);
         outcome = Outcome.MAY_HAVE_RUN;
-        heardNanos = System.nanoTime();
+        lastActivityNanos = System.nanoTime();
         connection.writeAndFlush(httpRequest()).addListener(done -> {
             if (!done.isSuccess()) {
                 failWith(
@@ -176,7 +176,7 @@
     }
 
     private void recordActivity() {
-        heardNanos = System.nanoTime();
+        lastActivityNanos = System.nanoTime();
     }
 
     private void scheduleSilenceCheck(long delayNanos) {
@@ -185,7 +185,7 @@
 
     private void checkSilence() {
         long limitNanos = TimeUnit.MILLISECONDS.toNanos(request.options().silenceTimeoutMillis());
-        long leftNanos = limitNanos - (System.nanoTime() - heardNanos);
+        long leftNanos = limitNanos - (System.nanoTime() - lastActivityNanos);
         if (paused) {
             // Reading is paused on this side, so the endpoint does not count as silent.
             scheduleSilenceCheck(limitNanos);
@@ -201,7 +201,7 @@
     private void failIfStillSilent(Channel connection, long sinceNanos) {
         silenceCheckPending = false;
         boolean sentHere = outcome == Outcome.MAY_HAVE_RUN && channel == connection;
-        if (sentHere && !paused && heardNanos == sinceNanos) {
+        if (sentHere && !paused && lastActivityNanos == sinceNanos) {
             long silentMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
             failWith(ExchangeFailure.Kind.SILENT, "no byte for " + silentMillis + " ms");
         }
--- a/src/main/java/org/gooseberryhill/http/EventSplitter.java
+++ b/src/main/java/org/gooseberryhill/http/EventSplitter.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns the bytes after the last complete event. */
-    public byte[] rest() {
+    public byte[] remainder() {
         return partial.clone();
     }
 
--- a/src/main/java/org/gooseberryhill/http/Exchange.java
+++ b/src/main/java/org/gooseberryhill/http/Exchange.java
@@ -12,16 +12,16 @@
      *
      * @param reading whether to read
      */
-    void readAnswer(boolean reading);
+    void setAnswerReading(boolean reading);
 
     /**
      * Returns the {@link System#nanoTime} at which bytes were last received. Before the first bytes, this is when the request
      * was sent; before that, when the exchange was created.
      */
-    long heardNanos();
+    long lastActivityNanos();
 
     /**
-     * Fails the exchange as silent if {@link #heardNanos} still has the given value after all bytes that have already arrived
+     * Fails the exchange as silent if {@link #lastActivityNanos} still has the given value after all bytes that have already arrived
      * are read. Does nothing before the request is sent, while reading is paused, or after the exchange has ended.
      */
     void failIfSilentSince(long sinceNanos);
--- a/src/main/java/org/gooseberryhill/http/HttpCall.java
+++ b/src/main/java/org/gooseberryhill/http/HttpCall.java
@@ -52,7 +52,7 @@
      *
      * @param reading whether to read
      */
-    void readBody(boolean reading);
+    void setBodyReading(boolean reading);
 
     /** Sets a callback that runs once if the caller's connection ends before the response is complete. */
     void onDisconnect(Runnable callback);
--- a/src/main/java/org/gooseberryhill/http/HttpClient.java
+++ b/src/main/java/org/gooseberryhill/http/HttpClient.java
@@ -29,7 +29,7 @@
 
     private final Bootstrap bootstrap;
     private final IdleConnectionPool idleConnections = new IdleConnectionPool();
-    private final LongAdder connects = new LongAdder();
+    private final LongAdder connectionAttempts = new LongAdder();
 
     /** Creates a client on the given event loops. */
     public HttpClient(EventLoopGroup group) {
@@ -65,7 +65,7 @@
      * @return completes when the connection is established, and exceptionally if it can't be
      */
     public CompletableFuture<Void> probe(Address address, int connectTimeoutMillis) {
-        connects.increment();
+        connectionAttempts.increment();
         CompletableFuture<Void> reached = new CompletableFuture<>();
         ChannelFuture connecting = openConnection(address, connectTimeoutMillis);
         connecting.addListener(done -> {
@@ -81,7 +81,7 @@
 
     /** Opens a new connection and begins an exchange on it. */
     void connect(ClientExchange exchange, ExchangeRequest request) {
-        connects.increment();
+        connectionAttempts.increment();
         ChannelFuture connecting =
                 openConnection(request.address(), request.options().connectTimeoutMillis());
         connecting.addListener(done -> {
@@ -109,18 +109,18 @@
     }
 
     /** Closes the idle connections to an address, for an address that another process has taken over. */
-    public void forget(Address address) {
+    public void closeIdleConnections(Address address) {
         idleConnections.closeAll(address);
     }
 
     /** Returns whether there is an idle connection to an address. */
-    public boolean hasKept(Address address) {
+    public boolean hasIdleConnection(Address address) {
         return idleConnections.hasIdle(address);
     }
 
     /** Returns the number of connection attempts so far. */
-    public long connects() {
-        return connects.sum();
+    public long connectionAttempts() {
+        return connectionAttempts.sum();
     }
 
     /** Keeps a connection for reuse after a complete response. */
--- a/src/main/java/org/gooseberryhill/http/HttpHandler.java
+++ b/src/main/java/org/gooseberryhill/http/HttpHandler.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface HttpHandler {
     /** Handles the head of a request and returns the receiver of its body. */
-    HttpBody handle(HttpCall call);
+    RequestBodyHandler handle(HttpCall call);
 }
--- a/src/main/java/org/gooseberryhill/http/HttpServer.java
+++ b/src/main/java/org/gooseberryhill/http/HttpServer.java
@@ -39,7 +39,7 @@
 
     private final Channel listener;
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final AtomicInteger unanswered = new AtomicInteger();
+    private final AtomicInteger requestsInProgress = new AtomicInteger();
     private final AtomicBoolean stopListeningRequested = new AtomicBoolean();
     private volatile boolean announceClose;
 
@@ -62,7 +62,7 @@
                         channel.pipeline()
                                 .addLast(newCodec(currentLimits))
                                 .addLast(new ServerConnectionHandler(
-                                        handler, currentLimits, () -> announceClose, unanswered));
+                                        handler, currentLimits, () -> announceClose, requestsInProgress));
                     }
                 })
                 .register()
@@ -119,8 +119,8 @@
      * Returns the number of requests in progress: their head has been received, and their complete response has not been handed
      * to the connection yet.
      */
-    public int unanswered() {
-        return unanswered.get();
+    public int requestsInProgress() {
+        return requestsInProgress.get();
     }
 
     /** Starts closing the listening socket; pending connections are still accepted, and open ones stay open. */
@@ -132,7 +132,7 @@
 
     /** Returns whether the listening socket and all connections are closed and no request is in progress. */
     public boolean isDrained() {
-        return !listener.isOpen() && connections.isEmpty() && unanswered.get() == 0;
+        return !listener.isOpen() && connections.isEmpty() && requestsInProgress.get() == 0;
     }
 
     /** Closes the listening socket and all connections immediately. */
--- a/src/main/java/org/gooseberryhill/http/HttpBody.java
+++ b/src/main/java/org/gooseberryhill/http/RequestBodyHandler.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.http;
 
 /** Receives the body of one request; called by one event loop thread. */
-public interface HttpBody {
+public interface RequestBodyHandler {
     /** Receives the next part of the body. */
     void onBytes(byte[] bytes);
 
--- a/src/main/java/org/gooseberryhill/http/ServerCall.java
+++ b/src/main/java/org/gooseberryhill/http/ServerCall.java
@@ -151,7 +151,7 @@
     }
 
     @Override
-    public void readBody(boolean reading) {
+    public void setBodyReading(boolean reading) {
         runOnEventLoop(() -> {
             if (!ended) {
                 connection.setBodyReadingPaused(context.channel(), !reading);
--- a/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
@@ -49,7 +49,7 @@
     private final HttpLimits limits;
     private final Queue<HttpObject> queuedMessages = new ArrayDeque<>();
     private ServerCall call;
-    private HttpBody body;
+    private RequestBodyHandler bodyHandler;
     private boolean bodyComplete;
     private boolean bodyReadingPaused;
     private boolean processingQueued;
@@ -122,8 +122,8 @@
         cancelIdleTimer();
         releaseQueued();
         if (call != null) {
-            if (body != null && !bodyComplete) {
-                body.onAborted();
+            if (bodyHandler != null && !bodyComplete) {
+                bodyHandler.onAborted();
             }
             call.disconnected();
             requestsInProgress.decrementAndGet();
@@ -267,21 +267,21 @@
         }
         ServerCall newCall = new ServerCall(context, this, request);
         call = newCall;
-        body = handler.handle(newCall);
+        bodyHandler = handler.handle(newCall);
     }
 
     private void processBody(HttpContent content) {
-        if (body == null) {
+        if (bodyHandler == null) {
             return;
         }
         if (content.content().isReadable()) {
-            body.onBytes(ByteBufUtil.getBytes(content.content()));
+            bodyHandler.onBytes(ByteBufUtil.getBytes(content.content()));
         }
         if (content instanceof LastHttpContent) {
-            HttpBody completedBody = body;
-            body = null;
+            RequestBodyHandler completedHandler = bodyHandler;
+            bodyHandler = null;
             bodyComplete = true;
-            completedBody.onEnd();
+            completedHandler.onEnd();
         }
     }
 
--- a/src/main/java/org/gooseberryhill/http/StoppingServer.java
+++ b/src/main/java/org/gooseberryhill/http/ServerShutdown.java
@@ -3,11 +3,11 @@
 import org.gooseberryhill.decision.drain.PlannedStop;
 
 /** Applies the phases of the planned stop of a process to a server. Stateless. */
-public final class StoppingServer {
-    private StoppingServer() {}
+public final class ServerShutdown {
+    private ServerShutdown() {}
 
     /** Applies a phase to a server. Idempotent; called repeatedly until the stop is over. */
-    public static void follow(HttpServer server, PlannedStop.Phase phase) {
+    public static void applyPhase(HttpServer server, PlannedStop.Phase phase) {
         switch (phase) {
             case SERVING -> {
                 // Connections stay open, and responses say so.
--- a/src/main/java/org/gooseberryhill/process/AdminServer.java
+++ b/src/main/java/org/gooseberryhill/process/AdminServer.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 import org.gooseberryhill.decision.drain.PlannedStop;
-import org.gooseberryhill.http.HttpBody;
+import org.gooseberryhill.http.BodyCollector;
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.http.HttpLimits;
 import org.gooseberryhill.http.HttpServer;
-import org.gooseberryhill.http.WholeBody;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.Json;
 
@@ -88,8 +88,8 @@
         server.close();
     }
 
-    private HttpBody handle(HttpCall call) {
-        return new WholeBody(MAX_BODY_BYTES, body -> answer(call), () -> call.reply(413, JSON, new byte[0]));
+    private RequestBodyHandler handle(HttpCall call) {
+        return new BodyCollector(MAX_BODY_BYTES, body -> answer(call), () -> call.reply(413, JSON, new byte[0]));
     }
 
     private void answer(HttpCall call) {
--- a/src/main/java/org/gooseberryhill/standin/HostListStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/HostListStandin.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import org.gooseberryhill.external.HostList;
 import org.gooseberryhill.host.Host;
-import org.gooseberryhill.http.HttpBody;
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.http.HttpLimits;
 import org.gooseberryhill.http.HttpServer;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.Json;
 
@@ -78,7 +78,7 @@
         timer.schedule(() -> visibleListing = listing, lagMillis, TimeUnit.MILLISECONDS);
     }
 
-    private HttpBody handle(HttpCall call) {
+    private RequestBodyHandler handle(HttpCall call) {
         return StandinHttp.collectBody(call, body -> {
             meter.count(call.method());
             if (call.method().equals("GET")) {
--- a/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.gooseberryhill.external.EtcdJson;
-import org.gooseberryhill.http.HttpBody;
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.http.HttpLimits;
 import org.gooseberryhill.http.HttpServer;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.Json;
 
@@ -76,7 +76,7 @@
         server.close();
     }
 
-    private HttpBody handle(HttpCall call) {
+    private RequestBodyHandler handle(HttpCall call) {
         return StandinHttp.collectBody(call, body -> {
             JsonNode json = Json.tree(body).getOrElse(Json.object());
             if (call.path().startsWith("/standin/")) {
--- a/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.gooseberryhill.http.HttpBody;
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.http.HttpLimits;
 import org.gooseberryhill.http.HttpServer;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.Json;
 
@@ -63,7 +63,7 @@
         server.close();
     }
 
-    private HttpBody handle(HttpCall call) {
+    private RequestBodyHandler handle(HttpCall call) {
         return StandinHttp.collectBody(call, body -> {
             String path = call.path();
             if (call.method().equals("POST") && path.equals("/bookings")) {
--- a/src/main/java/org/gooseberryhill/standin/StandinHttp.java
+++ b/src/main/java/org/gooseberryhill/standin/StandinHttp.java
@@ -2,9 +2,9 @@
 
 import java.util.Map;
 import java.util.function.Consumer;
-import org.gooseberryhill.http.HttpBody;
+import org.gooseberryhill.http.BodyCollector;
 import org.gooseberryhill.http.HttpCall;
-import org.gooseberryhill.http.WholeBody;
+import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Json;
 
 /** HTTP helpers that all stand-ins share. Stateless. */
@@ -19,7 +19,7 @@
         call.reply(status, JSON, Json.bytes(value));
     }
 
-    static HttpBody collectBody(HttpCall call, Consumer<byte[]> onComplete) {
-        return new WholeBody(MAX_BODY_BYTES, onComplete, () -> call.reply(413, JSON, new byte[0]));
+    static RequestBodyHandler collectBody(HttpCall call, Consumer<byte[]> onComplete) {
+        return new BodyCollector(MAX_BODY_BYTES, onComplete, () -> call.reply(413, JSON, new byte[0]));
     }
 }
--- a/src/test/java/org/gooseberryhill/http/BlockedEventLoopTest.java
+++ b/src/test/java/org/gooseberryhill/http/BlockedEventLoopTest.java
@@ -121,11 +121,11 @@
         Loopback.await("the end of the last connection", server::isDrained);
     }
 
-    private HttpBody handle(HttpCall call) {
+    private RequestBodyHandler handle(HttpCall call) {
         if (call.path().equals("/busy")) {
             blockEventLoop();
         }
-        return new WholeBody(
+        return new BodyCollector(
                 MAX_BODY_BYTES,
                 body -> call.reply(200, Map.of(), RawEndpoint.ascii(call.path())),
                 () -> call.reply(413, Map.of(), new byte[0]));
--- a/src/test/java/org/gooseberryhill/http/ClosingIdleConnectionsTest.java
+++ b/src/test/java/org/gooseberryhill/http/ClosingIdleConnectionsTest.java
@@ -61,8 +61,9 @@
         }
     }
 
-    private static HttpBody handle(HttpCall call) {
-        return new WholeBody(BODY_BYTES, body -> call.reply(200, Map.of(), RawEndpoint.ascii(call.path())), () -> {});
+    private static RequestBodyHandler handle(HttpCall call) {
+        return new BodyCollector(
+                BODY_BYTES, body -> call.reply(200, Map.of(), RawEndpoint.ascii(call.path())), () -> {});
     }
 
     /** Blocks the event loop until the returned latch is released; returns when it is blocked. */
--- a/src/test/java/org/gooseberryhill/http/EndedExchangeTest.java
+++ b/src/test/java/org/gooseberryhill/http/EndedExchangeTest.java
@@ -44,7 +44,7 @@
         answer("next");
 
         assertThat(next.join().body()).isEqualTo(ascii("next"));
-        assertThat(client.connects()).isEqualTo(1);
+        assertThat(client.connectionAttempts()).isEqualTo(1);
     }
 
     /** Guards against a response that is never read because an earlier exchange on its connection was paused late. */
@@ -53,7 +53,7 @@
         Exchange ended = completeExchange();
         CompletableFuture<HttpResult> next = startExchange();
 
-        ended.readAnswer(false);
+        ended.setAnswerReading(false);
         answer("next");
 
         assertThat(next.join().body()).isEqualTo(ascii("next"));
@@ -64,7 +64,7 @@
     void pausingAnExchangeAsItsAnswerCompletesLeavesItsConnectionReadable() throws InterruptedException {
         EndListener listener = new EndListener();
         Exchange held = client.start(request(), listener);
-        listener.onHead = () -> held.readAnswer(false);
+        listener.onHead = () -> held.setAnswerReading(false);
         answer("first");
         listener.ended.join();
 
@@ -106,8 +106,9 @@
         calls.take().reply(200, Map.of(), ascii(text));
     }
 
-    private HttpBody handle(HttpCall call) {
-        return new WholeBody(MAX_ANSWER_BYTES, body -> calls.add(call), () -> call.reply(413, Map.of(), new byte[0]));
+    private RequestBodyHandler handle(HttpCall call) {
+        return new BodyCollector(
+                MAX_ANSWER_BYTES, body -> calls.add(call), () -> call.reply(413, Map.of(), new byte[0]));
     }
 
     private ExchangeRequest request() {
--- a/src/test/java/org/gooseberryhill/http/EventSplitterProperties.java
+++ b/src/test/java/org/gooseberryhill/http/EventSplitterProperties.java
@@ -31,7 +31,7 @@
         }
 
         assertThat(texts(events)).isEqualTo(expected);
-        assertThat(cut.rest()).isEqualTo(whole.rest());
+        assertThat(cut.remainder()).isEqualTo(whole.remainder());
     }
 
     /** No byte may be changed, dropped or duplicated. */
@@ -41,7 +41,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
 
         splitter.read(stream.getBytes(StandardCharsets.UTF_8)).forEach(event -> out.writeBytes(event.raw()));
-        out.writeBytes(splitter.rest());
+        out.writeBytes(splitter.remainder());
 
         assertThat(out.toString(StandardCharsets.UTF_8)).isEqualTo(stream);
     }
--- a/src/test/java/org/gooseberryhill/http/HttpServerTest.java
+++ b/src/test/java/org/gooseberryhill/http/HttpServerTest.java
@@ -107,11 +107,11 @@
             Loopback.await("the end of listening", () -> !accepts());
 
             assertThat(server.isDrained()).isFalse();
-            assertThat(server.unanswered()).isEqualTo(1);
+            assertThat(server.requestsInProgress()).isEqualTo(1);
         }
 
         Loopback.await("the end of the last connection", server::isDrained);
-        assertThat(server.unanswered()).isZero();
+        assertThat(server.requestsInProgress()).isZero();
     }
 
     /** Guards against a process that ends while callers can still connect to it. */
@@ -129,11 +129,11 @@
     void aRequestIsNoLongerUnansweredOnceItsAnswerIsWhole() throws IOException {
         try (Socket caller = new Socket(address.ip(), address.port())) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
-            Loopback.await("the request", () -> server.unanswered() == 1 && !heldCalls.isEmpty());
+            Loopback.await("the request", () -> server.requestsInProgress() == 1 && !heldCalls.isEmpty());
 
             heldCalls.remove().reply(200, Map.of(), RawEndpoint.ascii("whole"));
 
-            Loopback.await("its answer", () -> server.unanswered() == 0);
+            Loopback.await("its answer", () -> server.requestsInProgress() == 0);
             assertThat(server.openConnections()).isEqualTo(1);
         }
     }
@@ -149,7 +149,7 @@
             assertThat(caller.getInputStream().read(new byte[SMALL_ANSWER_BYTES]))
                     .isPositive();
 
-            answered.readBody(false);
+            answered.setBodyReading(false);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
 
             Loopback.await("the next request", () -> !heldCalls.isEmpty());
@@ -166,7 +166,7 @@
             caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /one HTTP/1.1\r\n\r\n"));
             assertThat(caller.getInputStream().read()).isPositive();
-            Loopback.await("the answer", () -> patient.unanswered() == 0);
+            Loopback.await("the answer", () -> patient.requestsInProgress() == 0);
 
             patient.closeIdle();
 
@@ -179,7 +179,7 @@
     void closingIdleConnectionsDoesNotCutOffAnAnswerInTransit() throws IOException {
         try (Socket caller = slowReader()) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /large HTTP/1.1\r\n\r\n"));
-            Loopback.await("the answer", () -> answered.get() == 1 && server.unanswered() == 0);
+            Loopback.await("the answer", () -> answered.get() == 1 && server.requestsInProgress() == 0);
 
             server.closeIdle();
 
@@ -196,13 +196,13 @@
             Loopback.await("the request", () -> !heldCalls.isEmpty());
             HttpCall call = heldCalls.remove();
             call.beginStream(200, Map.of());
-            call.readBody(false);
+            call.setBodyReading(false);
             call.write(new byte[1]).join();
             caller.getOutputStream().write(new byte[UNREAD_BYTES]);
 
             call.write(new byte[UNREAD_ANSWER_BYTES]);
             call.endStream();
-            Loopback.await("the end of the answer", () -> server.unanswered() == 0);
+            Loopback.await("the end of the answer", () -> server.requestsInProgress() == 0);
 
             assertThat(caller.getInputStream().readAllBytes()).hasSizeGreaterThan(UNREAD_ANSWER_BYTES);
         }
@@ -214,7 +214,7 @@
         server.closeAfterResponses();
         try (Socket caller = slowReader()) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /large HTTP/1.1\r\n\r\n"));
-            Loopback.await("the answer", () -> answered.get() == 1 && server.unanswered() == 0);
+            Loopback.await("the answer", () -> answered.get() == 1 && server.requestsInProgress() == 0);
 
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
 
@@ -279,33 +279,33 @@
         return new HttpLimits(512, 256, idleMillis, 16 * 1024 * 1024, 1000);
     }
 
-    private HttpBody handle(HttpCall call) {
+    private RequestBodyHandler handle(HttpCall call) {
         call.onDisconnect(disconnects::incrementAndGet);
         if (call.path().equals("/stream")) {
             call.beginStream(200, Map.of());
             call.write(RawEndpoint.ascii("part"));
-            return new WholeBody(100, body -> {}, () -> {});
+            return new BodyCollector(100, body -> {}, () -> {});
         }
         if (call.path().equals("/large")) {
             call.reply(200, Map.of(), new byte[LARGE_ANSWER_BYTES]);
             answered.incrementAndGet();
-            return new WholeBody(100, body -> {}, () -> {});
+            return new BodyCollector(100, body -> {}, () -> {});
         }
         if (call.path().equals("/upload")) {
-            return new WholeBody(
+            return new BodyCollector(
                     UPLOAD_BYTES,
                     body -> call.reply(200, Map.of(), RawEndpoint.ascii("received " + body.length)),
                     () -> {});
         }
         if (call.path().equals("/held")) {
-            return new WholeBody(100, body -> heldCalls.add(call), () -> {});
+            return new BodyCollector(100, body -> heldCalls.add(call), () -> {});
         }
         if (call.path().equals("/abort")) {
             call.beginStream(200, Map.of());
             call.write(RawEndpoint.ascii("part")).whenComplete((done, failure) -> call.abortStream());
-            return new WholeBody(100, body -> {}, () -> {});
+            return new BodyCollector(100, body -> {}, () -> {});
         }
-        return new WholeBody(
+        return new BodyCollector(
                 100,
                 body -> call.reply(200, Map.of(), RawEndpoint.ascii(call.path())),
                 () -> call.reply(413, Map.of(), new byte[0]));
--- a/src/test/java/org/gooseberryhill/http/ListeningSocketTest.java
+++ b/src/test/java/org/gooseberryhill/http/ListeningSocketTest.java
@@ -54,8 +54,8 @@
         }
     }
 
-    private static HttpBody answer(HttpCall call) {
-        return new WholeBody(
+    private static RequestBodyHandler answer(HttpCall call) {
+        return new BodyCollector(
                 1024, body -> call.reply(204, Map.of(), body), () -> call.reply(413, Map.of(), new byte[0]));
     }
 }
--- a/src/test/java/org/gooseberryhill/http/ServerConnectionHandlerTest.java
+++ b/src/test/java/org/gooseberryhill/http/ServerConnectionHandlerTest.java
@@ -204,8 +204,8 @@
     void resumingTheBodyDoesNotResumeReadingWhileManyRequestsAreQueued() {
         receive("GET /held HTTP/1.1\r\n\r\n" + "GET /one HTTP/1.1\r\n\r\n".repeat(MANY_REQUESTS));
 
-        heldCalls.get(0).readBody(false);
-        heldCalls.get(0).readBody(true);
+        heldCalls.get(0).setBodyReading(false);
+        heldCalls.get(0).setBodyReading(true);
 
         assertThat(connection.config().isAutoRead()).isFalse();
     }
@@ -214,7 +214,7 @@
     @Test
     void readingOfAPausedBodyResumesAfterTheAnswer() {
         receive("GET /held HTTP/1.1\r\n\r\n");
-        heldCalls.get(0).readBody(false);
+        heldCalls.get(0).setBodyReading(false);
         assertThat(connection.config().isAutoRead()).isFalse();
 
         heldCalls.remove(0).reply(200, Map.of(), RawEndpoint.ascii("/held"));
@@ -312,14 +312,14 @@
         assertThat(startedPaths).isEmpty();
     }
 
-    private HttpBody handle(HttpCall call) {
+    private RequestBodyHandler handle(HttpCall call) {
         startedPaths.add(call.path());
         if (call.path().equals("/held")) {
             heldCalls.add(call);
-            return new WholeBody(BODY_BYTES, body -> {}, () -> {});
+            return new BodyCollector(BODY_BYTES, body -> {}, () -> {});
         }
         String answer = call.path().equals("/large") ? LARGE_ANSWER : call.path();
-        return new WholeBody(BODY_BYTES, body -> call.reply(200, Map.of(), RawEndpoint.ascii(answer)), () -> {});
+        return new BodyCollector(BODY_BYTES, body -> call.reply(200, Map.of(), RawEndpoint.ascii(answer)), () -> {});
     }
 
     /** Reads one piece of the response in each half of an idle period. */
--- a/src/test/java/org/gooseberryhill/http/SilentExchangeTest.java
+++ b/src/test/java/org/gooseberryhill/http/SilentExchangeTest.java
@@ -54,10 +54,10 @@
         call.beginStream(200, Map.of());
         call.write(ascii("one "));
         Loopback.await("the first part", () -> answer.text().equals("one "));
-        long heardNanos = exchange.heardNanos();
+        long lastActivityNanos = exchange.lastActivityNanos();
         blockClientEventLoops();
 
-        exchange.failIfSilentSince(heardNanos);
+        exchange.failIfSilentSince(lastActivityNanos);
         call.write(ascii("two ")).join();
         LockSupport.parkNanos(STALL_NANOS);
         release.countDown();
@@ -79,13 +79,13 @@
         CollectedAnswer next = new CollectedAnswer();
         Exchange exchange = client.start(request(), next);
 
-        exchange.failIfSilentSince(exchange.heardNanos());
+        exchange.failIfSilentSince(exchange.lastActivityNanos());
         LockSupport.parkNanos(STALL_NANOS);
         release.countDown();
         calls.take().reply(200, Map.of(), ascii("next"));
 
         next.ended.join();
-        assertThat(client.connects()).isEqualTo(1);
+        assertThat(client.connectionAttempts()).isEqualTo(1);
     }
 
     @Test
@@ -95,7 +95,7 @@
         CompletableFuture<Void> disconnected = new CompletableFuture<>();
         calls.take().onDisconnect(() -> disconnected.complete(null));
 
-        exchange.failIfSilentSince(exchange.heardNanos());
+        exchange.failIfSilentSince(exchange.lastActivityNanos());
 
         ExchangeFailure failure = answer.failed.join();
         assertThat(failure.kind()).isEqualTo(ExchangeFailure.Kind.SILENT);
@@ -121,8 +121,9 @@
         }
     }
 
-    private HttpBody handle(HttpCall call) {
-        return new WholeBody(MAX_ANSWER_BYTES, body -> calls.add(call), () -> call.reply(413, Map.of(), new byte[0]));
+    private RequestBodyHandler handle(HttpCall call) {
+        return new BodyCollector(
+                MAX_ANSWER_BYTES, body -> calls.add(call), () -> call.reply(413, Map.of(), new byte[0]));
     }
 
     private ExchangeRequest request() {
