--- a/src/main/java/org/gooseberryhill/entry/CallRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/CallRouter.java
@@ -163,11 +163,11 @@
 
     private void replyReadiness(HttpCall call) {
         context.process().loop().execute(() -> {
-            boolean serving = context.process().stop().phase() == PlannedStop.Phase.SERVING;
+            boolean serving = context.process().plannedStop().phase() == PlannedStop.Phase.SERVING;
             long revision = context.process().configuration().revision();
             // Without a known store every job would be refused, so the balancer should use another host until one is
             // known.
-            boolean knowsStores = !context.process().present(Role.STORE).isEmpty();
+            boolean knowsStores = !context.process().presentHosts(Role.STORE).isEmpty();
             boolean ready = serving && revision > 0 && knowsStores;
             call.reply(
                     ready ? 200 : 503,
--- a/src/main/java/org/gooseberryhill/entry/EntryProcess.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryProcess.java
@@ -32,15 +32,15 @@
         EntryMetrics metrics = new EntryMetrics();
         AdminServer.registerMetrics(process, metrics.registry());
         this.context = new EntryContext(process, settings, traffic, access, metrics);
-        process.roleHandler(this::handleMessage);
+        process.setRoleHandler(this::handleMessage);
     }
 
     /** Starts the process and its HTTP server. */
     public void start() {
         process.start();
         CallRouter router = new CallRouter(context);
-        server = Optional.of(
-                HttpServer.start(process.group(), settings.httpAddress(), settings.httpLimits(), router::route));
+        server = Optional.of(HttpServer.start(
+                process.eventLoopGroup(), settings.httpAddress(), settings.httpLimits(), router::route));
         process.loop().every(STOP_CHECK_MILLIS, this::advanceStop);
     }
 
@@ -52,7 +52,7 @@
     /**
      * Returns whether this entry sends no new requests to an endpoint because it is leaving. For the control thread.
      */
-    public boolean knowsLeaving(String endpoint) {
+    public boolean isEndpointLeaving(String endpoint) {
         return context.traffic()
                 .core()
                 .endpoints()
--- a/src/main/java/org/gooseberryhill/entry/JobOwnerNotifier.java
+++ b/src/main/java/org/gooseberryhill/entry/JobOwnerNotifier.java
@@ -13,7 +13,7 @@
     private JobOwnerNotifier() {}
 
     static void notifyOwner(HostProcess process, JobKey job, boolean cancelled) {
-        Optional<Host> owner = Ownership.ownerOfJob(job, process.present(Role.STEWARD));
-        owner.ifPresent(host -> process.tell(host, new PeerMessage.JobNotice(job.path(), cancelled)));
+        Optional<Host> owner = Ownership.ownerOfJob(job, process.presentHosts(Role.STEWARD));
+        owner.ifPresent(host -> process.send(host, new PeerMessage.JobNotice(job.path(), cancelled)));
     }
 }
--- a/src/main/java/org/gooseberryhill/entry/JobRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/JobRouter.java
@@ -55,7 +55,7 @@
     }
 
     private RequestBodyHandler submit(HttpCall call, String requestId, CallerSettings caller, JobKey key) {
-        if (!context.process().stop().acceptsAllRequests()) {
+        if (!context.process().plannedStop().acceptsAllRequests()) {
             return refuseAfterBody(call, requestId, ErrorCode.STOPPING, "this host is stopping");
         }
         String model = call.parameter("model").orElse("");
--- a/src/main/java/org/gooseberryhill/entry/LoadReporter.java
+++ b/src/main/java/org/gooseberryhill/entry/LoadReporter.java
@@ -92,7 +92,7 @@
         }
         Host steward = stewardByEndpoint.computeIfAbsent(
                 endpoint.name(),
-                name -> Ownership.ownerOfEndpoint(name, endpoint.zone(), process.present(Role.STEWARD))
+                name -> Ownership.ownerOfEndpoint(name, endpoint.zone(), process.presentHosts(Role.STEWARD))
                         .orElse(null));
         return Optional.ofNullable(steward);
     }
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -151,7 +151,7 @@
     }
 
     private void admit() {
-        if (!process().stop().acceptsAllRequests()) {
+        if (!process().plannedStop().acceptsAllRequests()) {
             reject(Refusal.notRun(ErrorCode.STOPPING, "this host is stopping", 1));
             return;
         }
@@ -214,7 +214,7 @@
             onPermitAnswer(Optional.empty());
             return;
         }
-        PeerMessage message = new PeerMessage.SuspectPermitAsk(
+        PeerMessage message = new PeerMessage.SuspectPermitRequest(
                 intake.service(), intake.fingerprint().value(), ask.endpoints());
         process()
                 .ask(arbiter.get(), message)
@@ -245,7 +245,7 @@
                 intake.service(), intake.fingerprint().value(), completed);
         context.traffic()
                 .suspectArbiter(intake.service())
-                .ifPresent(host -> process().tell(host, release));
+                .ifPresent(host -> process().send(host, release));
     }
 
     private void onCallerDisconnected() {
--- a/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
@@ -88,10 +88,10 @@
                 .with("fingerprint", fingerprint.value())
                 .write();
         PeerMessage notice = new PeerMessage.CrashNotice(endpoint, List.of(fingerprint.value()));
-        process.present(Role.ENTRY).stream()
+        process.presentHosts(Role.ENTRY).stream()
                 .filter(host -> !process.isSelf(host))
-                .forEach(host -> process.tell(host, notice));
-        process.present(Role.STEWARD).forEach(host -> process.tell(host, notice));
+                .forEach(host -> process.send(host, notice));
+        process.presentHosts(Role.STEWARD).forEach(host -> process.send(host, notice));
     }
 
     /** Handles another host's notice of a crash. */
@@ -110,7 +110,7 @@
 
     /** Returns the host that arbitrates the suspects of a service. */
     Optional<Host> suspectArbiter(String service) {
-        return Ownership.ownerOfSuspects(service, process.present(Role.STEWARD));
+        return Ownership.ownerOfSuspects(service, process.presentHosts(Role.STEWARD));
     }
 
     private void reportLoads() {
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
@@ -93,7 +93,7 @@
     }
 
     private void endAtOwner(String id, Host owner, Runnable onEnded, Runnable onNotEnded) {
-        context.onLoop(links.ask(owner, new GatewayMessage.BatchEndAsk(id)), (reply, failure) -> {
+        context.onLoop(links.ask(owner, new GatewayMessage.BatchEndRequest(id)), (reply, failure) -> {
             if (reply instanceof GatewayMessage.BatchEnded answer && answer.ended()) {
                 onEnded.run();
             } else {
@@ -175,7 +175,7 @@
             retry.run();
             return;
         }
-        context.onLoop(links.ask(host.get(), new GatewayMessage.BatchEndAsk(found.id())), (reply, failure) -> {
+        context.onLoop(links.ask(host.get(), new GatewayMessage.BatchEndRequest(found.id())), (reply, failure) -> {
             if (failure != null) {
                 retry.run();
             }
--- a/src/main/java/org/gooseberryhill/gateway/BatchSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchSubmissionHandler.java
@@ -138,11 +138,11 @@
     /** Requests copies on the disks of other hosts, which replace the record until the key-value store answers. */
     private void requestCopies(Submission submission) {
         if (submission.acceptance.requestCopies(copies.hostCount())) {
-            copies.requestCopies(submission.id, submission.record, submission.body, () -> onCopyKept(submission));
+            copies.requestCopies(submission.id, submission.record, submission.body, () -> onCopyStored(submission));
         }
     }
 
-    private void onCopyKept(Submission submission) {
+    private void onCopyStored(Submission submission) {
         if (submission.acceptance.copyStored()) {
             takeOwnership(submission, submission.record, 0);
             confirm(submission);
--- a/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
+++ b/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
@@ -60,7 +60,7 @@
             onUnreachable(evacuation);
             return;
         }
-        context.onLoop(links.ask(host.get(), new OutboxMessage.StateAsk()), (reply, failure) -> {
+        context.onLoop(links.ask(host.get(), new OutboxMessage.StateRequest()), (reply, failure) -> {
             if (!(reply instanceof OutboxMessage.State state)) {
                 onUnreachable(evacuation);
             } else if (state.submissions() == 0) {
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
@@ -58,19 +58,19 @@
             crashes.onSuspectRelease(release);
         } else if (message instanceof GatewayMessage.BatchNotice notice) {
             registry.setOwner(notice.batch(), from);
-        } else if (message instanceof GatewayMessage.ResultsAsk request) {
+        } else if (message instanceof GatewayMessage.ResultsRequest request) {
             batchApiHandler.readOwnedResults(
                     request.batch(),
                     request.after(),
                     request.waitMillis(),
                     page -> reply.complete(new GatewayMessage.Results(page)));
             return;
-        } else if (message instanceof GatewayMessage.ItemBodyAsk request) {
+        } else if (message instanceof GatewayMessage.ItemBodyRequest request) {
             boolean owned = registry.find(request.batch()).isPresent();
             reply.complete(new GatewayMessage.ItemBody(
                     owned, batchApiHandler.findOwnedItemBody(request.batch(), request.item())));
             return;
-        } else if (message instanceof GatewayMessage.BatchEndAsk request) {
+        } else if (message instanceof GatewayMessage.BatchEndRequest request) {
             ender.endOwned(request.batch(), ended -> reply.complete(new GatewayMessage.BatchEnded(ended)));
             return;
         } else if (message instanceof GatewayMessage.BatchHandOver handedOver) {
@@ -79,7 +79,7 @@
         } else if (message instanceof GatewayMessage.StoreCall call) {
             store.callForPeer(call).thenAccept(reply::complete);
             return;
-        } else if (message instanceof GatewayMessage.ViewAsk request) {
+        } else if (message instanceof GatewayMessage.ViewRequest request) {
             reply.complete(views.listing(request.prefix())
                     .map(listing -> (PeerMessage) listing)
                     .orElseGet(PeerMessage.Ack::new));
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -204,7 +204,7 @@
     }
 
     private void requestListing(Address address, ViewUpdater updater) {
-        GatewayMessage request = new GatewayMessage.ViewAsk(updater.prefix());
+        GatewayMessage request = new GatewayMessage.ViewRequest(updater.prefix());
         context.onLoop(
                 context.peers().ask(address, PeerLane.CONTROL, request, LISTING_TIMEOUT_MILLIS), (reply, failure) -> {
                     if (reply instanceof GatewayMessage.ViewListing listing) {
--- a/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
@@ -135,9 +135,9 @@
                             Optional.of(written),
                             Optional.empty()));
         }
-        CompletableFuture<Long> lease = call.grantMillis().isPresent()
-                ? directStore.grantLease(call.grantMillis().get())
-                : directStore.renewLease(call.renewLease().orElseThrow());
+        CompletableFuture<Long> lease = call.grantTtlMillis().isPresent()
+                ? directStore.grantLease(call.grantTtlMillis().get())
+                : directStore.renewLease(call.renewLeaseId().orElseThrow());
         return toStoreAnswer(
                 lease,
                 value -> new GatewayMessage.StoreAnswer(
--- a/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
+++ b/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
@@ -32,12 +32,12 @@
     }
 
     /** Requests copies; the action runs for each copy that is on a disk. */
-    void requestCopies(String batch, BatchRecord record, byte[] body, Runnable onKept) {
+    void requestCopies(String batch, BatchRecord record, byte[] body, Runnable onStored) {
         OutboxMessage.Put put = new OutboxMessage.Put(batch, record, body);
         for (Host host : copyHosts(batch)) {
             context.onLoop(links.ask(host, put, STORE_COPY_TIMEOUT_MILLIS), (reply, failure) -> {
-                if (reply instanceof OutboxMessage.Kept answer && answer.kept()) {
-                    onKept.run();
+                if (reply instanceof OutboxMessage.Stored answer && answer.stored()) {
+                    onStored.run();
                 }
             });
         }
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
@@ -73,7 +73,7 @@
     /** Returns a probe of the size of a peer message with a number of entries, including framing. */
     private static SlopeProbe messageProbe(String name, String varied, IntFunction<PeerMessage> builder) {
         return new FunctionProbe(
-                name, "bytes", varied, ENTRY_COUNTS, size -> PeerMessageSize.bytes(builder.apply(size)));
+                name, "bytes", varied, ENTRY_COUNTS, size -> PeerMessageSize.encodedBytes(builder.apply(size)));
     }
 
     /** Returns a probe of a cost of the configuration text with endpoints and callers in the planned proportion. */
@@ -131,7 +131,7 @@
 
     private static double changeMessageBytes(String text) {
         String changed = text.replaceFirst("slots: 16", "slots: 12");
-        return PeerMessageSize.bytes(
+        return PeerMessageSize.encodedBytes(
                 new PeerMessage.ConfigurationChange(1_000_000, 1_000_001, TextChange.between(text, changed)));
     }
 
--- a/src/main/java/org/gooseberryhill/outbox/OutboxEntryCodec.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxEntryCodec.java
@@ -26,11 +26,11 @@
         return Try.of(() -> {
             try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(content)) {
                 String batch = unpacker.unpackString();
-                long keptAtMillis = unpacker.unpackLong();
+                long storedAtMillis = unpacker.unpackLong();
                 BatchRecord record = StoredValueCodec.readRecord(unpacker.readPayload(unpacker.unpackBinaryHeader()))
                         .get();
                 byte[] body = unpacker.readPayload(unpacker.unpackBinaryHeader());
-                return new OutboxEntry(batch, record, body, keptAtMillis);
+                return new OutboxEntry(batch, record, body, storedAtMillis);
             }
         });
     }
--- a/src/main/java/org/gooseberryhill/outbox/OutboxService.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxService.java
@@ -28,7 +28,7 @@
  * finished and deleted.
  */
 final class OutboxService {
-    /** How long a host that is being evacuated accepts no submissions after each {@link OutboxMessage.StateAsk}. */
+    /** How long a host that is being evacuated accepts no submissions after each {@link OutboxMessage.StateRequest}. */
     private static final long EVACUATION_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final ControlLoop loop;
@@ -87,7 +87,7 @@
         } else if (message instanceof OutboxMessage.Drop drop) {
             delete(OutboxEntry.nameOf(drop.batch(), drop.record()));
             reply.complete(new PeerMessage.Ack());
-        } else if (message instanceof OutboxMessage.StateAsk) {
+        } else if (message instanceof OutboxMessage.StateRequest) {
             evacuationRequestedNanos = OptionalLong.of(loop.nowNanos());
             batchIdsByName.keySet().forEach(name -> timing.makeDueNow(name, loop.nowNanos()));
             reply.complete(new OutboxMessage.State(submissionCount()));
@@ -98,18 +98,18 @@
 
     private void put(OutboxMessage.Put put, CompletableFuture<PeerMessage> reply) {
         if (isEvacuating()) {
-            reply.complete(new OutboxMessage.Kept(false));
+            reply.complete(new OutboxMessage.Stored(false));
             return;
         }
         OutboxEntry entry = new OutboxEntry(put.batch(), put.record(), put.body(), System.currentTimeMillis());
         onLoop(outbox.put(entry), (done, failure) -> {
             if (failure != null) {
                 logDiskFailure(put.batch(), failure);
-                reply.complete(new OutboxMessage.Kept(false));
+                reply.complete(new OutboxMessage.Stored(false));
                 return;
             }
             register(entry);
-            reply.complete(new OutboxMessage.Kept(true));
+            reply.complete(new OutboxMessage.Stored(true));
             timeline.event(EventKind.SUBMISSION_KEPT)
                     .job(put.batch())
                     .with("bytes", put.body().length)
--- a/src/main/java/org/gooseberryhill/peer/BatchCodecs.java
+++ b/src/main/java/org/gooseberryhill/peer/BatchCodecs.java
@@ -23,11 +23,11 @@
                         unpacker -> new GatewayMessage.BatchNotice(unpacker.unpackString())),
                 new CompactCodec<>(
                         7,
-                        GatewayMessage.ResultsAsk.class,
-                        (ask, packer) -> packer.packString(ask.batch())
-                                .packInt(ask.after())
-                                .packLong(ask.waitMillis()),
-                        unpacker -> new GatewayMessage.ResultsAsk(
+                        GatewayMessage.ResultsRequest.class,
+                        (request, packer) -> packer.packString(request.batch())
+                                .packInt(request.after())
+                                .packLong(request.waitMillis()),
+                        unpacker -> new GatewayMessage.ResultsRequest(
                                 unpacker.unpackString(), unpacker.unpackInt(), unpacker.unpackLong())),
                 new CompactCodec<>(
                         8,
@@ -38,9 +38,10 @@
                                 CompactFields.readOptional(unpacker, BatchCodecs::readPage))),
                 new CompactCodec<>(
                         9,
-                        GatewayMessage.ItemBodyAsk.class,
-                        (ask, packer) -> packer.packString(ask.batch()).packString(ask.item()),
-                        unpacker -> new GatewayMessage.ItemBodyAsk(unpacker.unpackString(), unpacker.unpackString())),
+                        GatewayMessage.ItemBodyRequest.class,
+                        (request, packer) -> packer.packString(request.batch()).packString(request.item()),
+                        unpacker ->
+                                new GatewayMessage.ItemBodyRequest(unpacker.unpackString(), unpacker.unpackString())),
                 new CompactCodec<>(
                         10,
                         GatewayMessage.ItemBody.class,
@@ -51,9 +52,9 @@
                                 CompactFields.readOptional(unpacker, CompactFields::readBytes))),
                 new CompactCodec<>(
                         11,
-                        GatewayMessage.BatchEndAsk.class,
-                        (ask, packer) -> packer.packString(ask.batch()),
-                        unpacker -> new GatewayMessage.BatchEndAsk(unpacker.unpackString())),
+                        GatewayMessage.BatchEndRequest.class,
+                        (request, packer) -> packer.packString(request.batch()),
+                        unpacker -> new GatewayMessage.BatchEndRequest(unpacker.unpackString())),
                 new CompactCodec<>(
                         12,
                         GatewayMessage.BatchEnded.class,
--- a/src/main/java/org/gooseberryhill/peer/CompactCodecs.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactCodecs.java
@@ -59,9 +59,9 @@
                         3, GatewayMessage.ViewChanges.class, CompactCodecs::writeChanges, CompactCodecs::readChanges),
                 new CompactCodec<>(
                         4,
-                        GatewayMessage.ViewAsk.class,
-                        (ask, packer) -> packer.packString(ask.prefix()),
-                        unpacker -> new GatewayMessage.ViewAsk(unpacker.unpackString())),
+                        GatewayMessage.ViewRequest.class,
+                        (request, packer) -> packer.packString(request.prefix()),
+                        unpacker -> new GatewayMessage.ViewRequest(unpacker.unpackString())),
                 new CompactCodec<>(
                         5, GatewayMessage.ViewListing.class, CompactCodecs::writeListing, CompactCodecs::readListing),
                 new CompactCodec<>(
--- a/src/main/java/org/gooseberryhill/peer/GatewayMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/GatewayMessage.java
@@ -45,7 +45,7 @@
      *
      * @param prefix the prefix
      */
-    record ViewAsk(String prefix) implements GatewayMessage {}
+    record ViewRequest(String prefix) implements GatewayMessage {}
 
     /**
      * Lists all keys that a host knows under a prefix.
@@ -72,7 +72,7 @@
      * @param after the first requested position
      * @param waitMillis how long the owner may wait for a result before it replies
      */
-    record ResultsAsk(String batch, int after, long waitMillis) implements GatewayMessage {}
+    record ResultsRequest(String batch, int after, long waitMillis) implements GatewayMessage {}
 
     /**
      * Returns results of a request batch.
@@ -87,7 +87,7 @@
      * @param batch the batch's id
      * @param item the item's id
      */
-    record ItemBodyAsk(String batch, String item) implements GatewayMessage {}
+    record ItemBodyRequest(String batch, String item) implements GatewayMessage {}
 
     /**
      * Returns the body of an item.
@@ -102,7 +102,7 @@
      *
      * @param batch the batch's id
      */
-    record BatchEndAsk(String batch) implements GatewayMessage {}
+    record BatchEndRequest(String batch) implements GatewayMessage {}
 
     /**
      * Tells whether a batch was ended or, in reply to {@link BatchHandOver}, taken over.
@@ -131,16 +131,16 @@
      * @param listPrefix the prefix to list
      * @param mayBeStale whether a listing may be seconds old
      * @param write the transaction to execute
-     * @param grantMillis the time to live of a lease to grant, in milliseconds
-     * @param renewLease the id of a lease to renew
+     * @param grantTtlMillis the time to live of a lease to grant, in milliseconds
+     * @param renewLeaseId the id of a lease to renew
      */
     record StoreCall(
             Optional<String> readKey,
             Optional<String> listPrefix,
             boolean mayBeStale,
             Optional<Transaction> write,
-            Optional<Long> grantMillis,
-            Optional<Long> renewLease)
+            Optional<Long> grantTtlMillis,
+            Optional<Long> renewLeaseId)
             implements GatewayMessage {}
 
     /**
--- a/src/main/java/org/gooseberryhill/peer/OutboxMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/OutboxMessage.java
@@ -5,7 +5,7 @@
 /** Messages between gateways and the hosts that hold submissions on disk until the key-value store has them. */
 public interface OutboxMessage extends PeerMessage {
     /**
-     * Asks a host to store a submission on its disk; the reply is {@link Kept}.
+     * Asks a host to store a submission on its disk; the reply is {@link Stored}.
      *
      * @param batch the batch's id
      * @param record the record to create in the key-value store
@@ -16,9 +16,9 @@
     /**
      * Tells whether a submission is on disk.
      *
-     * @param kept false if the host is being evacuated or the write to its disk failed
+     * @param stored false if the host is being evacuated or the write to its disk failed
      */
-    record Kept(boolean kept) implements OutboxMessage {}
+    record Stored(boolean stored) implements OutboxMessage {}
 
     /**
      * Asks a host to delete a submission, because the key-value store has it or its caller was told that it was not
@@ -30,7 +30,7 @@
     record Drop(String batch, BatchRecord record) implements OutboxMessage {}
 
     /** Requests the number of submissions on a host, which accepts no more from now on; the reply is {@link State}. */
-    record StateAsk() implements OutboxMessage {}
+    record StateRequest() implements OutboxMessage {}
 
     /**
      * Returns the number of submissions that a host still holds.
--- a/src/main/java/org/gooseberryhill/peer/PeerMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerMessage.java
@@ -28,45 +28,45 @@
     @JsonSubTypes.Type(value = PeerMessage.Failed.class, name = "fail"),
     @JsonSubTypes.Type(value = PeerMessage.ConnectionProbe.class, name = "probe"),
     @JsonSubTypes.Type(value = PeerMessage.Heartbeat.class, name = "hb"),
-    @JsonSubTypes.Type(value = PeerMessage.ProbeThrough.class, name = "via"),
+    @JsonSubTypes.Type(value = PeerMessage.IndirectProbe.class, name = "via"),
     @JsonSubTypes.Type(value = PeerMessage.ConfigurationPush.class, name = "cfg"),
     @JsonSubTypes.Type(value = PeerMessage.ConfigurationChange.class, name = "cfg+"),
-    @JsonSubTypes.Type(value = PeerMessage.ConfigurationAsk.class, name = "cfg?"),
+    @JsonSubTypes.Type(value = PeerMessage.ConfigurationRequest.class, name = "cfg?"),
     @JsonSubTypes.Type(value = PeerMessage.OnlineLoad.class, name = "load"),
     @JsonSubTypes.Type(value = PeerMessage.EndpointLoads.class, name = "loads"),
     @JsonSubTypes.Type(value = PeerMessage.LeavingNotice.class, name = "leave"),
     @JsonSubTypes.Type(value = PeerMessage.CrashNotice.class, name = "crash"),
-    @JsonSubTypes.Type(value = PeerMessage.SuspectPermitAsk.class, name = "permit?"),
+    @JsonSubTypes.Type(value = PeerMessage.SuspectPermitRequest.class, name = "permit?"),
     @JsonSubTypes.Type(value = PeerMessage.SuspectPermit.class, name = "permit"),
     @JsonSubTypes.Type(value = PeerMessage.SuspectRelease.class, name = "release"),
     @JsonSubTypes.Type(value = PeerMessage.JobNotice.class, name = "job"),
     @JsonSubTypes.Type(value = PeerMessage.WorkNotice.class, name = "work"),
-    @JsonSubTypes.Type(value = PeerMessage.ItemsAsk.class, name = "items?"),
+    @JsonSubTypes.Type(value = PeerMessage.ItemsRequest.class, name = "items?"),
     @JsonSubTypes.Type(value = PeerMessage.Items.class, name = "items"),
     @JsonSubTypes.Type(value = PeerMessage.ItemReport.class, name = "item"),
-    @JsonSubTypes.Type(value = PeerMessage.ItemsCancel.class, name = "stop"),
-    @JsonSubTypes.Type(value = PeerMessage.ItemsHeldAsk.class, name = "held?"),
-    @JsonSubTypes.Type(value = PeerMessage.ItemsHeld.class, name = "held"),
+    @JsonSubTypes.Type(value = PeerMessage.JobItemsCancel.class, name = "stop"),
+    @JsonSubTypes.Type(value = PeerMessage.HeldHandoutsRequest.class, name = "held?"),
+    @JsonSubTypes.Type(value = PeerMessage.HeldHandouts.class, name = "held"),
     @JsonSubTypes.Type(value = PeerMessage.SegmentPut.class, name = "put"),
-    @JsonSubTypes.Type(value = PeerMessage.SegmentAsk.class, name = "get"),
+    @JsonSubTypes.Type(value = PeerMessage.SegmentRequest.class, name = "get"),
     @JsonSubTypes.Type(value = PeerMessage.Segment.class, name = "seg"),
-    @JsonSubTypes.Type(value = PeerMessage.SegmentHave.class, name = "have?"),
+    @JsonSubTypes.Type(value = PeerMessage.MissingSegments.class, name = "have?"),
     @JsonSubTypes.Type(value = GatewayMessage.InFlightReport.class, name = "use"),
     @JsonSubTypes.Type(value = GatewayMessage.ViewChanges.class, name = "view+"),
-    @JsonSubTypes.Type(value = GatewayMessage.ViewAsk.class, name = "view?"),
+    @JsonSubTypes.Type(value = GatewayMessage.ViewRequest.class, name = "view?"),
     @JsonSubTypes.Type(value = GatewayMessage.ViewListing.class, name = "view"),
     @JsonSubTypes.Type(value = GatewayMessage.BatchNotice.class, name = "batch"),
-    @JsonSubTypes.Type(value = GatewayMessage.ResultsAsk.class, name = "results?"),
+    @JsonSubTypes.Type(value = GatewayMessage.ResultsRequest.class, name = "results?"),
     @JsonSubTypes.Type(value = GatewayMessage.Results.class, name = "results"),
-    @JsonSubTypes.Type(value = GatewayMessage.ItemBodyAsk.class, name = "body?"),
+    @JsonSubTypes.Type(value = GatewayMessage.ItemBodyRequest.class, name = "body?"),
     @JsonSubTypes.Type(value = GatewayMessage.ItemBody.class, name = "body"),
-    @JsonSubTypes.Type(value = GatewayMessage.BatchEndAsk.class, name = "end?"),
+    @JsonSubTypes.Type(value = GatewayMessage.BatchEndRequest.class, name = "end?"),
     @JsonSubTypes.Type(value = GatewayMessage.BatchEnded.class, name = "ended"),
     @JsonSubTypes.Type(value = GatewayMessage.BatchHandOver.class, name = "over"),
     @JsonSubTypes.Type(value = OutboxMessage.Put.class, name = "outbox+"),
-    @JsonSubTypes.Type(value = OutboxMessage.Kept.class, name = "outbox"),
+    @JsonSubTypes.Type(value = OutboxMessage.Stored.class, name = "outbox"),
     @JsonSubTypes.Type(value = OutboxMessage.Drop.class, name = "outbox-"),
-    @JsonSubTypes.Type(value = OutboxMessage.StateAsk.class, name = "outbox?"),
+    @JsonSubTypes.Type(value = OutboxMessage.StateRequest.class, name = "outbox?"),
     @JsonSubTypes.Type(value = OutboxMessage.State.class, name = "outbox="),
     @JsonSubTypes.Type(value = GatewayMessage.StoreCall.class, name = "kv?"),
     @JsonSubTypes.Type(value = GatewayMessage.StoreAnswer.class, name = "kv")
@@ -111,7 +111,7 @@
      *
      * @param target the host to probe
      */
-    record ProbeThrough(HostId target) implements PeerMessage {}
+    record IndirectProbe(HostId target) implements PeerMessage {}
 
     /**
      * Transfers a configuration, either pushed or on request.
@@ -135,7 +135,7 @@
      *
      * @param haveRevision the revision that the requesting host has
      */
-    record ConfigurationAsk(long haveRevision) implements PeerMessage {}
+    record ConfigurationRequest(long haveRevision) implements PeerMessage {}
 
     /**
      * Reports the online requests of an entry host to a steward; the reply is {@link EndpointLoads}.
@@ -178,7 +178,7 @@
      * @param fingerprint the fingerprint of the suspect
      * @param endpoints acceptable endpoints, best first
      */
-    record SuspectPermitAsk(String service, String fingerprint, List<String> endpoints) implements PeerMessage {}
+    record SuspectPermitRequest(String service, String fingerprint, List<String> endpoints) implements PeerMessage {}
 
     /**
      * Tells at which endpoint a suspect may run.
@@ -218,7 +218,7 @@
      * @param service the service
      * @param max the number of items that the steward can run now
      */
-    record ItemsAsk(String service, int max) implements PeerMessage {}
+    record ItemsRequest(String service, int max) implements PeerMessage {}
 
     /**
      * Hands out items to a steward.
@@ -247,22 +247,22 @@
      * @param job the job as {@code caller/id}
      * @param fence the fence of the claim under which the items were handed out; items of another owner continue
      */
-    record ItemsCancel(String job, long fence) implements PeerMessage {}
+    record JobItemsCancel(String job, long fence) implements PeerMessage {}
 
     /**
-     * Asks a steward which hand-outs of the sending owner it holds; the reply is {@link ItemsHeld}.
+     * Asks a steward which hand-outs of the sending owner it holds; the reply is {@link HeldHandouts}.
      *
      * @param job the job as {@code caller/id}
      * @param fence the fence of the owner's claim
      */
-    record ItemsHeldAsk(String job, long fence) implements PeerMessage {}
+    record HeldHandoutsRequest(String job, long fence) implements PeerMessage {}
 
     /**
      * Lists the hand-outs that a steward holds and whose end the owner has not acknowledged.
      *
      * @param handouts the numbers of the hand-outs
      */
-    record ItemsHeld(List<Long> handouts) implements PeerMessage {}
+    record HeldHandouts(List<Long> handouts) implements PeerMessage {}
 
     /**
      * Stores a segment durably.
@@ -277,7 +277,7 @@
      *
      * @param name the name of the segment
      */
-    record SegmentAsk(String name) implements PeerMessage {}
+    record SegmentRequest(String name) implements PeerMessage {}
 
     /**
      * Returns a segment.
@@ -291,5 +291,5 @@
      *
      * @param names the names of the segments
      */
-    record SegmentHave(List<String> names) implements PeerMessage {}
+    record MissingSegments(List<String> names) implements PeerMessage {}
 }
--- a/src/main/java/org/gooseberryhill/peer/PeerMessageSize.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerMessageSize.java
@@ -15,7 +15,7 @@
     private PeerMessageSize() {}
 
     /** Returns the size of a message in bytes, without the overhead of TCP and IP. */
-    public static int bytes(PeerMessage message) {
+    public static int encodedBytes(PeerMessage message) {
         try {
             return LENGTH_BYTES + PeerCodec.encode(new PeerFrame(NUMBER, false, TIME, SENDER, message)).length;
         } catch (IOException e) {
--- a/src/main/java/org/gooseberryhill/peer/StoreCallCodecs.java
+++ b/src/main/java/org/gooseberryhill/peer/StoreCallCodecs.java
@@ -29,8 +29,8 @@
         CompactFields.writeOptional(packer, call.listPrefix(), MessagePacker::packString);
         packer.packBoolean(call.mayBeStale());
         CompactFields.writeOptional(packer, call.write(), StoreCallCodecs::writeTransaction);
-        CompactFields.writeOptional(packer, call.grantMillis(), MessagePacker::packLong);
-        CompactFields.writeOptional(packer, call.renewLease(), MessagePacker::packLong);
+        CompactFields.writeOptional(packer, call.grantTtlMillis(), MessagePacker::packLong);
+        CompactFields.writeOptional(packer, call.renewLeaseId(), MessagePacker::packLong);
     }
 
     private static GatewayMessage.StoreCall readCall(MessageUnpacker unpacker) throws IOException {
--- a/src/main/java/org/gooseberryhill/peer/SubmissionCodecs.java
+++ b/src/main/java/org/gooseberryhill/peer/SubmissionCodecs.java
@@ -14,9 +14,9 @@
                 new CompactCodec<>(16, OutboxMessage.Put.class, SubmissionCodecs::writePut, SubmissionCodecs::readPut),
                 new CompactCodec<>(
                         17,
-                        OutboxMessage.Kept.class,
-                        (answer, packer) -> packer.packBoolean(answer.kept()),
-                        unpacker -> new OutboxMessage.Kept(unpacker.unpackBoolean())),
+                        OutboxMessage.Stored.class,
+                        (answer, packer) -> packer.packBoolean(answer.stored()),
+                        unpacker -> new OutboxMessage.Stored(unpacker.unpackBoolean())),
                 new CompactCodec<>(
                         18,
                         OutboxMessage.Drop.class,
@@ -24,9 +24,9 @@
                         unpacker -> new OutboxMessage.Drop(unpacker.unpackString(), BatchCodecs.readRecord(unpacker))),
                 new CompactCodec<>(
                         19,
-                        OutboxMessage.StateAsk.class,
-                        (ask, packer) -> {},
-                        unpacker -> new OutboxMessage.StateAsk()),
+                        OutboxMessage.StateRequest.class,
+                        (request, packer) -> {},
+                        unpacker -> new OutboxMessage.StateRequest()),
                 new CompactCodec<>(
                         20,
                         OutboxMessage.State.class,
--- a/src/main/java/org/gooseberryhill/process/AdminServer.java
+++ b/src/main/java/org/gooseberryhill/process/AdminServer.java
@@ -37,7 +37,7 @@
         this.process = process;
         this.registry = new PrometheusRegistry();
         registerMetrics(process, registry);
-        this.server = HttpServer.start(process.group(), address, HttpLimits.DEFAULT, this::handle);
+        this.server = HttpServer.start(process.eventLoopGroup(), address, HttpLimits.DEFAULT, this::handle);
     }
 
     /** Registers the metrics that all processes have. */
@@ -56,17 +56,17 @@
                 registry,
                 "gooseberry_peer_messages_sent",
                 "Messages sent to other processes",
-                () -> process.peers().sentMessages());
+                () -> process.peerClient().sentMessages());
         registerGauge(
                 registry,
                 "gooseberry_peer_bytes_sent",
                 "Bytes sent to other processes",
-                () -> process.peers().traffic().sentBytes());
+                () -> process.peerClient().traffic().sentBytes());
         registerGauge(
                 registry,
                 "gooseberry_peer_bytes_received",
                 "Bytes received from other processes",
-                () -> process.peers().traffic().receivedBytes());
+                () -> process.peerClient().traffic().receivedBytes());
         registerGauge(
                 registry,
                 "gooseberry_key_value_calls",
@@ -97,7 +97,7 @@
             case "/healthz" -> call.reply(OK, JSON, Json.bytes(Map.of("alive", true)));
             case "/readyz" ->
                 process.loop().execute(() -> {
-                    boolean ready = process.stop().phase() == PlannedStop.Phase.SERVING
+                    boolean ready = process.plannedStop().phase() == PlannedStop.Phase.SERVING
                             && process.configuration().revision() > 0;
                     call.reply(ready ? OK : NOT_READY, JSON, Json.bytes(Map.of("ready", ready)));
                 });
--- a/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
@@ -78,7 +78,7 @@
         }
         process.membership().find(from).ifPresent(host -> {
             requestPending = true;
-            process.ask(host, new PeerMessage.ConfigurationAsk(activeConfiguration.revision()))
+            process.ask(host, new PeerMessage.ConfigurationRequest(activeConfiguration.revision()))
                     .whenComplete((reply, failure) -> process.loop().execute(() -> {
                         requestPending = false;
                         if (reply instanceof PeerMessage.ConfigurationPush push) {
@@ -97,7 +97,7 @@
             offer(push.revision(), push.text(), "push");
             return Optional.of(MessageHandler.reply(new PeerMessage.Ack()));
         }
-        if (message instanceof PeerMessage.ConfigurationAsk request) {
+        if (message instanceof PeerMessage.ConfigurationRequest request) {
             boolean newer = activeConfiguration.revision() > request.haveRevision();
             return Optional.of(MessageHandler.reply(
                     newer
@@ -123,7 +123,7 @@
         if (process.settings().self().role() != Role.STEWARD) {
             return false;
         }
-        List<Host> zoneStewards = process.present(Role.STEWARD).stream()
+        List<Host> zoneStewards = process.presentHosts(Role.STEWARD).stream()
                 .filter(host -> host.zone().equals(process.settings().self().zone()))
                 .toList();
         return Ownership.rank("configuration-watch", zoneStewards).stream()
@@ -213,7 +213,7 @@
     private void pushToZone(PeerMessage push) {
         process.membership().presentHosts().stream()
                 .filter(host -> host.zone().equals(process.settings().self().zone()))
-                .forEach(host -> process.tell(host, push));
+                .forEach(host -> process.send(host, push));
     }
 
     private static void closeQuietly(Closeable closeable) {
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -64,20 +64,21 @@
 
     private final HostSettings settings;
     private final byte[] claimValue;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(TRAFFIC_THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoopGroup =
+            new MultiThreadIoEventLoopGroup(TRAFFIC_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
     private final EventSink sink;
     private final Timeline timeline;
     private final ControlLoop loop;
     private final HttpClient http;
-    private final PeerClient peers;
+    private final PeerClient peerClient;
     private final EtcdKeyValueStore keyValue;
     private final HostList hostList;
     private final Membership membership;
     private final MembershipDriver membershipDriver;
     private final ConfigurationDriver configuration;
     private final SegmentClient segments;
-    private final PlannedStop stop;
+    private final PlannedStop plannedStop;
     private final AtomicBoolean closed = new AtomicBoolean();
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private final List<Runnable> membershipListeners = new ArrayList<>();
@@ -97,21 +98,26 @@
                 .orElseGet(LogSink::new);
         this.timeline = new Timeline(self.value(), clock, sink);
         this.loop = new ControlLoop(self.value());
-        this.http = new HttpClient(group);
-        this.peers = new PeerClient(group, self, clock);
+        this.http = new HttpClient(eventLoopGroup);
+        this.peerClient = new PeerClient(eventLoopGroup, self, clock);
         this.keyValue = new EtcdKeyValueStore(http, settings.keyValueAddress(), settings.platformTimeoutMillis());
         this.hostList = new HttpHostList(http, settings.hostListAddress(), settings.platformTimeoutMillis());
         this.membership = new Membership(self, MembershipSettings.DEFAULT, new Random(seed));
         this.configuration = new ConfigurationDriver(this);
         this.membershipDriver = new MembershipDriver(this);
-        this.segments = new SegmentClient(peers, () -> presentStores);
-        this.stop = new PlannedStop(settings.stopGraceMillis(), settings.stopBoundMillis());
+        this.segments = new SegmentClient(peerClient, () -> presentStores);
+        this.plannedStop = new PlannedStop(settings.stopGraceMillis(), settings.stopBoundMillis());
     }
 
     /** Starts serving peers and reading from the platform; the role's handler must be set before. */
     public void start() {
         peerServer = new PeerServer(
-                group, settings.self().id(), settings.self().address(), clock, peers.traffic(), this::handle);
+                eventLoopGroup,
+                settings.self().id(),
+                settings.self().address(),
+                clock,
+                peerClient.traffic(),
+                this::handle);
         timeline.event(EventKind.PROCESS_STARTED)
                 .with("role", settings.self().role())
                 .with("zone", settings.self().zone())
@@ -129,7 +135,7 @@
     }
 
     /** Sets the handler of the messages of the process's role; must be called before {@link #start()}. */
-    public void roleHandler(MessageHandler handler) {
+    public void setRoleHandler(MessageHandler handler) {
         roleHandler = handler;
     }
 
@@ -149,17 +155,17 @@
      * @param own supplies the waiting work of this host by service
      * @param others receives the waiting work that other hosts report
      */
-    public void heartbeatWork(Supplier<Map<String, Long>> own, BiConsumer<HostId, Map<String, Long>> others) {
+    public void setHeartbeatWork(Supplier<Map<String, Long>> own, BiConsumer<HostId, Map<String, Long>> others) {
         membershipDriver.setOwnWork(own);
         membershipDriver.addWorkListener(others);
     }
 
     /** Requests the planned stop, whose time limits count from now. Thread-safe; repeated calls have no effect. */
-    public void askStop() {
+    public void requestStop() {
         long requestedNanos = loop.nowNanos();
         loop.execute(() -> {
-            if (stop.phase() == PlannedStop.Phase.SERVING) {
-                stop.request(requestedNanos);
+            if (plannedStop.phase() == PlannedStop.Phase.SERVING) {
+                plannedStop.request(requestedNanos);
                 timeline.event(EventKind.PROCESS_STOPPING).write();
                 membershipDriver.announceLeaving();
             }
@@ -170,13 +176,13 @@
      * Advances the planned stop and completes {@link #ended()} when it is over.
      *
      * @param inProgress the amount of work that was started and has not ended
-     * @param reachable whether callers can still send new requests
+     * @param requestsMayArrive whether callers can still send new requests
      */
-    public void advanceStop(int inProgress, boolean reachable) {
-        if (stop.phase() == PlannedStop.Phase.SERVING || stop.phase() == PlannedStop.Phase.ENDED) {
+    public void advanceStop(int inProgress, boolean requestsMayArrive) {
+        if (plannedStop.phase() == PlannedStop.Phase.SERVING || plannedStop.phase() == PlannedStop.Phase.ENDED) {
             return;
         }
-        if (stop.advance(inProgress, reachable, loop.nowNanos()) == PlannedStop.Phase.ENDED) {
+        if (plannedStop.advance(inProgress, requestsMayArrive, loop.nowNanos()) == PlannedStop.Phase.ENDED) {
             timeline.event(EventKind.PROCESS_ENDED)
                     .with("inProgress", inProgress)
                     .write();
@@ -190,17 +196,17 @@
     }
 
     /** Returns the state of the planned stop. */
-    public PlannedStop stop() {
-        return stop;
+    public PlannedStop plannedStop() {
+        return plannedStop;
     }
 
     /** Sends a message to a host and returns the reply, which completes on an event-loop thread. */
     public CompletableFuture<PeerMessage> ask(Host host, PeerMessage message) {
-        return peers.ask(host.address(), PeerLane.CONTROL, message, ASK_TIMEOUT_MILLIS);
+        return peerClient.ask(host.address(), PeerLane.CONTROL, message, ASK_TIMEOUT_MILLIS);
     }
 
     /** Sends a message to a host and ignores the reply; a failure is logged at debug level. */
-    public void tell(Host host, PeerMessage message) {
+    public void send(Host host, PeerMessage message) {
         ask(host, message).whenComplete((reply, failure) -> {
             if (failure != null) {
                 LOG.debug(
@@ -212,10 +218,10 @@
     }
 
     /** Returns the present hosts of a role, including this one if it has the role. */
-    public List<Host> present(Role role) {
+    public List<Host> presentHosts(Role role) {
         List<Host> hosts = new ArrayList<>(membership.presentHosts(role));
         if (settings.self().role() == role) {
-            boolean leaving = stop.phase() != PlannedStop.Phase.SERVING;
+            boolean leaving = plannedStop.phase() != PlannedStop.Phase.SERVING;
             hosts.add(leaving ? settings.self().asLeaving() : settings.self());
         }
         return hosts;
@@ -242,8 +248,8 @@
     }
 
     /** Returns the event loops for network I/O; thread-safe. */
-    public EventLoopGroup group() {
-        return group;
+    public EventLoopGroup eventLoopGroup() {
+        return eventLoopGroup;
     }
 
     /** Returns the HTTP client; thread-safe. */
@@ -252,8 +258,8 @@
     }
 
     /** Returns the peer client; thread-safe. */
-    public PeerClient peers() {
-        return peers;
+    public PeerClient peerClient() {
+        return peerClient;
     }
 
     /** Returns the client of the key-value service; thread-safe. */
@@ -294,9 +300,10 @@
         if (peerServer != null) {
             peerServer.close();
         }
-        peers.close();
+        peerClient.close();
         http.close();
-        group.shutdownGracefully(0, GROUP_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
+        eventLoopGroup
+                .shutdownGracefully(0, GROUP_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
                 .awaitUninterruptibly(2 * GROUP_SHUTDOWN_MILLIS);
         if (sink instanceof FileSink file) {
             Try.run(file::close)
@@ -313,7 +320,7 @@
     private void publishMembershipChange() {
         if (membership.version() != lastMembershipVersion) {
             lastMembershipVersion = membership.version();
-            presentStores = present(Role.STORE);
+            presentStores = presentHosts(Role.STORE);
             membershipDriver.recordStateChanges();
             membershipListeners.forEach(Runnable::run);
         }
--- a/src/main/java/org/gooseberryhill/process/LeaseKeeper.java
+++ b/src/main/java/org/gooseberryhill/process/LeaseManager.java
@@ -14,8 +14,8 @@
  * <p>Claims are written under the lease {@code usable().get()}; when the {@code onLost} listeners run, all of them are
  * gone.
  */
-public final class LeaseKeeper {
-    private static final Logger LOG = LogManager.getLogger(LeaseKeeper.class);
+public final class LeaseManager {
+    private static final Logger LOG = LogManager.getLogger(LeaseManager.class);
     private static final int RENEWALS_PER_LEASE = 3;
     private static final int SAFETY_MARGIN_DIVISOR = 5;
 
@@ -27,7 +27,7 @@
     private boolean released;
 
     /** Creates an instance that holds no lease yet. */
-    public LeaseKeeper(HostProcess process) {
+    public LeaseManager(HostProcess process) {
         this.process = process;
         this.leaseMillis = process.settings().leaseMillis();
         this.guard = new LeaseGuard(leaseMillis / SAFETY_MARGIN_DIVISOR);
@@ -40,12 +40,12 @@
     }
 
     /** Adds a listener that is called when the lease, and with it all claims, is gone. */
-    public void onLost(Runnable listener) {
+    public void addLossListener(Runnable listener) {
         lossListeners.add(listener);
     }
 
     /** Returns the id of the lease, if this host may act under it now. */
-    public Optional<Long> usable() {
+    public Optional<Long> usableLease() {
         return guard.usable(process.loop().nowNanos());
     }
 
--- a/src/main/java/org/gooseberryhill/process/MembershipDriver.java
+++ b/src/main/java/org/gooseberryhill/process/MembershipDriver.java
@@ -46,7 +46,7 @@
     /** Tells all hosts immediately, by a heartbeat, that this one is leaving, so that they send it no new work. */
     void announceLeaving() {
         for (Host host : process.membership().presentHosts()) {
-            process.tell(host, heartbeat(process.membership().rumorsFor(host.id())));
+            process.send(host, heartbeat(process.membership().rumorsFor(host.id())));
         }
     }
 
@@ -62,7 +62,7 @@
 
     @Override
     public void probeIndirectly(Host helper, Host target) {
-        process.ask(helper, new PeerMessage.ProbeThrough(target.id()))
+        process.ask(helper, new PeerMessage.IndirectProbe(target.id()))
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     if (reply instanceof PeerMessage.Ack) {
                         process.membership()
@@ -77,7 +77,7 @@
             return Optional.of(
                     MessageHandler.reply(heartbeat(process.membership().rumorsFor(from))));
         }
-        if (message instanceof PeerMessage.ProbeThrough probe) {
+        if (message instanceof PeerMessage.IndirectProbe probe) {
             return Optional.of(probeOnRequest(probe.target()));
         }
         return Optional.empty();
@@ -121,7 +121,7 @@
     private PeerMessage.Heartbeat heartbeat(List<Rumor> rumors) {
         return new PeerMessage.Heartbeat(
                 process.membership().incarnation(),
-                process.stop().phase() != PlannedStop.Phase.SERVING,
+                process.plannedStop().phase() != PlannedStop.Phase.SERVING,
                 process.configuration().revision(),
                 rumors,
                 ownWork.get());
--- a/src/main/java/org/gooseberryhill/program/ProcessLifecycle.java
+++ b/src/main/java/org/gooseberryhill/program/ProcessLifecycle.java
@@ -19,7 +19,7 @@
     }
 
     private static void stopAndWait(HostProcess process, CountDownLatch closed) {
-        process.askStop();
+        process.requestStop();
         try {
             closed.await();
         } catch (InterruptedException e) {
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -156,7 +156,7 @@
 
     private void updateStewardedEndpoints() {
         Configuration configuration = process.configuration().current();
-        List<Host> stewards = process.present(Role.STEWARD);
+        List<Host> stewards = process.presentHosts(Role.STEWARD);
         Set<String> stewardedNames = new HashSet<>();
         for (EndpointSettings endpoint : configuration.endpoints().values()) {
             ServiceSettings service = configuration.services().get(endpoint.service());
@@ -172,7 +172,8 @@
             }
         }
         endpoints.keySet().retainAll(stewardedNames);
-        Set<HostId> entries = process.present(Role.ENTRY).stream().map(Host::id).collect(Collectors.toSet());
+        Set<HostId> entries =
+                process.presentHosts(Role.ENTRY).stream().map(Host::id).collect(Collectors.toSet());
         endpoints.values().forEach(endpoint -> endpoint.retainEntries(entries));
         updateLeavingEndpoints();
     }
@@ -198,7 +199,7 @@
         if (wasLeaving != status.draining()) {
             updateLeavingEndpoints();
             PeerMessage notice = new PeerMessage.LeavingNotice(endpointSettings.name(), status.draining());
-            process.present(Role.ENTRY).forEach(host -> process.tell(host, notice));
+            process.presentHosts(Role.ENTRY).forEach(host -> process.send(host, notice));
         }
     }
 
@@ -208,7 +209,7 @@
     }
 
     private void requestItems() {
-        if (process.stop().phase() != PlannedStop.Phase.SERVING) {
+        if (process.plannedStop().phase() != PlannedStop.Phase.SERVING) {
             return;
         }
         long now = process.loop().nowNanos();
@@ -225,14 +226,14 @@
     }
 
     private void requestItemsFrom(HostId owner, String service, int free) {
-        Optional<Host> host = process.present(Role.STEWARD).stream()
+        Optional<Host> host = process.presentHosts(Role.STEWARD).stream()
                 .filter(present -> present.id().equals(owner))
                 .findFirst();
         if (host.isEmpty()) {
             sources.remove(owner);
             return;
         }
-        PeerMessage request = new PeerMessage.ItemsAsk(service, Math.min(free, MAX_ITEMS_PER_REQUEST));
+        PeerMessage request = new PeerMessage.ItemsRequest(service, Math.min(free, MAX_ITEMS_PER_REQUEST));
         process.ask(host.get(), request)
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     List<WorkItem> items = reply instanceof PeerMessage.Items found ? found.items() : List.of();
@@ -252,7 +253,7 @@
                 .toList();
         ItemRun run = new ItemRun(process, this, owner, service, item, ++lastRunNumber);
         unsettledRuns.add(run);
-        if (candidates.isEmpty() || process.stop().phase() != PlannedStop.Phase.SERVING) {
+        if (candidates.isEmpty() || process.plannedStop().phase() != PlannedStop.Phase.SERVING) {
             run.refuse();
         } else if (item.suspect()) {
             run.requestPermit(candidates.stream().map(EndpointBatch::settings).toList());
--- a/src/main/java/org/gooseberryhill/steward/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/steward/ItemRun.java
@@ -83,13 +83,13 @@
 
     /** Requests an endpoint where the item may run isolated from other suspects. */
     void requestPermit(List<EndpointSettings> candidates) {
-        Optional<Host> arbiter = Ownership.ownerOfSuspects(service, process.present(Role.STEWARD));
+        Optional<Host> arbiter = Ownership.ownerOfSuspects(service, process.presentHosts(Role.STEWARD));
         if (arbiter.isEmpty()) {
             refuse();
             return;
         }
         List<String> names = candidates.stream().map(EndpointSettings::name).toList();
-        PeerMessage request = new PeerMessage.SuspectPermitAsk(service, fingerprint(), names);
+        PeerMessage request = new PeerMessage.SuspectPermitRequest(service, fingerprint(), names);
         process.ask(arbiter.get(), request)
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     Optional<EndpointSettings> granted = reply instanceof PeerMessage.SuspectPermit permit
@@ -152,8 +152,8 @@
         ended = true;
         if (holdsPermit) {
             PeerMessage release = new PeerMessage.SuspectRelease(service, fingerprint(), false);
-            Ownership.ownerOfSuspects(service, process.present(Role.STEWARD))
-                    .ifPresent(arbiter -> process.tell(arbiter, release));
+            Ownership.ownerOfSuspects(service, process.presentHosts(Role.STEWARD))
+                    .ifPresent(arbiter -> process.send(arbiter, release));
         }
         driver.onRunEnded(this, unreachable);
         return true;
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -30,7 +30,7 @@
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.process.HostProcess;
-import org.gooseberryhill.process.LeaseKeeper;
+import org.gooseberryhill.process.LeaseManager;
 import org.gooseberryhill.timeline.EventKind;
 
 /**
@@ -51,7 +51,7 @@
     private static final long MIN_MISSING_AGE_MILLIS = 2 * HostProcess.ASK_TIMEOUT_MILLIS;
 
     private final HostProcess process;
-    private final LeaseKeeper lease;
+    private final LeaseManager leaseManager;
     private final StewardSettings settings;
     private final OwnedJobs ownedJobs;
     private final WorkOffers workOffers = new WorkOffers();
@@ -59,16 +59,16 @@
     private final Set<JobKey> pendingClaims = new HashSet<>();
     private boolean handingOver;
 
-    JobOwner(HostProcess process, LeaseKeeper lease, StewardSettings settings) {
+    JobOwner(HostProcess process, LeaseManager leaseManager, StewardSettings settings) {
         this.process = process;
-        this.lease = lease;
+        this.leaseManager = leaseManager;
         this.settings = settings;
         this.ownedJobs = new OwnedJobs(settings.dispatchOrder());
         this.segments = new JobSegments(process, this::onClaimOrRecordChanged, this::onJobAdvanced);
     }
 
     void start() {
-        lease.onLost(this::stopAll);
+        leaseManager.addLossListener(this::stopAll);
         process.onMembershipChange(this::reclaimFromLostStewards);
         process.loop().every(HOUSEKEEPING_PERIOD_MILLIS, this::runHousekeeping);
         process.loop().every(RECORD_CHECK_PERIOD_MILLIS, this::checkRecords);
@@ -83,7 +83,7 @@
         return ownedJobs.find(key).isPresent();
     }
 
-    List<WorkItem> handOutItems(HostId steward, PeerMessage.ItemsAsk request) {
+    List<WorkItem> handOutItems(HostId steward, PeerMessage.ItemsRequest request) {
         long now = process.loop().nowNanos();
         List<WorkItem> items =
                 ownedJobs.handOut(request.service(), request.max(), steward, now, System.currentTimeMillis());
@@ -127,7 +127,7 @@
 
     /** Claims a job, unless this host already owns it or is claiming it. */
     void claim(JobKey key) {
-        Optional<Long> leaseId = lease.usable();
+        Optional<Long> leaseId = leaseManager.usableLease();
         if (handingOver || leaseId.isEmpty() || owns(key) || !pendingClaims.add(key)) {
             return;
         }
@@ -184,7 +184,10 @@
                         (record, chunks) -> toOwnedJob(key, fence, record, chunks))
                 .whenComplete((job, failure) -> process.loop().execute(() -> {
                     pendingClaims.remove(key);
-                    if (failure == null && job.isPresent() && lease.usable().isPresent() && !handingOver) {
+                    if (failure == null
+                            && job.isPresent()
+                            && leaseManager.usableLease().isPresent()
+                            && !handingOver) {
                         startOwning(job.get());
                     } else {
                         releaseClaim(key, fence);
@@ -247,8 +250,8 @@
                     .job(key.path())
                     .with("reason", reason)
                     .write();
-            PeerMessage cancel = new PeerMessage.ItemsCancel(key.path(), job.fence());
-            process.present(Role.STEWARD).forEach(host -> process.tell(host, cancel));
+            PeerMessage cancel = new PeerMessage.JobItemsCancel(key.path(), job.fence());
+            process.presentHosts(Role.STEWARD).forEach(host -> process.send(host, cancel));
             releaseClaim(key, job.fence());
         });
     }
@@ -271,9 +274,9 @@
         }
         PeerMessage notice =
                 new PeerMessage.WorkNotice(job.record().service(), job.record().dueMillis());
-        process.present(Role.STEWARD).stream()
+        process.presentHosts(Role.STEWARD).stream()
                 .filter(host -> !host.leaving())
-                .forEach(host -> process.tell(host, notice));
+                .forEach(host -> process.send(host, notice));
     }
 
     private void reclaimFromLostStewards() {
@@ -302,7 +305,7 @@
 
     /** Releases jobs that the membership assigns to another host, so that a new host takes over its share over time. */
     private void releaseForeignJobs() {
-        List<Host> stewards = process.present(Role.STEWARD);
+        List<Host> stewards = process.presentHosts(Role.STEWARD);
         for (OwnedJob job : ownedJobs.jobs()) {
             boolean isOwner = Ownership.ownerOfJob(job.key(), stewards)
                     .filter(process::isSelf)
@@ -323,9 +326,10 @@
                 presentSteward(holder)
                         .ifPresent(host -> process.ask(
                                         host,
-                                        new PeerMessage.ItemsHeldAsk(job.key().path(), job.fence()))
+                                        new PeerMessage.HeldHandoutsRequest(
+                                                job.key().path(), job.fence()))
                                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
-                                    if (reply instanceof PeerMessage.ItemsHeld held) {
+                                    if (reply instanceof PeerMessage.HeldHandouts held) {
                                         long now = process.loop().nowNanos();
                                         job.reclaimMissing(
                                                 holder, Set.copyOf(held.handouts()), MIN_MISSING_AGE_MILLIS, now);
@@ -336,7 +340,7 @@
     }
 
     private Optional<Host> presentSteward(HostId id) {
-        return process.present(Role.STEWARD).stream()
+        return process.presentHosts(Role.STEWARD).stream()
                 .filter(host -> host.id().equals(id))
                 .findFirst();
     }
--- a/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
+++ b/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
@@ -5,7 +5,7 @@
 import org.gooseberryhill.external.Keys;
 import org.gooseberryhill.external.Transaction;
 import org.gooseberryhill.process.HostProcess;
-import org.gooseberryhill.process.LeaseKeeper;
+import org.gooseberryhill.process.LeaseManager;
 
 /**
  * Limits how many endpoints load a model at once, across all hosts. For the control thread.
@@ -26,8 +26,8 @@
     }
 
     /** Runs the action while holding a slot, or the alternative if no slot could be acquired. */
-    void runWithSlot(LeaseKeeper lease, Runnable action, Runnable alternative) {
-        Optional<Long> leaseId = lease.usable();
+    void runWithSlot(LeaseManager leaseManager, Runnable action, Runnable alternative) {
+        Optional<Long> leaseId = leaseManager.usableLease();
         if (busy || leaseId.isEmpty()) {
             alternative.run();
             return;
--- a/src/main/java/org/gooseberryhill/steward/OpenJobScanner.java
+++ b/src/main/java/org/gooseberryhill/steward/OpenJobScanner.java
@@ -36,7 +36,7 @@
     }
 
     private void scan() {
-        List<Host> stewards = process.present(Role.STEWARD);
+        List<Host> stewards = process.presentHosts(Role.STEWARD);
         boolean isScanner =
                 Ownership.rank("job-scan", stewards).stream().limit(SCANNERS).anyMatch(process::isSelf);
         if (isScanner) {
@@ -70,7 +70,7 @@
         if (process.isSelf(owner.get())) {
             jobs.claim(key.get());
         } else {
-            process.tell(owner.get(), new PeerMessage.JobNotice(key.get().path(), false));
+            process.send(owner.get(), new PeerMessage.JobNotice(key.get().path(), false));
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/steward/OrderDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/OrderDriver.java
@@ -17,7 +17,7 @@
 import org.gooseberryhill.http.ExchangeRequest;
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.process.HostProcess;
-import org.gooseberryhill.process.LeaseKeeper;
+import org.gooseberryhill.process.LeaseManager;
 import org.gooseberryhill.timeline.EventKind;
 
 /** Sends model orders, under claims, to the endpoints that this host stewards. For the control thread. */
@@ -25,15 +25,15 @@
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
 
     private final HostProcess process;
-    private final LeaseKeeper lease;
+    private final LeaseManager leaseManager;
     private final StewardSettings settings;
     private final BatchDriver batch;
     private final ModelLoadLimiter loadLimiter;
     private final Map<String, EndpointOrders> ordersByEndpoint = new HashMap<>();
 
-    OrderDriver(HostProcess process, LeaseKeeper lease, StewardSettings settings, BatchDriver batch) {
+    OrderDriver(HostProcess process, LeaseManager leaseManager, StewardSettings settings, BatchDriver batch) {
         this.process = process;
-        this.lease = lease;
+        this.leaseManager = leaseManager;
         this.settings = settings;
         this.batch = batch;
         this.loadLimiter = new ModelLoadLimiter(process, settings.maxLoads());
@@ -41,7 +41,7 @@
 
     void start() {
         batch.addStatusListener(this::onStatusRead);
-        lease.onLost(() -> ordersByEndpoint.values().forEach(EndpointOrders::claimLost));
+        leaseManager.addLossListener(() -> ordersByEndpoint.values().forEach(EndpointOrders::claimLost));
     }
 
     private void onStatusRead(EndpointSettings endpoint, EndpointStatus status) {
@@ -52,9 +52,9 @@
         EndpointOrders decision = ordersByEndpoint.computeIfAbsent(
                 endpoint.name(),
                 name -> new EndpointOrders(
-                        new OrderSettings(process.settings().leaseMillis(), settings.longestOrderMillis()),
+                        new OrderSettings(process.settings().leaseMillis(), settings.maxOrderMillis()),
                         endpoint.checksFences()));
-        boolean leaseUsable = lease.usable().isPresent();
+        boolean leaseUsable = leaseManager.usableLease().isPresent();
         OrderStep step = decision.next(
                 Optional.of(status.held()),
                 desired.get(),
@@ -63,7 +63,7 @@
         if (step instanceof OrderStep.Claim) {
             claim(endpoint, decision);
         } else if (step instanceof OrderStep.Send send) {
-            loadLimiter.runWithSlot(lease, () -> send(endpoint, decision, send), decision::orderEnded);
+            loadLimiter.runWithSlot(leaseManager, () -> send(endpoint, decision, send), decision::orderEnded);
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     private void claim(EndpointSettings endpoint, EndpointOrders decision) {
-        Optional<Long> leaseId = lease.usable();
+        Optional<Long> leaseId = leaseManager.usableLease();
         if (leaseId.isEmpty()) {
             decision.claimed(Optional.empty(), process.loop().nowNanos());
             return;
@@ -120,7 +120,7 @@
     }
 
     private void send(EndpointSettings endpoint, EndpointOrders decision, OrderStep.Send order) {
-        if (lease.usable().isEmpty()) {
+        if (leaseManager.usableLease().isEmpty()) {
             decision.orderEnded();
             loadLimiter.release();
             return;
@@ -139,7 +139,7 @@
                 "/orders",
                 Map.of("content-type", "application/json"),
                 body,
-                (int) settings.longestOrderMillis(),
+                (int) settings.maxOrderMillis(),
                 true);
         process.http()
                 .call(request, MAX_ANSWER_BYTES)
--- a/src/main/java/org/gooseberryhill/steward/StewardProcess.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardProcess.java
@@ -13,7 +13,7 @@
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.process.HostProcess;
 import org.gooseberryhill.process.HostSettings;
-import org.gooseberryhill.process.LeaseKeeper;
+import org.gooseberryhill.process.LeaseManager;
 import org.gooseberryhill.process.MessageHandler;
 
 /** Runs the program {@code gooseberry-steward}. Thread-safe. */
@@ -22,7 +22,7 @@
     private static final long SUSPECT_GRANT_MILLIS = 30_000;
 
     private final HostProcess process;
-    private final LeaseKeeper lease;
+    private final LeaseManager leaseManager;
     private final BatchDriver batch;
     private final JobOwner jobs;
     private final OpenJobScanner jobScanner;
@@ -34,20 +34,20 @@
     /** Creates a process without starting it. */
     public StewardProcess(HostSettings hostSettings, StewardSettings settings, long seed) {
         process = new HostProcess(hostSettings, seed);
-        lease = new LeaseKeeper(process);
-        jobs = new JobOwner(process, lease, settings);
+        leaseManager = new LeaseManager(process);
+        jobs = new JobOwner(process, leaseManager, settings);
         batch = new BatchDriver(process, settings);
-        orders = new OrderDriver(process, lease, settings, batch);
+        orders = new OrderDriver(process, leaseManager, settings, batch);
         jobScanner = new OpenJobScanner(process, settings, jobs);
-        process.roleHandler(this::handleMessage);
-        process.heartbeatWork(jobs::waitingWork, batch::onHeartbeatWork);
+        process.setRoleHandler(this::handleMessage);
+        process.setHeartbeatWork(jobs::waitingWork, batch::onHeartbeatWork);
     }
 
     /** Starts the process and its parts. */
     public void start() {
         // The listeners must be registered before the process reports its first membership and configuration changes.
         process.loop().execute(() -> {
-            lease.start();
+            leaseManager.start();
             jobs.start();
             jobScanner.start();
             batch.start();
@@ -66,7 +66,7 @@
      * Returns the number of items in flight at endpoints and of item reports that their owners have not acknowledged
      * yet. May be called from any thread but the control thread, since it waits for that one.
      */
-    public int inProgress() {
+    public int itemsInProgress() {
         CompletableFuture<Integer> answer = new CompletableFuture<>();
         process.loop().execute(() -> answer.complete(batch.itemsInProgress()));
         return answer.join();
@@ -78,14 +78,14 @@
     }
 
     private void advanceStop() {
-        if (process.stop().phase() == PlannedStop.Phase.SERVING) {
+        if (process.plannedStop().phase() == PlannedStop.Phase.SERVING) {
             return;
         }
         // Batch items resume elsewhere from their partial results, so the stop need not wait for them to complete here.
         batch.yieldAllItems();
         if (!leaseReleaseStarted && jobs.handOver()) {
             leaseReleaseStarted = true;
-            lease.release(() -> leaseReleased = true);
+            leaseManager.release(() -> leaseReleased = true);
         }
         process.advanceStop(batch.itemsInProgress() + (leaseReleased ? 0 : 1), false);
     }
@@ -94,10 +94,10 @@
         if (message instanceof PeerMessage.OnlineLoad load) {
             return MessageHandler.reply(batch.onOnlineLoad(from, load));
         }
-        if (message instanceof PeerMessage.ItemsAsk request) {
+        if (message instanceof PeerMessage.ItemsRequest request) {
             return MessageHandler.reply(new PeerMessage.Items(jobs.handOutItems(from, request)));
         }
-        if (message instanceof PeerMessage.SuspectPermitAsk request) {
+        if (message instanceof PeerMessage.SuspectPermitRequest request) {
             Optional<String> endpoint = arbiter(request.service())
                     .tryAcquire(
                             new Fingerprint(request.fingerprint()),
@@ -105,8 +105,9 @@
                             process.loop().nowNanos());
             return MessageHandler.reply(new PeerMessage.SuspectPermit(endpoint));
         }
-        if (message instanceof PeerMessage.ItemsHeldAsk request) {
-            return MessageHandler.reply(new PeerMessage.ItemsHeld(batch.heldHandouts(request.job(), request.fence())));
+        if (message instanceof PeerMessage.HeldHandoutsRequest request) {
+            return MessageHandler.reply(
+                    new PeerMessage.HeldHandouts(batch.heldHandouts(request.job(), request.fence())));
         }
         handleNotification(from, message);
         return MessageHandler.reply(new PeerMessage.Ack());
@@ -119,7 +120,7 @@
             jobs.onJobNotice(notice);
         } else if (message instanceof PeerMessage.WorkNotice notice) {
             batch.onWorkNotice(from, notice);
-        } else if (message instanceof PeerMessage.ItemsCancel cancel) {
+        } else if (message instanceof PeerMessage.JobItemsCancel cancel) {
             batch.cancelItems(cancel.job(), cancel.fence());
         } else if (message instanceof PeerMessage.SuspectRelease release) {
             onSuspectRelease(release);
@@ -130,7 +131,7 @@
         arbiter(release.service()).release(new Fingerprint(release.fingerprint()));
         if (release.completed()) {
             // A completed suspect did not cause the crash, so the other entries need not isolate it any more.
-            process.present(Role.ENTRY).forEach(host -> process.tell(host, release));
+            process.presentHosts(Role.ENTRY).forEach(host -> process.send(host, release));
         }
     }
 
--- a/src/main/java/org/gooseberryhill/steward/StewardSettings.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardSettings.java
@@ -12,7 +12,7 @@
  * @param endpointSilenceMillis the maximum time without a byte from an endpoint during an exchange
  * @param maxHandoutMillis the time after which a handed-out item without a report is reclaimed
  * @param jobScanPeriodMillis the period at which open jobs without an owner are searched for
- * @param longestOrderMillis the maximum duration of an order to an endpoint
+ * @param maxOrderMillis the maximum duration of an order to an endpoint
  * @param maxLoads how many endpoints may load a model at once, since the weight store is rate-limited
  */
 public record StewardSettings(
@@ -22,5 +22,5 @@
         int endpointSilenceMillis,
         long maxHandoutMillis,
         long jobScanPeriodMillis,
-        long longestOrderMillis,
+        long maxOrderMillis,
         int maxLoads) {}
--- a/src/main/java/org/gooseberryhill/store/SegmentClient.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentClient.java
@@ -81,7 +81,11 @@
         if (next >= order.size()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        return peers.ask(order.get(next).address(), PeerLane.BULK, new PeerMessage.SegmentAsk(name), GET_TIMEOUT_MILLIS)
+        return peers.ask(
+                        order.get(next).address(),
+                        PeerLane.BULK,
+                        new PeerMessage.SegmentRequest(name),
+                        GET_TIMEOUT_MILLIS)
                 .handle((reply, failure) -> verifiedContent(name, reply))
                 .thenCompose(found -> found.isPresent()
                         ? CompletableFuture.completedFuture(found)
--- a/src/main/java/org/gooseberryhill/store/SegmentRepair.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentRepair.java
@@ -56,8 +56,8 @@
             return;
         }
         roundInProgress = true;
-        boolean leaving = process.stop().phase() != PlannedStop.Phase.SERVING;
-        List<Host> stores = process.present(Role.STORE);
+        boolean leaving = process.plannedStop().phase() != PlannedStop.Phase.SERVING;
+        List<Host> stores = process.presentHosts(Role.STORE);
         missingCopies.set(0);
         CompletableFuture.supplyAsync(() -> expectedNames(stores), disk)
                 .thenCompose(this::repairAll)
@@ -103,11 +103,11 @@
     }
 
     private CompletableFuture<Void> repairPage(Host store, List<String> names) {
-        return process.peers()
-                .ask(store.address(), PeerLane.BULK, new PeerMessage.SegmentHave(names), REQUEST_TIMEOUT_MILLIS)
+        return process.peerClient()
+                .ask(store.address(), PeerLane.BULK, new PeerMessage.MissingSegments(names), REQUEST_TIMEOUT_MILLIS)
                 .handle((reply, failure) -> {
-                    boolean answered = reply instanceof PeerMessage.SegmentHave;
-                    List<String> lacking = answered ? ((PeerMessage.SegmentHave) reply).names() : List.<String>of();
+                    boolean answered = reply instanceof PeerMessage.MissingSegments;
+                    List<String> lacking = answered ? ((PeerMessage.MissingSegments) reply).names() : List.<String>of();
                     missingCopies.addAndGet(answered ? lacking.size() : names.size());
                     return lacking;
                 })
@@ -128,7 +128,7 @@
                 return CompletableFuture.completedFuture(null);
             }
             PeerMessage put = new PeerMessage.SegmentPut(name, content.get());
-            return process.peers()
+            return process.peerClient()
                     .ask(store.address(), PeerLane.BULK, put, REQUEST_TIMEOUT_MILLIS)
                     .handle((reply, failure) -> {
                         if (failure == null) {
--- a/src/main/java/org/gooseberryhill/store/StoreProcess.java
+++ b/src/main/java/org/gooseberryhill/store/StoreProcess.java
@@ -36,7 +36,7 @@
         process = new HostProcess(settings, seed);
         folder = new SegmentFolder(dataFolder);
         repair = new SegmentRepair(process, folder, disk, repairPeriodMillis);
-        process.roleHandler(this::handle);
+        process.setRoleHandler(this::handle);
     }
 
     /** Starts serving requests and repairing segments. */
@@ -62,7 +62,7 @@
      * copies of its segments.
      */
     private void advanceStop() {
-        if (process.stop().phase() != PlannedStop.Phase.SERVING) {
+        if (process.plannedStop().phase() != PlannedStop.Phase.SERVING) {
             repair.startRound();
         }
         process.advanceStop(requestsInProgress + (repair.isHandOverComplete() ? 0 : 1), false);
@@ -84,14 +84,14 @@
                 folder.put(put.name(), put.bytes());
                 return new PeerMessage.Ack();
             }
-            if (message instanceof PeerMessage.SegmentAsk request) {
+            if (message instanceof PeerMessage.SegmentRequest request) {
                 return new PeerMessage.Segment(folder.get(request.name()));
             }
-            if (message instanceof PeerMessage.SegmentHave request) {
+            if (message instanceof PeerMessage.MissingSegments request) {
                 List<String> lacking = request.names().stream()
                         .filter(name -> !folder.has(name))
                         .toList();
-                return new PeerMessage.SegmentHave(lacking);
+                return new PeerMessage.MissingSegments(lacking);
             }
             return new PeerMessage.Ack();
         } catch (IOException | IllegalArgumentException e) {
--- a/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
@@ -99,11 +99,11 @@
     }
 
     private CompletableFuture<PeerMessage> ask(Address target, String batch, long timeoutMillis) {
-        return client.ask(target, PeerLane.CONTROL, new GatewayMessage.BatchEndAsk(batch), timeoutMillis);
+        return client.ask(target, PeerLane.CONTROL, new GatewayMessage.BatchEndRequest(batch), timeoutMillis);
     }
 
     private CompletionStage<PeerMessage> answer(HostId from, PeerMessage message) {
-        return switch (((GatewayMessage.BatchEndAsk) message).batch()) {
+        return switch (((GatewayMessage.BatchEndRequest) message).batch()) {
             case "slow" -> slowReply;
             case "never" -> new CompletableFuture<>();
             default -> CompletableFuture.completedFuture(new GatewayMessage.BatchEnded(false));
--- a/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
@@ -39,29 +39,29 @@
                 new PeerMessage.Failed("why"),
                 new PeerMessage.ConnectionProbe(),
                 new PeerMessage.Heartbeat(3, true, 9, List.of(new Rumor(HOST, HostState.SUSPECT, 4)), Map.of("s", 5L)),
-                new PeerMessage.ProbeThrough(HOST),
+                new PeerMessage.IndirectProbe(HOST),
                 new PeerMessage.ConfigurationPush(7, "text\n"),
                 new PeerMessage.ConfigurationChange(6, 7, TextChange.between("a\nb", "a\nc")),
-                new PeerMessage.ConfigurationAsk(6),
+                new PeerMessage.ConfigurationRequest(6),
                 new PeerMessage.OnlineLoad(Map.of("e", 2), List.of("e")),
                 new PeerMessage.EndpointLoads(Map.of("e", 2), Map.of("e", 1), List.of("x")),
                 new PeerMessage.LeavingNotice("e", true),
                 new PeerMessage.CrashNotice("e", List.of("f")),
-                new PeerMessage.SuspectPermitAsk("s", "f", List.of("e")),
+                new PeerMessage.SuspectPermitRequest("s", "f", List.of("e")),
                 new PeerMessage.SuspectPermit(Optional.of("e")),
                 new PeerMessage.SuspectPermit(Optional.empty()),
                 new PeerMessage.SuspectRelease("s", "f", true),
                 new PeerMessage.JobNotice("c/j", false),
                 new PeerMessage.WorkNotice("s", 8),
-                new PeerMessage.ItemsAsk("s", 4),
+                new PeerMessage.ItemsRequest("s", 4),
                 new PeerMessage.Items(List.of(new WorkItem("c/j", 1, 2, 3, "{}", "so far", 2, true))),
                 new PeerMessage.ItemReport("c/j", 1, 2, 3, ItemEnd.YIELDED, "so far", 2),
-                new PeerMessage.ItemsCancel("c/j", 2),
-                new PeerMessage.ItemsHeldAsk("c/j", 2),
-                new PeerMessage.ItemsHeld(List.of(3L)),
-                new PeerMessage.SegmentAsk("n"),
+                new PeerMessage.JobItemsCancel("c/j", 2),
+                new PeerMessage.HeldHandoutsRequest("c/j", 2),
+                new PeerMessage.HeldHandouts(List.of(3L)),
+                new PeerMessage.SegmentRequest("n"),
                 new PeerMessage.Segment(Optional.empty()),
-                new PeerMessage.SegmentHave(List.of("n")));
+                new PeerMessage.MissingSegments(List.of("n")));
     }
 
     static Stream<PeerMessage> gatewayMessages() {
@@ -70,10 +70,10 @@
                         "start", true, false, Map.of(new EndpointKey("e", 7), new InFlight(2, 3))),
                 new GatewayMessage.InFlightReport("start", false, true, Map.of()),
                 new GatewayMessage.ViewChanges("p/", 3, 9, List.of(KeyChange.deleted("p/k", 9)), 12),
-                new GatewayMessage.ViewAsk("p/"),
+                new GatewayMessage.ViewRequest("p/"),
                 new GatewayMessage.ViewListing("p/", 9, List.of(), 40),
                 new GatewayMessage.BatchNotice("b"),
-                new GatewayMessage.ResultsAsk("b", 4, 1000),
+                new GatewayMessage.ResultsRequest("b", 4, 1000),
                 new GatewayMessage.Results(Optional.empty()),
                 new GatewayMessage.Results(Optional.of(new BatchPage(
                         9,
@@ -81,18 +81,18 @@
                         List.of(
                                 new ItemResult("i", ItemState.DONE, "text\nwith \u00e4 line"),
                                 new ItemResult("j", ItemState.GIVEN_UP, ""))))),
-                new GatewayMessage.ItemBodyAsk("b", "i"),
+                new GatewayMessage.ItemBodyRequest("b", "i"),
                 new GatewayMessage.ItemBody(true, Optional.empty()),
-                new GatewayMessage.BatchEndAsk("b"),
+                new GatewayMessage.BatchEndRequest("b"),
                 new GatewayMessage.BatchEnded(true),
                 new GatewayMessage.BatchHandOver(
                         "b",
                         5,
                         new BatchRecord("h", "/t", "hash", "o", "s", 1, 1, 9, false, List.of(0, 4), 6),
                         List.of(new ItemCheckpoint("i", 3, "so far"))),
-                new OutboxMessage.Kept(true),
+                new OutboxMessage.Stored(true),
                 new OutboxMessage.Drop("b", new BatchRecord("h", "/t", "hash", "o", "s", 1, 1, 9, false, List.of(), 0)),
-                new OutboxMessage.StateAsk(),
+                new OutboxMessage.StateRequest(),
                 new OutboxMessage.State(3),
                 new GatewayMessage.StoreCall(
                         Optional.of("k"), Optional.empty(), false, Optional.empty(), Optional.empty(), Optional.of(3L)),
@@ -167,7 +167,7 @@
         Transaction read = call.write().orElseThrow();
         assertThat(call.listPrefix()).contains("p/");
         assertThat(call.mayBeStale()).isTrue();
-        assertThat(call.grantMillis()).contains(4000L);
+        assertThat(call.grantTtlMillis()).contains(4000L);
         assertThat(read.conditions()).isEqualTo(transaction.conditions());
         assertThat(read.writes()).extracting(Transaction.Write::key).containsExactly("c", "d", "e");
         assertThat(read.writes().get(0).value().orElseThrow()).isEqualTo(value);
--- a/src/test/java/org/gooseberryhill/process/HostProcessTest.java
+++ b/src/test/java/org/gooseberryhill/process/HostProcessTest.java
@@ -31,7 +31,7 @@
         HostProcess process = new HostProcess(settings(), 1);
         CompletableFuture<Void> blocker = new CompletableFuture<>();
         process.loop().execute(blocker::join);
-        process.askStop();
+        process.requestStop();
         long requestedNanos = System.nanoTime();
         Loopback.await(
                 "the end of the grace period",
@@ -39,7 +39,7 @@
         CompletableFuture<PlannedStop.Phase> phase = new CompletableFuture<>();
         process.loop().execute(() -> {
             process.advanceStop(1, true);
-            phase.complete(process.stop().phase());
+            phase.complete(process.plannedStop().phase());
         });
 
         blocker.complete(null);
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -200,7 +200,7 @@
         assertThat(cancelled.status()).isEqualTo(200);
         Loopback.await(
                 "the end of all work",
-                () -> fixture.system.stewards().stream().allMatch(steward -> steward.inProgress() == 0));
+                () -> fixture.system.stewards().stream().allMatch(steward -> steward.itemsInProgress() == 0));
         assertThat(fixture.jobStatus("lot").path("completed").asInt()).isEqualTo(completed);
         assertThat(fixture.jobStatus("lot").path("state").asText()).isEqualTo("cancelled");
     }
@@ -237,7 +237,7 @@
 
         Loopback.await(
                 "the end of all work",
-                () -> fixture.system.stewards().stream().allMatch(steward -> steward.inProgress() == 0));
+                () -> fixture.system.stewards().stream().allMatch(steward -> steward.itemsInProgress() == 0));
         assertThat(fixture.jobStatus("lot").path("completed").asInt()).isEqualTo(completed);
     }
 
@@ -267,7 +267,7 @@
         fixture.awaitJob("lot", "done");
         for (int store = 0; store < 2; store++) {
             StoreProcess leaving = fixture.system.stores().get(store);
-            leaving.process().askStop();
+            leaving.process().requestStop();
             Loopback.await("the hand-over", () -> leaving.process().ended().isDone());
             leaving.close();
         }
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -258,8 +258,8 @@
         Loopback.await(
                 "all hosts know",
                 () -> fixture.system.entries().stream()
-                                .allMatch(entry ->
-                                        SystemFixture.callOnLoop(entry.process(), () -> entry.knowsLeaving("tutor-00")))
+                                .allMatch(entry -> SystemFixture.callOnLoop(
+                                        entry.process(), () -> entry.isEndpointLeaving("tutor-00")))
                         && engine(0).isIdle());
         int served = engine(0).served();
         List<CompletableFuture<CheckedStream.Result>> after = new ArrayList<>();
@@ -282,9 +282,9 @@
         }
         Loopback.await("streams in progress", () -> busyRunners() > 0);
         EntryClient late = fixture.system.client(0, SampleFleet.TUTORS_KEY);
-        fixture.system.entries().get(0).process().askStop();
+        fixture.system.entries().get(0).process().requestStop();
         engine(2).crash();
-        fixture.system.entries().get(0).process().askStop();
+        fixture.system.entries().get(0).process().requestStop();
 
         assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
         fixture.system.entries().get(0).process().ended().join();
@@ -300,7 +300,7 @@
         fixture.submit(fixture.coordinator, "lot", 600);
         int owner = fixture.awaitOwner("lot");
         Loopback.await("items in progress", () -> busyRunners() > 0);
-        fixture.system.stewards().get(owner).process().askStop();
+        fixture.system.stewards().get(owner).process().requestStop();
         fixture.system.stewards().get(owner).process().ended().join();
         fixture.system.stewards().get(owner).close();
 
--- a/src/test/java/org/gooseberryhill/program/SystemFixture.java
+++ b/src/test/java/org/gooseberryhill/program/SystemFixture.java
@@ -48,10 +48,10 @@
                 () -> processes().stream()
                         .allMatch(process -> callOnLoop(
                                 process,
-                                () -> process.present(Role.ENTRY).size()
-                                                        + process.present(Role.STEWARD)
+                                () -> process.presentHosts(Role.ENTRY).size()
+                                                        + process.presentHosts(Role.STEWARD)
                                                                 .size()
-                                                        + process.present(Role.STORE)
+                                                        + process.presentHosts(Role.STORE)
                                                                 .size()
                                                 == processes().size()
                                         && process.configuration().revision() > 0)));
