--- a/src/main/java/org/gooseberryhill/load/Experiment.java
+++ b/src/main/java/org/gooseberryhill/load/Experiment.java
@@ -112,7 +112,7 @@
 
     private static int servedAnswers(SampleSystem system) {
         return system.platform().engines().stream()
-                .mapToInt(EngineStandin::served)
+                .mapToInt(EngineStandin::servedCount)
                 .sum();
     }
 
@@ -175,10 +175,10 @@
                 system.platform().engines().get(3).crash();
                 nextFault++;
             } else if (nextFault == 1 && elapsedShare >= OUTAGE_BEGIN_SHARE) {
-                system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
+                system.platform().keyValue().setFaults(new KeyValueFaults(true, 0, 0, 0, false));
                 nextFault++;
             } else if (nextFault == 2 && elapsedShare >= OUTAGE_END_SHARE) {
-                system.platform().keyValue().faults(KeyValueFaults.NONE);
+                system.platform().keyValue().setFaults(KeyValueFaults.NONE);
                 nextFault++;
             }
         }
--- a/src/main/java/org/gooseberryhill/load/OnlineSender.java
+++ b/src/main/java/org/gooseberryhill/load/OnlineSender.java
@@ -69,7 +69,7 @@
             return;
         }
         String prompt = promptText(kind.name() + " " + arrival.number(), kind.promptCharacters());
-        CheckedStream stream = new CheckedStream(SampleAnswers.chat(prompt, kind.tokens()), intendedNanos);
+        CheckedStream stream = new CheckedStream(SampleAnswers.chatAnswer(prompt, kind.tokens()), intendedNanos);
         byte[] body = SampleAnswers.chatBody(prompt, kind.tokens());
         pendingAnswers.add(stream.result().thenAccept(measurement::recordModelAnswer));
         modelClients.get(arrival.number() % modelClients.size()).start("POST", "/v1/chat/completions", body, stream);
--- a/src/main/java/org/gooseberryhill/load/Curve.java
+++ b/src/main/java/org/gooseberryhill/load/ResultRenderer.java
@@ -8,15 +8,15 @@
 import java.util.function.ToDoubleFunction;
 
 /** Renders the results of a deployment as a table and a plot. Stateless. */
-public final class Curve {
+public final class ResultRenderer {
     private static final int WIDTH = 640;
     private static final int HEIGHT = 420;
     private static final int MARGIN = 60;
 
-    private Curve() {}
+    private ResultRenderer() {}
 
     /** Returns a Markdown table with the median, minimum and maximum over the repeats of each point. */
-    public static String table(List<RunResult> runs) {
+    public static String markdownTable(List<RunResult> runs) {
         StringBuilder text = new StringBuilder();
         text.append("| decisions | batch share | faults | batch items/s | batch tokens/s | first token p50 ms | "
                 + "p95 ms | p99 ms | between tokens p95 ms | plain p99 ms | whole / wrong / cut / refused |\n");
@@ -39,7 +39,7 @@
     }
 
     /** Returns an SVG plot of the median batch throughput against the median online p99 of each point. */
-    public static String svg(String title, List<RunResult> runs) {
+    public static String svgPlot(String title, List<RunResult> runs) {
         double maxX = runs.stream().mapToDouble(RunResult::itemsPerSecond).max().orElse(1) * 1.1 + 1;
         double maxY =
                 runs.stream().mapToDouble(RunResult::firstTokenP99Millis).max().orElse(1) * 1.1 + 1;
--- a/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
@@ -88,7 +88,7 @@
     }
 
     private static long writes(SampleSystem system) {
-        return system.platform().keyValue().meter().getOrDefault("/v3/kv/txn", 0L);
+        return system.platform().keyValue().callCounts().getOrDefault("/v3/kv/txn", 0L);
     }
 
     private static void sleep(long millis) {
--- a/src/main/java/org/gooseberryhill/load/slope/Slope.java
+++ b/src/main/java/org/gooseberryhill/load/slope/LinearFit.java
@@ -12,11 +12,12 @@
  * @param perUnit the increase of the cost when the size grows by one
  * @param worstErrorPercent the largest deviation of a point from the line, in percent of the largest absolute cost
  */
-public record Slope(SlopeProbe probe, List<Double> points, double intercept, double perUnit, double worstErrorPercent) {
+public record LinearFit(
+        SlopeProbe probe, List<Double> points, double intercept, double perUnit, double worstErrorPercent) {
     private static final double PERCENT = 100;
 
     /** Measures the cost at all sizes of a probe and fits the line. */
-    public static Slope of(SlopeProbe probe) {
+    public static LinearFit measure(SlopeProbe probe) {
         List<Double> points = new ArrayList<>();
         probe.sizes().forEach(size -> points.add(probe.measure(size)));
         int count = points.size();
@@ -40,6 +41,7 @@
             worstError = Math.max(worstError, Math.abs(points.get(i) - fitted));
             largestCost = Math.max(largestCost, Math.abs(points.get(i)));
         }
-        return new Slope(probe, points, intercept, perUnit, largestCost == 0 ? 0 : PERCENT * worstError / largestCost);
+        return new LinearFit(
+                probe, points, intercept, perUnit, largestCost == 0 ? 0 : PERCENT * worstError / largestCost);
     }
 }
--- a/src/main/java/org/gooseberryhill/program/CurveCommand.java
+++ b/src/main/java/org/gooseberryhill/program/CurveCommand.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import org.gooseberryhill.link.Json;
-import org.gooseberryhill.load.Curve;
 import org.gooseberryhill.load.Deployment;
 import org.gooseberryhill.load.EaselAndOchreDeployment;
 import org.gooseberryhill.load.Experiment;
 import org.gooseberryhill.load.Experiment.Point;
+import org.gooseberryhill.load.ResultRenderer;
 import org.gooseberryhill.load.RunResult;
 import org.gooseberryhill.load.StadsdataDeployment;
 import picocli.CommandLine.Command;
@@ -101,8 +101,8 @@
     private void write(Deployment workload, List<RunResult> results, PrintWriter console) throws IOException {
         Files.createDirectories(out);
         Files.writeString(out.resolve(workload.name() + ".json"), Json.text(results));
-        Files.writeString(out.resolve(workload.name() + ".svg"), Curve.svg(workload.name(), results));
-        String table = Curve.table(results);
+        Files.writeString(out.resolve(workload.name() + ".svg"), ResultRenderer.svgPlot(workload.name(), results));
+        String table = ResultRenderer.markdownTable(results);
         Files.writeString(out.resolve(workload.name() + ".md"), table);
         console.println(table);
     }
--- a/src/main/java/org/gooseberryhill/program/DemoCommand.java
+++ b/src/main/java/org/gooseberryhill/program/DemoCommand.java
@@ -97,7 +97,7 @@
                 firstToken.getValueAtPercentile(50) / 1000.0, firstToken.getValueAtPercentile(99) / 1000.0);
         out.printf("job: %d of %d items done once, each result right%n", correct, ITEMS);
         out.printf("runner %s killed, runner %s left as planned, nothing cut%n", engineName(1), engineName(2));
-        out.printf("key-value service calls: %s%n", system.platform().keyValue().meter());
+        out.printf("key-value service calls: %s%n", system.platform().keyValue().callCounts());
         out.printf("time line: bin/gooseberry timeline %s%n", system.timelineFolder());
         failures.forEach(failure -> out.println("FAILED: " + failure));
         out.flush();
@@ -117,10 +117,11 @@
             }
             if (i == LEAVE_AT_REQUEST) {
                 EngineStandin leaving = system.platform().engines().get(2);
-                leaving.faults(new EngineFaults(Optional.empty(), 0, true, true, false));
+                leaving.setFaults(new EngineFaults(Optional.empty(), 0, true, true, false));
             }
             String prompt = "critique of sketch " + i;
-            CheckedStream stream = new CheckedStream(SampleAnswers.chat(prompt, REQUEST_TOKENS), System.nanoTime());
+            CheckedStream stream =
+                    new CheckedStream(SampleAnswers.chatAnswer(prompt, REQUEST_TOKENS), System.nanoTime());
             callers.get(i % callers.size())
                     .start("POST", "/v1/chat/completions", SampleAnswers.chatBody(prompt, REQUEST_TOKENS), stream);
             answers.add(stream.result());
@@ -165,7 +166,7 @@
         for (String line : new String(results.body(), StandardCharsets.UTF_8).split("\n")) {
             JsonNode json = Json.tree(line.getBytes(StandardCharsets.UTF_8)).getOrElse(Json.object());
             int index = json.path("index").asInt(-1);
-            String expected = SampleAnswers.prompt(itemPrompt(JOB_ID, index), ITEM_TOKENS);
+            String expected = SampleAnswers.promptAnswer(itemPrompt(JOB_ID, index), ITEM_TOKENS);
             boolean right = json.path("text").asText().equals(expected);
             if (index >= 0 && right && !seen.get(index)) {
                 seen.set(index);
--- a/src/main/java/org/gooseberryhill/program/SlopesCommand.java
+++ b/src/main/java/org/gooseberryhill/program/SlopesCommand.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
-import org.gooseberryhill.load.slope.Slope;
+import org.gooseberryhill.load.slope.LinearFit;
 import org.gooseberryhill.load.slope.SlopeProbe;
 import org.gooseberryhill.load.slope.SlopeProbes;
 import picocli.CommandLine.Command;
@@ -38,7 +38,7 @@
         table.append("|---|---|---|---|---|---|---|\n");
         PrintWriter console = spec.commandLine().getOut();
         for (SlopeProbe probe : SlopeProbes.all(basePort)) {
-            String row = row(Slope.of(probe));
+            String row = row(LinearFit.measure(probe));
             table.append(row);
             console.print(row);
             console.flush();
@@ -48,8 +48,8 @@
         return Commands.OK;
     }
 
-    private static String row(Slope slope) {
-        SlopeProbe probe = slope.probe();
+    private static String row(LinearFit fit) {
+        SlopeProbe probe = fit.probe();
         return String.format(
                 Locale.ROOT,
                 "| %s, %s | %s | %s | %s | %.1f | %.3f | %.1f%% |%n",
@@ -57,12 +57,12 @@
                 probe.unit(),
                 probe.varied(),
                 join(probe.sizes().stream().map(String::valueOf).toList()),
-                join(slope.points().stream()
+                join(fit.points().stream()
                         .map(point -> String.format(Locale.ROOT, "%.1f", point))
                         .toList()),
-                slope.intercept(),
-                slope.perUnit(),
-                slope.worstErrorPercent());
+                fit.intercept(),
+                fit.perUnit(),
+                fit.worstErrorPercent());
     }
 
     private static String join(List<String> texts) {
--- a/src/main/java/org/gooseberryhill/standin/CallMeter.java
+++ b/src/main/java/org/gooseberryhill/standin/CallCounter.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counts calls by kind. Thread-safe. */
-public final class CallMeter {
+public final class CallCounter {
     private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
 
     /** Counts one call. */
--- a/src/main/java/org/gooseberryhill/standin/EngineStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineStandin.java
@@ -72,7 +72,7 @@
     }
 
     /** Sets the faults to simulate. */
-    public void faults(EngineFaults newFaults) {
+    public void setFaults(EngineFaults newFaults) {
         faults = newFaults;
     }
 
@@ -87,7 +87,7 @@
     }
 
     /** Returns the loaded model. */
-    public ModelHolding held() {
+    public ModelHolding heldModel() {
         return heldModel;
     }
 
@@ -97,12 +97,12 @@
     }
 
     /** Returns the number of crashes so far. */
-    public int crashes() {
+    public int crashCount() {
         return crashes.get();
     }
 
     /** Returns the number of answers completed so far. */
-    public int served() {
+    public int servedCount() {
         return served.get();
     }
 
@@ -136,7 +136,7 @@
                 case "/status" -> executor.execute(() -> replyStatus(call));
                 case "/orders" -> executor.execute(() -> applyOrder(call, json));
                 case "/standin/faults" -> {
-                    faults(new EngineFaults(
+                    setFaults(new EngineFaults(
                             Optional.ofNullable(json.path("crashPrompt").textValue()),
                             json.path("restartMillis").asLong(0),
                             json.path("obeysFences").asBoolean(true),
--- a/src/main/java/org/gooseberryhill/standin/FreePorts.java
+++ b/src/main/java/org/gooseberryhill/standin/FreePorts.java
@@ -41,7 +41,7 @@
     private FreePorts() {}
 
     /** Returns an address that was not allocated before and at which nothing listens at the time of the call. */
-    public static synchronized Address next() {
+    public static synchronized Address nextAddress() {
         int port = nextPortInBlock();
         while (!isFree(port)) {
             port = nextPortInBlock();
@@ -53,7 +53,7 @@
      * Returns the first of {@link #BLOCK_PORTS} ports that were not allocated before and at which nothing listens at
      * the time of the call.
      */
-    public static synchronized int block() {
+    public static synchronized int claimBlock() {
         for (int attempt = 0; attempt < BLOCKS; attempt++) {
             int firstPort = FIRST_PORT + Math.floorMod(nextBlock++, BLOCKS) * BLOCK_STRIDE;
             Optional<ServerSocket> claim = claim(firstPort);
@@ -74,7 +74,7 @@
 
     private static int nextPortInBlock() {
         if (portsUsedInBlock == BLOCK_PORTS) {
-            blockFirstPort = block();
+            blockFirstPort = claimBlock();
             portsUsedInBlock = 0;
         }
         return blockFirstPort + portsUsedInBlock++;
--- a/src/main/java/org/gooseberryhill/standin/HostListStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/HostListStandin.java
@@ -30,7 +30,7 @@
         return thread;
     });
     private final HttpServer server;
-    private final CallMeter meter = new CallMeter();
+    private final CallCounter callCounter = new CallCounter();
     private volatile long lagMillis;
     private volatile HostList.Listing visibleListing = new HostList.Listing(List.of(), Set.of());
     private HostList.Listing latestListing = visibleListing;
@@ -42,18 +42,18 @@
     }
 
     /** Replaces the host list, with no endpoint leaving; visible immediately. */
-    public synchronized void start(List<Host> hosts) {
+    public synchronized void setHosts(List<Host> hosts) {
         latestListing = new HostList.Listing(hosts, Set.of());
         visibleListing = latestListing;
     }
 
     /** Sets the lag after which changes become visible. */
-    public void lag(long millis) {
+    public void setLagMillis(long millis) {
         lagMillis = millis;
     }
 
     /** Marks an endpoint as leaving; visible after the lag. */
-    public synchronized void leaving(String endpoint) {
+    public synchronized void addLeavingEndpoint(String endpoint) {
         Set<String> names = new TreeSet<>(latestListing.leavingEndpoints());
         names.add(endpoint);
         publishAfterLag(new HostList.Listing(latestListing.hosts(), names));
@@ -80,15 +80,15 @@
 
     private RequestBodyHandler handle(HttpCall call) {
         return StandinHttp.collectBody(call, body -> {
-            meter.count(call.method());
+            callCounter.count(call.method());
             if (call.method().equals("GET")) {
                 StandinHttp.replyJson(call, 200, visibleListing);
                 return;
             }
             if (call.path().startsWith("/leaving/")) {
-                leaving(call.path().substring("/leaving/".length()));
+                addLeavingEndpoint(call.path().substring("/leaving/".length()));
             } else {
-                Json.read(body, HostList.Listing.class).forEach(listing -> start(listing.hosts()));
+                Json.read(body, HostList.Listing.class).forEach(listing -> setHosts(listing.hosts()));
             }
             StandinHttp.replyJson(call, 200, visibleListing);
         });
--- a/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
@@ -33,7 +33,7 @@
     private static final long MILLIS_PER_SECOND = 1000;
 
     private final KeyValueState state = new KeyValueState(System::nanoTime);
-    private final CallMeter meter = new CallMeter();
+    private final CallCounter callCounter = new CallCounter();
     private final List<Watch> watches = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "key-value-timer");
@@ -52,7 +52,7 @@
     }
 
     /** Sets the faults to simulate; an outage also aborts all watches. */
-    public synchronized void faults(KeyValueFaults newFaults) {
+    public synchronized void setFaults(KeyValueFaults newFaults) {
         faults = newFaults;
         if (newFaults.outage()) {
             watches.forEach(watch -> watch.call.abortStream());
@@ -61,13 +61,13 @@
     }
 
     /** Expires all leases immediately, as if their holders had been paused. */
-    public synchronized void lapseAllLeases() {
-        state.leases().forEach(id -> publish(state.end(id)));
+    public synchronized void expireAllLeases() {
+        state.leaseIds().forEach(id -> publish(state.endLease(id)));
     }
 
     /** Returns the number of calls so far by kind. */
-    public Map<String, Long> meter() {
-        return meter.snapshot();
+    public Map<String, Long> callCounts() {
+        return callCounter.snapshot();
     }
 
     @Override
@@ -83,10 +83,10 @@
                 handleControlCall(call, json);
                 return;
             }
-            meter.count(call.path());
+            callCounter.count(call.path());
             KeyValueFaults current = faults;
-            if (current.slowMillis() > 0) {
-                timer.schedule(() -> serve(call, json), current.slowMillis(), TimeUnit.MILLISECONDS);
+            if (current.serviceDelayMillis() > 0) {
+                timer.schedule(() -> serve(call, json), current.serviceDelayMillis(), TimeUnit.MILLISECONDS);
             } else {
                 serve(call, json);
             }
@@ -96,15 +96,15 @@
     private void handleControlCall(HttpCall call, JsonNode json) {
         switch (call.path()) {
             case "/standin/faults" ->
-                faults(new KeyValueFaults(
+                setFaults(new KeyValueFaults(
                         json.path("outage").asBoolean(false),
                         json.path("slowMillis").asLong(0),
                         json.path("loseAnswers").asInt(0),
                         json.path("cutAfterLost").asInt(0),
                         json.path("staleReads").asBoolean(false)));
-            case "/standin/expire-leases" -> lapseAllLeases();
+            case "/standin/expire-leases" -> expireAllLeases();
             default -> {
-                StandinHttp.replyJson(call, 200, meter());
+                StandinHttp.replyJson(call, 200, callCounts());
                 return;
             }
         }
@@ -128,7 +128,7 @@
                 }
             }
             case "/v3/lease/grant" -> {
-                long id = state.grant(json.path("TTL").asLong() * MILLIS_PER_SECOND);
+                long id = state.grantLease(json.path("TTL").asLong() * MILLIS_PER_SECOND);
                 StandinHttp.replyJson(
                         call,
                         200,
@@ -136,13 +136,13 @@
                                 .put("TTL", json.path("TTL").asText()));
             }
             case "/v3/lease/keepalive" -> {
-                long left = state.renew(json.path("ID").asLong()) / MILLIS_PER_SECOND;
+                long left = state.renewLease(json.path("ID").asLong()) / MILLIS_PER_SECOND;
                 ObjectNode result = Json.object();
                 result.putObject("result").put("ID", json.path("ID").asText()).put("TTL", Long.toString(left));
                 StandinHttp.replyJson(call, 200, result);
             }
             case "/v3/lease/revoke" -> {
-                publish(state.end(json.path("ID").asLong()));
+                publish(state.endLease(json.path("ID").asLong()));
                 StandinHttp.replyJson(call, 200, header());
             }
             case "/v3/watch" -> watch(call, json.path("create_request"));
@@ -158,7 +158,7 @@
         callsToCut = current.cutAfterLost();
         faults = new KeyValueFaults(
                 current.outage(),
-                current.slowMillis(),
+                current.serviceDelayMillis(),
                 current.loseAnswers() - 1,
                 current.cutAfterLost(),
                 current.staleReads());
@@ -254,7 +254,7 @@
 
     private synchronized void expireLeases() {
         if (!faults.outage()) {
-            state.expired().forEach(id -> publish(state.end(id)));
+            state.expiredLeases().forEach(id -> publish(state.endLease(id)));
         }
     }
 
--- a/src/main/java/org/gooseberryhill/standin/KeyValueState.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueState.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns the ids of the leases that have not ended. */
-    public List<Long> leases() {
+    public List<Long> leaseIds() {
         return List.copyOf(leases.keySet());
     }
 
@@ -82,14 +82,14 @@
     }
 
     /** Grants a lease and returns its id. */
-    public long grant(long ttlMillis) {
+    public long grantLease(long ttlMillis) {
         long id = nextLeaseId++;
         leases.put(id, new Lease(ttlMillis, nowNanos.getAsLong()));
         return id;
     }
 
     /** Renews a lease and returns its time to live in milliseconds; 0 if the lease has ended. */
-    public long renew(long id) {
+    public long renewLease(long id) {
         Lease lease = leases.get(id);
         if (lease == null) {
             return 0;
@@ -99,7 +99,7 @@
     }
 
     /** Ends a lease, deletes its keys and returns the resulting events. */
-    public List<Event> end(long id) {
+    public List<Event> endLease(long id) {
         Lease lease = leases.remove(id);
         if (lease == null) {
             return List.of();
@@ -112,7 +112,7 @@
     }
 
     /** Returns the ids of the leases that have expired but not ended. */
-    public List<Long> expired() {
+    public List<Long> expiredLeases() {
         long now = nowNanos.getAsLong();
         return leases.entrySet().stream()
                 .filter(entry -> now - entry.getValue().renewedNanos > entry.getValue().ttlMillis * 1_000_000L)
--- a/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
@@ -33,17 +33,17 @@
     }
 
     /** Makes a number of next bookings take effect without an answer. */
-    public void loseAnswers(int number) {
+    public void loseNextAnswers(int number) {
         answersToLose.set(number);
     }
 
-    /** Makes a number of next bookings take effect but withholds their answers until {@link #answerHeld}. */
-    public void holdAnswers(int number) {
+    /** Makes a number of next bookings take effect but withholds their answers until {@link #answerHeldBookings}. */
+    public void holdNextAnswers(int number) {
         answersToHold.set(number);
     }
 
     /** Answers the bookings whose answers are withheld. */
-    public void answerHeld() {
+    public void answerHeldBookings() {
         heldCalls.forEach(this::answerBooking);
         heldCalls.clear();
     }
--- a/src/main/java/org/gooseberryhill/standin/SampleAnswers.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleAnswers.java
@@ -9,7 +9,7 @@
     private SampleAnswers() {}
 
     /** Returns the complete answer to a chat with one message. */
-    public static String chat(String content, int tokens) {
+    public static String chatAnswer(String content, int tokens) {
         return Generation.answer(content + "\n", tokens);
     }
 
@@ -27,7 +27,7 @@
     }
 
     /** Returns the complete answer to a prompt. */
-    public static String prompt(String prompt, int tokens) {
+    public static String promptAnswer(String prompt, int tokens) {
         return Generation.answer(prompt, tokens);
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
+++ b/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
@@ -26,7 +26,7 @@
     public SamplePlatform(SampleFleet fleet, EngineSpeed speed, int entries, int stewards, int stores) {
         keyValue = new KeyValueStandin(group, fleet.keyValue());
         hostList = new HostListStandin(group, fleet.hostList(), 0);
-        hostList.start(fleet.hosts(entries, stewards, stores));
+        hostList.setHosts(fleet.hosts(entries, stewards, stores));
         weightStore = new WeightStoreStandin(group, fleet.weightStore(), WEIGHT_READS_PER_MINUTE);
         for (int i = 0; i < fleet.engineCount(); i++) {
             EngineStandin engine = new EngineStandin(group, fleet.engine(i), speed);
--- a/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
@@ -13,7 +13,7 @@
 /** Simulates the weight store: {@code GET /weights/{model}/{version}}, rate-limited. Thread-safe. */
 public final class WeightStoreStandin implements Closeable {
     private final HttpServer server;
-    private final CallMeter meter = new CallMeter();
+    private final CallCounter callCounter = new CallCounter();
     private final int maxPerMinute;
     private final ArrayDeque<Long> recentReadNanos = new ArrayDeque<>();
 
@@ -26,7 +26,7 @@
 
     /** Returns the number of served and refused reads so far. */
     public Map<String, Long> meter() {
-        return meter.snapshot();
+        return callCounter.snapshot();
     }
 
     @Override
@@ -41,12 +41,12 @@
             recentReadNanos.pollFirst();
         }
         if (recentReadNanos.size() >= maxPerMinute) {
-            meter.count("refused");
+            callCounter.count("refused");
             call.reply(429, Map.of("retry-after", "5"), new byte[0]);
             return;
         }
         recentReadNanos.addLast(nowNanos);
-        meter.count("served");
+        callCounter.count("served");
         StandinHttp.replyJson(call, 200, Map.of("weights", call.path()));
     }
 }
--- a/src/test/java/org/gooseberryhill/Loopback.java
+++ b/src/test/java/org/gooseberryhill/Loopback.java
@@ -21,12 +21,12 @@
 
     /** Returns an address at which nothing listened when it was chosen. */
     public static Address freeAddress() {
-        return FreePorts.next();
+        return FreePorts.nextAddress();
     }
 
     /** Returns the first of 100 consecutive ports at which nothing listened when they were chosen. */
     public static int freeBasePort() {
-        return FreePorts.block();
+        return FreePorts.claimBlock();
     }
 
     /** Waits until the condition holds; the time-out of 120 s only stops a test that would never end. */
--- a/src/test/java/org/gooseberryhill/external/HostListContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/HostListContractTest.java
@@ -37,14 +37,14 @@
 
     @Test
     void hostsAreListedWithTheirRolesZonesAndAddresses() {
-        standin.start(hosts);
+        standin.setHosts(hosts);
 
         assertThat(hostList.read().join().hosts()).isEqualTo(hosts);
     }
 
     @Test
     void aLeavingEndpointIsListed() {
-        standin.leaving("tutor-00");
+        standin.addLeavingEndpoint("tutor-00");
 
         Loopback.await(
                 "the leaving endpoint",
@@ -54,9 +54,9 @@
     /** While the list lags, it does not show a change and still shows the earlier hosts. */
     @Test
     void aChangeIsVisibleOnlyAfterTheLag() {
-        standin.start(hosts);
-        standin.lag(LONG_LAG_MILLIS);
-        standin.leaving("tutor-00");
+        standin.setHosts(hosts);
+        standin.setLagMillis(LONG_LAG_MILLIS);
+        standin.addLeavingEndpoint("tutor-00");
 
         assertThat(hostList.read().join().leavingEndpoints()).isEmpty();
         assertThat(hostList.read().join().hosts()).hasSize(3);
--- a/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
@@ -134,7 +134,7 @@
         write(Transaction.builder().putUnderLease("k", bytes("v"), lease));
         assertThat(store.renewLease(lease).join()).isPositive();
 
-        standin.lapseAllLeases();
+        standin.expireAllLeases();
 
         assertThat(value("k")).isEmpty();
         assertThat(store.renewLease(lease).join()).isZero();
@@ -171,7 +171,7 @@
         AtomicBoolean ended = new AtomicBoolean();
         try (Closeable watch = store.watch("/w/", 0, listener(new CopyOnWriteArrayList<>(), ended))) {
             create("/w/key", "v");
-            standin.faults(new KeyValueFaults(true, 0, 0, 0, false));
+            standin.setFaults(new KeyValueFaults(true, 0, 0, 0, false));
 
             assertThatThrownBy(() -> store.read("k").join()).hasCauseInstanceOf(ExternalServiceException.class);
             Loopback.await("the end of the watch", ended::get);
@@ -180,7 +180,7 @@
 
     @Test
     void aWriteWhoseAnswerIsLostFailsButTakesEffect() {
-        standin.faults(new KeyValueFaults(false, 0, 1, 0, false));
+        standin.setFaults(new KeyValueFaults(false, 0, 1, 0, false));
 
         assertThatThrownBy(() -> create("k", "v")).isInstanceOf(CompletionException.class);
         assertThat(value("k")).contains("v");
@@ -188,7 +188,7 @@
 
     @Test
     void aServiceThatIsTooSlowCountsAsUnanswered() {
-        standin.faults(new KeyValueFaults(false, LONG_DELAY_MILLIS, 0, 0, false));
+        standin.setFaults(new KeyValueFaults(false, LONG_DELAY_MILLIS, 0, 0, false));
 
         assertThatThrownBy(() -> shortTimeoutStore.read("k").join()).hasCauseInstanceOf(ExternalServiceException.class);
     }
@@ -198,7 +198,7 @@
         create("k", "v");
         value("k");
 
-        assertThat(standin.meter()).containsEntry("/v3/kv/txn", 1L).containsEntry("/v3/kv/range", 1L);
+        assertThat(standin.callCounts()).containsEntry("/v3/kv/txn", 1L).containsEntry("/v3/kv/range", 1L);
     }
 
     private boolean create(String key, String value) {
--- a/src/test/java/org/gooseberryhill/http/ListeningSocketTest.java
+++ b/src/test/java/org/gooseberryhill/http/ListeningSocketTest.java
@@ -22,7 +22,7 @@
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Address address = FreePorts.next();
+    private final Address address = FreePorts.nextAddress();
 
     @AfterEach
     void close() {
--- a/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
+++ b/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
@@ -64,7 +64,7 @@
     /** The edit takes effect but its answer is lost: its author is told that it was accepted, not that it failed. */
     @Test
     void anEditWhoseAnswerIsLostIsKnownToBeAccepted() {
-        fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 1, 0, false));
+        fixture.system.platform().keyValue().setFaults(new KeyValueFaults(false, 0, 1, 0, false));
         fixture.system.applyConfiguration(configurationWithVersion("7"));
 
         awaitVersion("7", fixture.processes());
@@ -76,7 +76,7 @@
         fixture.system.applyConfiguration(configurationWithVersion("8"));
         awaitVersion("8", fixture.processes());
         fixture.system.entries().get(1).close();
-        fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
+        fixture.system.platform().keyValue().setFaults(new KeyValueFaults(true, 0, 0, 0, false));
         EntryProcess started = fixture.system.startEntry(1);
 
         awaitVersion("8", List.of(started.process()));
@@ -88,7 +88,7 @@
     void staleReadingsDoNotBringAnOlderTextBack() {
         fixture.system.applyConfiguration(configurationWithVersion("9"));
         awaitVersion("9", fixture.processes());
-        fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 0, 0, true));
+        fixture.system.platform().keyValue().setFaults(new KeyValueFaults(false, 0, 0, 0, true));
         fixture.system.entries().get(1).close();
         EntryProcess started = fixture.system.startEntry(1);
 
@@ -106,7 +106,7 @@
         ModelHolding wanted = new ModelHolding("tutor-7b", "10", List.of("critique"));
         Loopback.await(
                 "the new version",
-                () -> engines.stream().allMatch(engine -> engine.held().equals(wanted)));
+                () -> engines.stream().allMatch(engine -> engine.heldModel().equals(wanted)));
         for (EngineStandin engine : engines) {
             assertThat(engine.orderFences()).isSorted().isNotEmpty();
         }
--- a/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
+++ b/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
@@ -63,7 +63,8 @@
             sendSignal("steward-1", "STOP");
             List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                CheckedStream stream = new CheckedStream(SampleAnswers.chat("sketch " + i, 20), System.nanoTime());
+                CheckedStream stream =
+                        new CheckedStream(SampleAnswers.chatAnswer("sketch " + i, 20), System.nanoTime());
                 tutor.start("POST", "/v1/chat/completions", SampleAnswers.chatBody("sketch " + i, 20), stream);
                 answers.add(stream.result());
             }
@@ -81,7 +82,8 @@
         assertThat(lines).hasSize(ITEMS);
         for (int i = 0; i < ITEMS; i++) {
             String prompt = SystemFixture.itemPrompt("lot", i, "portfolio");
-            assertThat(lines[i]).contains("\"index\":" + i + ",", SampleAnswers.prompt(prompt, SystemFixture.TOKENS));
+            assertThat(lines[i])
+                    .contains("\"index\":" + i + ",", SampleAnswers.promptAnswer(prompt, SystemFixture.TOKENS));
         }
     }
 
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -88,7 +88,7 @@
     void aJobGoesOnWhenAllLeasesLapse() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
         Loopback.await("work", () -> totalServed() > 0);
-        fixture.system.platform().keyValue().lapseAllLeases();
+        fixture.system.platform().keyValue().expireAllLeases();
 
         fixture.awaitJob("lot", "done");
         assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
@@ -99,10 +99,10 @@
     void aJobGoesOnAfterAnOutageOfTheKeyValueService() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
         Loopback.await("work", () -> totalServed() > 0);
-        fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
+        fixture.system.platform().keyValue().setFaults(new KeyValueFaults(true, 0, 0, 0, false));
         int before = totalServed();
         Loopback.await("work during the outage", () -> totalServed() > before + ITEMS / 4);
-        fixture.system.platform().keyValue().faults(KeyValueFaults.NONE);
+        fixture.system.platform().keyValue().setFaults(KeyValueFaults.NONE);
 
         fixture.awaitJob("lot", "done");
         assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
@@ -111,7 +111,7 @@
     /** The next writes take effect but their answers are lost: the claim and the commits remain valid. */
     @Test
     void aJobEndsWhenAnswersOfTheKeyValueServiceAreLost() {
-        fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 3, 0, false));
+        fixture.system.platform().keyValue().setFaults(new KeyValueFaults(false, 0, 3, 0, false));
         HttpResult accepted = fixture.submit(fixture.coordinator, "lot", ITEMS);
 
         assertThat(accepted.status()).isEqualTo(201);
@@ -125,7 +125,7 @@
      */
     @Test
     void aClaimThatItsHolderDoesNotKnowOfIsFound() {
-        fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 2, 1, false));
+        fixture.system.platform().keyValue().setFaults(new KeyValueFaults(false, 0, 2, 1, false));
         fixture.submit(fixture.coordinator, "lot", ITEMS);
 
         fixture.awaitJob("lot", "done");
@@ -279,7 +279,7 @@
     @Test
     void anItemThatCrashesEnginesFailsAndTheRestIsDone() {
         for (EngineStandin engine : fixture.system.platform().engines()) {
-            engine.faults(new EngineFaults(Optional.of("portfolio lot 7\""), 300, true, false, false));
+            engine.setFaults(new EngineFaults(Optional.of("portfolio lot 7\""), 300, true, false, false));
         }
         byte[] body = new String(SystemFixture.jobBody("lot", 40, "portfolio"), StandardCharsets.UTF_8)
                 .replace("portfolio lot 7\"", "portfolio lot 7\\\"\"")
@@ -321,7 +321,7 @@
 
     private int totalServed() {
         return fixture.system.platform().engines().stream()
-                .mapToInt(EngineStandin::served)
+                .mapToInt(EngineStandin::servedCount)
                 .sum();
     }
 
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -70,14 +70,14 @@
     @Test
     void aStreamWithoutItsEndMarkIsNeverReportedAsComplete() {
         EngineFaults early = new EngineFaults(Optional.empty(), 0, true, false, true);
-        fixture.system.platform().engines().subList(0, 2).forEach(engine -> engine.faults(early));
+        fixture.system.platform().engines().subList(0, 2).forEach(engine -> engine.setFaults(early));
         List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 20));
         }
         assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
 
-        fixture.system.platform().engines().forEach(engine -> engine.faults(early));
+        fixture.system.platform().engines().forEach(engine -> engine.setFaults(early));
         for (int i = 0; i < 5; i++) {
             assertThat(fixture.startStream(fixture.tutor, "cut " + i, 20).join().end())
                     .isEqualTo(End.CUT);
@@ -90,7 +90,7 @@
      */
     @Test
     void aBookingWhoseAnswerIsLostIsNotRepeated() {
-        fixture.system.platform().plainServices().forEach(service -> service.loseAnswers(1));
+        fixture.system.platform().plainServices().forEach(service -> service.loseNextAnswers(1));
         HttpResult first = fixture.book(fixture.student, "seat-1", "key-1");
 
         assertThat(first.status()).isEqualTo(502);
@@ -103,7 +103,7 @@
     /** The same booking without an idempotency key is sent once and not repeated by the system. */
     @Test
     void aBookingWithoutAKeyIsSentOnce() {
-        fixture.system.platform().plainServices().forEach(service -> service.loseAnswers(1));
+        fixture.system.platform().plainServices().forEach(service -> service.loseNextAnswers(1));
         HttpResult result = fixture.student.call(
                 "POST", "/services/bookings/bookings", "{\"seat\":\"seat-2\"}".getBytes(StandardCharsets.UTF_8));
 
@@ -126,12 +126,12 @@
     /** The student sends the booking again while the first attempt is in progress. */
     @Test
     void aBookingSentTwiceAtOnceRunsOnce() {
-        fixture.system.platform().plainServices().forEach(service -> service.holdAnswers(1));
+        fixture.system.platform().plainServices().forEach(service -> service.holdNextAnswers(1));
         CompletableFuture<HttpResult> first =
                 CompletableFuture.supplyAsync(() -> fixture.book(fixture.student, "seat-4", "key-4"));
         Loopback.await("the booking", () -> fixture.countBookings("seat-4") == 1);
         HttpResult second = resend("seat-4", "key-4");
-        fixture.system.platform().plainServices().forEach(PlainServiceStandin::answerHeld);
+        fixture.system.platform().plainServices().forEach(PlainServiceStandin::answerHeldBookings);
 
         assertThat(second.status()).isEqualTo(409);
         assertThat(SystemFixture.error(second).path("code").asText()).isEqualTo("in-progress");
@@ -145,7 +145,7 @@
      */
     @Test
     void aBookingWhoseEntryIsLostIsNotRepeated() {
-        fixture.system.platform().plainServices().forEach(service -> service.holdAnswers(1));
+        fixture.system.platform().plainServices().forEach(service -> service.holdNextAnswers(1));
         CompletableFuture<HttpResult> first =
                 CompletableFuture.supplyAsync(() -> fixture.book(fixture.student, "seat-7", "key-7"));
         Loopback.await("the booking", () -> fixture.countBookings("seat-7") == 1);
@@ -161,14 +161,14 @@
     /** During an outage of the key-value service a booking can't be claimed: it is correctly refused as not run. */
     @Test
     void duringAnOutageABookingIsRefusedAsNotRun() {
-        fixture.system.platform().keyValue().faults(new KeyValueFaults(true, 0, 0, 0, false));
+        fixture.system.platform().keyValue().setFaults(new KeyValueFaults(true, 0, 0, 0, false));
         HttpResult refused = fixture.book(fixture.student, "seat-5", "key-5");
 
         assertThat(refused.status()).isEqualTo(503);
         assertThat(SystemFixture.error(refused).path("outcome").asText()).isEqualTo("not-run");
         assertThat(refused.headers().get("retry-after")).isNotNull();
         assertThat(fixture.countBookings("seat-5")).isZero();
-        fixture.system.platform().keyValue().faults(KeyValueFaults.NONE);
+        fixture.system.platform().keyValue().setFaults(KeyValueFaults.NONE);
         Loopback.await(
                 "the booking",
                 () -> fixture.book(fixture.student, "seat-5", "key-5").status() == 201);
@@ -178,7 +178,7 @@
     /** The claim takes effect but its answer is lost: the host finds its own claim and sends the booking once. */
     @Test
     void aClaimWhoseAnswerIsLostStillLeadsToOneBooking() {
-        fixture.system.platform().keyValue().faults(new KeyValueFaults(false, 0, 1, 0, false));
+        fixture.system.platform().keyValue().setFaults(new KeyValueFaults(false, 0, 1, 0, false));
 
         assertThat(fixture.book(fixture.student, "seat-6", "key-6").status()).isEqualTo(201);
         assertThat(fixture.countBookings("seat-6")).isEqualTo(1);
@@ -205,7 +205,7 @@
         fixture.system
                 .platform()
                 .engines()
-                .forEach(engine -> engine.faults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
+                .forEach(engine -> engine.setFaults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
         List<CompletableFuture<CheckedStream.Result>> others = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             others.add(fixture.startStream(fixture.tutor, "sketch " + i, 60));
@@ -229,7 +229,7 @@
         fixture.system
                 .platform()
                 .engines()
-                .forEach(engine -> engine.faults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
+                .forEach(engine -> engine.setFaults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
         List<CompletableFuture<CheckedStream.Result>> sent = new ArrayList<>();
         List<EntryClient> clients = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
@@ -254,14 +254,14 @@
             before.add(fixture.startStream(fixture.tutor, "before " + i, 100));
         }
         fixture.submit(fixture.coordinator, "lot", 600);
-        engine(0).faults(new EngineFaults(Optional.empty(), 0, true, true, false));
+        engine(0).setFaults(new EngineFaults(Optional.empty(), 0, true, true, false));
         Loopback.await(
                 "all hosts know",
                 () -> fixture.system.entries().stream()
                                 .allMatch(entry -> SystemFixture.callOnLoop(
                                         entry.process(), () -> entry.isEndpointLeaving("tutor-00")))
                         && engine(0).isIdle());
-        int served = engine(0).served();
+        int served = engine(0).servedCount();
         List<CompletableFuture<CheckedStream.Result>> after = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             after.add(fixture.startStream(fixture.tutor, "after " + i, 10));
@@ -270,7 +270,7 @@
         assertThat(after).allMatch(answer -> answer.join().end() == End.WHOLE);
         assertThat(before).allMatch(answer -> answer.join().end() == End.WHOLE);
         fixture.awaitJob("lot", "done");
-        assertThat(engine(0).served()).isEqualTo(served);
+        assertThat(engine(0).servedCount()).isEqualTo(served);
     }
 
     /** A planned stop of an entry is requested twice while streams are in progress; a runner is lost in between. */
@@ -362,7 +362,7 @@
 
     private int totalCrashes() {
         return fixture.system.platform().engines().stream()
-                .mapToInt(EngineStandin::crashes)
+                .mapToInt(EngineStandin::crashCount)
                 .sum();
     }
 }
--- a/src/test/java/org/gooseberryhill/program/SystemFixture.java
+++ b/src/test/java/org/gooseberryhill/program/SystemFixture.java
@@ -119,7 +119,7 @@
         List<JsonNode> lines = results(id);
         long correct = 0;
         for (int i = 0; i < lines.size(); i++) {
-            String expected = SampleAnswers.prompt(itemPrompt(id, i, "portfolio"), TOKENS);
+            String expected = SampleAnswers.promptAnswer(itemPrompt(id, i, "portfolio"), TOKENS);
             boolean indexMatches = lines.get(i).path("index").asInt(-1) == i;
             if (indexMatches && lines.get(i).path("text").asText().equals(expected)) {
                 correct++;
@@ -150,7 +150,7 @@
     }
 
     CompletableFuture<CheckedStream.Result> startStream(EntryClient client, String prompt, int tokens) {
-        CheckedStream stream = new CheckedStream(SampleAnswers.chat(prompt, tokens), System.nanoTime());
+        CheckedStream stream = new CheckedStream(SampleAnswers.chatAnswer(prompt, tokens), System.nanoTime());
         client.start("POST", "/v1/chat/completions", SampleAnswers.chatBody(prompt, tokens), stream);
         return stream.result();
     }
--- a/src/test/java/org/gooseberryhill/standin/FreePortsTest.java
+++ b/src/test/java/org/gooseberryhill/standin/FreePortsTest.java
@@ -44,14 +44,14 @@
 
     @Test
     void aBlockIsNotAllocatedTwice() {
-        assertThat(FreePorts.claim(FreePorts.block())).isEmpty();
+        assertThat(FreePorts.claim(FreePorts.claimBlock())).isEmpty();
     }
 
     @Test
     void noAddressIsAllocatedTwice() {
         Set<Integer> ports = new HashSet<>();
         for (int i = 0; i < 2 * FreePorts.BLOCK_PORTS; i++) {
-            ports.add(FreePorts.next().port());
+            ports.add(FreePorts.nextAddress().port());
         }
 
         assertThat(ports).hasSize(2 * FreePorts.BLOCK_PORTS);
@@ -70,7 +70,7 @@
         private OtherProcess() {}
 
         public static void main(String... arguments) throws IOException {
-            System.out.println(FreePorts.block());
+            System.out.println(FreePorts.claimBlock());
             System.in.read();
         }
     }
