--- a/src/main/java/org/gooseberryhill/configuration/Finding.java
+++ b/src/main/java/org/gooseberryhill/configuration/Finding.java
@@ -12,7 +12,7 @@
  */
 public record Finding(String file, TextPosition place, String key, String messageKey, String message, String remedy) {
     /** Formats the finding as one line, {@code file:line:column: key: message (remedy) [message key]}. */
-    public String line() {
+    public String format() {
         return "%s:%d:%d: %s: %s (%s) [%s]"
                 .formatted(file, place.line(), place.column(), key, message, remedy, messageKey);
     }
--- a/src/main/java/org/gooseberryhill/contract/Prompt.java
+++ b/src/main/java/org/gooseberryhill/contract/Prompt.java
@@ -14,7 +14,7 @@
     private static final int OUTPUT_TOKEN_WEIGHT = 10;
 
     /** Returns the work in prompt tokens; generating a token costs about ten times as much as reading one. */
-    public long work() {
+    public long workTokens() {
         return promptTokens + (long) OUTPUT_TOKEN_WEIGHT * maxOutputTokens;
     }
 }
--- a/src/main/java/org/gooseberryhill/control/ControlLoop.java
+++ b/src/main/java/org/gooseberryhill/control/ControlLoop.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ThreadFactory;
 import java.util.concurrent.TimeUnit;
 import org.apache.logging.log4j.Logger;
-import org.gooseberryhill.logging.Logs;
+import org.gooseberryhill.logging.LazyLoggers;
 
 /**
  * Runs tasks sequentially on a single thread, which takes them from a Disruptor ring buffer. Thread-safe.
@@ -29,7 +29,7 @@
     private static final int RING_BUFFER_SIZE = 1 << 14;
 
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
-    private static final Lazy<Logger> LOG = Logs.of(ControlLoop.class);
+    private static final Lazy<Logger> LOG = LazyLoggers.of(ControlLoop.class);
     private static final EventTranslatorOneArg<TaskEvent, Runnable> SET_TASK =
             (event, sequence, task) -> event.task = task;
 
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
@@ -7,7 +7,7 @@
 import org.gooseberryhill.decision.requestbatch.RunEnd;
 import org.gooseberryhill.metrics.LabeledCounter;
 import org.gooseberryhill.metrics.LabeledHistogram;
-import org.gooseberryhill.metrics.MetricSet;
+import org.gooseberryhill.metrics.MetricRegistry;
 
 /** Metrics of one gateway; their names and labels are documented in docs/OPERATIONS.md. Thread-safe. */
 final class GatewayMetrics {
@@ -19,7 +19,7 @@
 
     private static final String OTHER_LABEL = "other";
 
-    private final MetricSet metrics = new MetricSet();
+    private final MetricRegistry metrics = new MetricRegistry();
     private final Set<String> routes = ConcurrentHashMap.newKeySet();
     private final Set<String> endpoints = ConcurrentHashMap.newKeySet();
     private final LabeledCounter requests =
@@ -36,7 +36,7 @@
             metrics.counter("gooseberry_item_runs", "Runs of items of request batches by their end", "end");
 
     /** Returns all metrics for export. */
-    MetricSet all() {
+    MetricRegistry all() {
         return metrics;
     }
 
@@ -46,7 +46,7 @@
     }
 
     void requestEnded(String route, String end) {
-        requests.add(boundedLabel(routes, route), end);
+        requests.increment(boundedLabel(routes, route), end);
     }
 
     void firstByte(String route, double seconds) {
@@ -55,12 +55,12 @@
 
     void attemptEnded(String endpoint, AttemptEnd end, double seconds) {
         String label = boundedLabel(endpoints, endpoint);
-        attempts.add(label, end.name());
+        attempts.increment(label, end.name());
         attemptLatency.observe(seconds, label);
     }
 
     void itemRunEnded(RunEnd end) {
-        items.add(end.name());
+        items.increment(end.name());
     }
 
     private static String boundedLabel(Set<String> known, String value) {
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -28,7 +28,7 @@
 import org.gooseberryhill.http.ListeningSocket;
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.HybridClock;
-import org.gooseberryhill.logging.LogSink;
+import org.gooseberryhill.logging.StandardOutputSink;
 import org.gooseberryhill.peer.GatewayMessage;
 import org.gooseberryhill.peer.PeerClient;
 import org.gooseberryhill.peer.PeerMessage;
@@ -104,7 +104,7 @@
     private final BatchTakeover takeover;
     private final BatchHandOver handOver;
     private final GatewayMessageHandler messages;
-    private final LogSink log = new LogSink();
+    private final StandardOutputSink log = new StandardOutputSink();
     private final ProcessDelayDetector processDelayDetector = new ProcessDelayDetector(TICK_PERIOD_MILLIS);
     private final TrafficDelayDetector trafficDelayDetector =
             new TrafficDelayDetector(group, System::nanoTime, this::trafficDelayed);
@@ -243,7 +243,7 @@
 
     /** Writes the buffered log lines, within a timeout in milliseconds. */
     public void finishLog(long timeoutMillis) {
-        log.finish(timeoutMillis);
+        log.flushAndAwait(timeoutMillis);
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/gateway/MetricsServer.java
+++ b/src/main/java/org/gooseberryhill/gateway/MetricsServer.java
@@ -9,7 +9,7 @@
 import org.gooseberryhill.http.HttpServer;
 import org.gooseberryhill.http.RequestBodyHandler;
 import org.gooseberryhill.link.Address;
-import org.gooseberryhill.metrics.MetricSet;
+import org.gooseberryhill.metrics.MetricRegistry;
 
 /** Serves a gateway's metrics at {@code /metrics}. Thread-safe. */
 final class MetricsServer implements Closeable {
@@ -43,7 +43,7 @@
         context.loop()
                 .execute(() -> call.reply(
                         OK,
-                        Map.of("content-type", MetricSet.CONTENT_TYPE),
-                        context.metrics().all().text()));
+                        Map.of("content-type", MetricRegistry.CONTENT_TYPE),
+                        context.metrics().all().toPrometheusText()));
     }
 }
--- a/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 import org.apache.logging.log4j.Logger;
-import org.gooseberryhill.logging.Logs;
+import org.gooseberryhill.logging.LazyLoggers;
 
 /**
  * Serves the requests of one connection sequentially. Runs only on the connection's event loop.
@@ -43,7 +43,7 @@
      */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
-    private static final Lazy<Logger> LOG = Logs.of(ServerConnectionHandler.class);
+    private static final Lazy<Logger> LOG = LazyLoggers.of(ServerConnectionHandler.class);
 
     private final HttpHandler handler;
     private final HttpLimits limits;
--- a/src/main/java/org/gooseberryhill/load/Measurement.java
+++ b/src/main/java/org/gooseberryhill/load/Measurement.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import org.gooseberryhill.program.CheckedStream;
+import org.gooseberryhill.program.StreamedAnswerChecker;
 
 /** Collects the measurements of a run. Thread-safe. */
 public final class Measurement {
@@ -18,7 +18,7 @@
     private int refused;
 
     /** Records the end of a model answer. */
-    public synchronized void recordModelAnswer(CheckedStream.Result result) {
+    public synchronized void recordModelAnswer(StreamedAnswerChecker.Result result) {
         switch (result.end()) {
             case WHOLE -> {
                 whole++;
--- a/src/main/java/org/gooseberryhill/load/OnlineSender.java
+++ b/src/main/java/org/gooseberryhill/load/OnlineSender.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.LongConsumer;
 import org.gooseberryhill.link.Json;
-import org.gooseberryhill.program.CheckedStream;
 import org.gooseberryhill.program.EntryClient;
 import org.gooseberryhill.program.SampleSystem;
+import org.gooseberryhill.program.StreamedAnswerChecker;
 import org.gooseberryhill.standin.PlainServiceStandin;
 import org.gooseberryhill.standin.SampleAnswers;
 import org.gooseberryhill.standin.SampleFleet;
@@ -69,10 +69,11 @@
             return;
         }
         String prompt = promptText(kind.name() + " " + arrival.number(), kind.promptCharacters());
-        CheckedStream stream = new CheckedStream(SampleAnswers.chatAnswer(prompt, kind.tokens()), intendedNanos);
+        StreamedAnswerChecker checker =
+                new StreamedAnswerChecker(SampleAnswers.chatAnswer(prompt, kind.tokens()), intendedNanos);
         byte[] body = SampleAnswers.chatBody(prompt, kind.tokens());
-        pendingAnswers.add(stream.result().thenAccept(measurement::recordModelAnswer));
-        modelClients.get(arrival.number() % modelClients.size()).start("POST", "/v1/chat/completions", body, stream);
+        pendingAnswers.add(checker.result().thenAccept(measurement::recordModelAnswer));
+        modelClients.get(arrival.number() % modelClients.size()).start("POST", "/v1/chat/completions", body, checker);
     }
 
     private void sendPlain(Arrivals.Arrival arrival, long intendedNanos) {
--- a/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
+++ b/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.concurrent.locks.LockSupport;
 import org.gooseberryhill.timeline.TimelineEvent;
-import org.gooseberryhill.timeline.TimelineLines;
+import org.gooseberryhill.timeline.TimelineLineFormat;
 
 /**
  * Writes events as lines to a stream on a separate thread. Thread-safe.
@@ -65,7 +65,7 @@
                 writing = !queue.isEmpty();
                 List<TimelineEvent> events = queue.take();
                 writing = true;
-                out.write(TimelineLines.formatUtf8(events));
+                out.write(TimelineLineFormat.formatUtf8(events));
                 out.flush();
             }
         } catch (IOException e) {
--- a/src/main/java/org/gooseberryhill/logging/Logs.java
+++ b/src/main/java/org/gooseberryhill/logging/LazyLoggers.java
@@ -12,13 +12,13 @@
  * <p>Initializing the logging library takes one third of a process's start-up time, while callers wait for a restarted
  * process. It is therefore put off until the first message is logged.
  */
-public final class Logs {
+public final class LazyLoggers {
     private static final Lazy<Boolean> STARTED = Lazy.of(() -> {
         LineConfigurationFactory.install();
         return true;
     });
 
-    private Logs() {}
+    private LazyLoggers() {}
 
     /** Returns the logger of a class. */
     public static Lazy<Logger> of(Class<?> owner) {
--- a/src/main/java/org/gooseberryhill/logging/NettyLogger.java
+++ b/src/main/java/org/gooseberryhill/logging/NettyLogger.java
@@ -12,7 +12,7 @@
 
     NettyLogger(String name) {
         super(name);
-        this.log = Logs.named(name);
+        this.log = LazyLoggers.named(name);
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/logging/NettyLogs.java
+++ b/src/main/java/org/gooseberryhill/logging/NettyLoggerFactory.java
@@ -3,14 +3,14 @@
 import io.netty.util.internal.logging.InternalLogger;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
-/** Routes Netty's warnings and errors to the lazily created loggers of {@link Logs}. Thread-safe. */
-public final class NettyLogs extends InternalLoggerFactory {
+/** Routes Netty's warnings and errors to the lazily created loggers of {@link LazyLoggers}. Thread-safe. */
+public final class NettyLoggerFactory extends InternalLoggerFactory {
     private static final String MACHINE_ID_PROPERTY = "io.netty.machineId";
 
     /** A locally administered hardware address. */
     private static final String MACHINE_ID = "02:00:00:00:00:01";
 
-    private NettyLogs() {}
+    private NettyLoggerFactory() {}
 
     /**
      * Installs this factory; must be called before the first connection is made. Otherwise Netty searches for a logging
@@ -20,7 +20,7 @@
      */
     public static void install() {
         System.setProperty(MACHINE_ID_PROPERTY, MACHINE_ID);
-        InternalLoggerFactory.setDefaultFactory(new NettyLogs());
+        InternalLoggerFactory.setDefaultFactory(new NettyLoggerFactory());
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/logging/LogSink.java
+++ b/src/main/java/org/gooseberryhill/logging/StandardOutputSink.java
@@ -27,7 +27,7 @@
  *
  * <p>Invariant: events are written in the order in which they were accepted.
  */
-public final class LogSink implements EventSink {
+public final class StandardOutputSink implements EventSink {
     /** The number of buffered events at which the buffer is flushed. */
     static final int FLUSH_THRESHOLD = 64;
 
@@ -44,14 +44,14 @@
     private final List<TimelineEvent> buffer = new ArrayList<>();
 
     /** Creates a sink to standard output with the minimum level set in the environment. */
-    public LogSink() {
+    public StandardOutputSink() {
         this(
                 new FileOutputStream(FileDescriptor.out),
                 System.getenv().getOrDefault(LineConfiguration.LEVEL_VARIABLE, "INFO"));
     }
 
     /** Creates a sink that writes nothing if the minimum level is above that of events. */
-    LogSink(OutputStream out, String minimumLevel) {
+    StandardOutputSink(OutputStream out, String minimumLevel) {
         this.enabled = !LEVELS_WITHOUT_EVENTS.contains(minimumLevel.toUpperCase(Locale.ROOT));
         this.writer = new AsyncLineWriter(out);
     }
@@ -81,7 +81,7 @@
     }
 
     /** Writes all accepted events; gives up after a time-out in milliseconds, since nobody may be reading. */
-    public void finish(long timeoutMillis) {
+    public void flushAndAwait(long timeoutMillis) {
         flush();
         writer.awaitWritten(timeoutMillis);
     }
--- a/src/main/java/org/gooseberryhill/metrics/LabeledCounter.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabeledCounter.java
@@ -22,7 +22,7 @@
     }
 
     /** Increments the count for a combination of label values, one for each label. */
-    public void add(String... labelValues) {
+    public void increment(String... labelValues) {
         counts.computeIfAbsent(labels.checkedValues(labelValues), key -> new LongAdder())
                 .increment();
     }
--- a/src/main/java/org/gooseberryhill/metrics/MetricSet.java
+++ b/src/main/java/org/gooseberryhill/metrics/MetricRegistry.java
@@ -14,8 +14,8 @@
  *
  * <p>Example: {@code metrics.counter("requests", "Requests by route", "route").add("summaries")}.
  */
-public final class MetricSet {
-    /** The media type of {@link #text}. */
+public final class MetricRegistry {
+    /** The media type of {@link #toPrometheusText}. */
     public static final String CONTENT_TYPE = PrometheusTextFormatWriter.CONTENT_TYPE;
 
     private final List<MetricSource> sources = new CopyOnWriteArrayList<>();
@@ -40,7 +40,7 @@
     }
 
     /** Returns the present values of all metrics in the text format. */
-    public byte[] text() {
+    public byte[] toPrometheusText() {
         MetricSnapshots.Builder snapshots = MetricSnapshots.builder();
         sources.forEach(source -> snapshots.metricSnapshot(source.snapshot()));
         ByteArrayOutputStream text = new ByteArrayOutputStream();
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -16,7 +16,7 @@
 import org.gooseberryhill.external.PollingKeyValueStore;
 import org.gooseberryhill.http.HttpClient;
 import org.gooseberryhill.link.HybridClock;
-import org.gooseberryhill.logging.LogSink;
+import org.gooseberryhill.logging.StandardOutputSink;
 import org.gooseberryhill.peer.PeerServer;
 import org.gooseberryhill.peer.PeerTraffic;
 import org.gooseberryhill.registration.HostRegistration;
@@ -46,7 +46,7 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
     private final HttpClient http = new HttpClient(group);
-    private final LogSink log = new LogSink();
+    private final StandardOutputSink log = new StandardOutputSink();
     private final ControlLoop loop;
     private final Timeline timeline;
     private final HostRegistration registration;
@@ -109,7 +109,7 @@
 
     /** Writes the buffered log lines, within a time-out in milliseconds. */
     public void flushLog(long millis) {
-        log.finish(millis);
+        log.flushAndAwait(millis);
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/peer/PeerServer.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerServer.java
@@ -19,11 +19,11 @@
 import org.gooseberryhill.host.HostId;
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.link.HybridClock;
-import org.gooseberryhill.logging.Logs;
+import org.gooseberryhill.logging.LazyLoggers;
 
 /** Accepts connections from other processes and passes their messages to a handler. Thread-safe. */
 public final class PeerServer implements Closeable {
-    private static final Lazy<Logger> LOG = Logs.of(PeerServer.class);
+    private static final Lazy<Logger> LOG = LazyLoggers.of(PeerServer.class);
 
     private final HostId self;
     private final HybridClock clock;
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -33,7 +33,7 @@
 import org.gooseberryhill.host.Role;
 import org.gooseberryhill.http.HttpClient;
 import org.gooseberryhill.link.HybridClock;
-import org.gooseberryhill.logging.LogSink;
+import org.gooseberryhill.logging.StandardOutputSink;
 import org.gooseberryhill.peer.PeerClient;
 import org.gooseberryhill.peer.PeerLane;
 import org.gooseberryhill.peer.PeerMessage;
@@ -95,7 +95,7 @@
         this.claimValue = (self + "/" + UUID.randomUUID()).getBytes(StandardCharsets.UTF_8);
         this.sink = settings.timelineFolder()
                 .<EventSink>map(folder -> new FileSink(folder, self.value()))
-                .orElseGet(LogSink::new);
+                .orElseGet(StandardOutputSink::new);
         this.timeline = new Timeline(self.value(), clock, sink);
         this.loop = new ControlLoop(self.value());
         this.http = new HttpClient(eventLoopGroup);
--- a/src/main/java/org/gooseberryhill/program/ConfigCommand.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigCommand.java
@@ -165,7 +165,7 @@
             out().println(Json.text(findings));
             return;
         }
-        findings.forEach(finding -> err().println(finding.line()));
+        findings.forEach(finding -> err().println(finding.format()));
         err().println(findings.size() + " findings");
     }
 
--- a/src/main/java/org/gooseberryhill/program/DemoCommand.java
+++ b/src/main/java/org/gooseberryhill/program/DemoCommand.java
@@ -76,12 +76,12 @@
         EntryClient coordinator = system.client(0, SampleFleet.COORDINATORS_KEY);
         HttpResult submitted = coordinator.call("PUT", "/v1/jobs/" + JOB_ID + "?model=tutor-7b", jobBody(JOB_ID));
         check(submitted.status() == 201, "the job was not accepted: " + submitted.status());
-        List<CompletableFuture<CheckedStream.Result>> answers = sendOnlineRequests(system);
+        List<CompletableFuture<StreamedAnswerChecker.Result>> answers = sendOnlineRequests(system);
         Histogram firstToken = new Histogram(3);
         int whole = 0;
-        for (CompletableFuture<CheckedStream.Result> answer : answers) {
-            CheckedStream.Result result = answer.join();
-            if (result.end() == CheckedStream.End.WHOLE) {
+        for (CompletableFuture<StreamedAnswerChecker.Result> answer : answers) {
+            StreamedAnswerChecker.Result result = answer.join();
+            if (result.end() == StreamedAnswerChecker.End.WHOLE) {
                 whole++;
                 firstToken.recordValue(TimeUnit.NANOSECONDS.toMicros(result.firstTokenNanos()));
             }
@@ -104,13 +104,13 @@
         return failures.isEmpty() ? Commands.OK : Commands.FAILED;
     }
 
-    private List<CompletableFuture<CheckedStream.Result>> sendOnlineRequests(SampleSystem system)
+    private List<CompletableFuture<StreamedAnswerChecker.Result>> sendOnlineRequests(SampleSystem system)
             throws InterruptedException {
         List<EntryClient> callers = new ArrayList<>();
         for (int i = 0; i < SampleSystem.HOSTS_PER_ROLE; i++) {
             callers.add(system.client(i, SampleFleet.TUTORS_KEY));
         }
-        List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> answers = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
             if (i == KILL_AT_REQUEST) {
                 system.platform().engines().get(1).crash();
@@ -120,11 +120,11 @@
                 leaving.setFaults(new EngineFaults(Optional.empty(), 0, true, true, false));
             }
             String prompt = "critique of sketch " + i;
-            CheckedStream stream =
-                    new CheckedStream(SampleAnswers.chatAnswer(prompt, REQUEST_TOKENS), System.nanoTime());
+            StreamedAnswerChecker checker =
+                    new StreamedAnswerChecker(SampleAnswers.chatAnswer(prompt, REQUEST_TOKENS), System.nanoTime());
             callers.get(i % callers.size())
-                    .start("POST", "/v1/chat/completions", SampleAnswers.chatBody(prompt, REQUEST_TOKENS), stream);
-            answers.add(stream.result());
+                    .start("POST", "/v1/chat/completions", SampleAnswers.chatBody(prompt, REQUEST_TOKENS), checker);
+            answers.add(checker.result());
             Thread.sleep(REQUEST_PERIOD_MILLIS);
         }
         CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
--- a/src/main/java/org/gooseberryhill/program/CheckedStream.java
+++ b/src/main/java/org/gooseberryhill/program/StreamedAnswerChecker.java
@@ -12,7 +12,7 @@
  * <p>Times are in nanoseconds since the intended time of sending, so that a delay before the request is sent counts as
  * latency.
  */
-public final class CheckedStream implements ExchangeListener {
+public final class StreamedAnswerChecker implements ExchangeListener {
     /** The outcome of an answer. */
     public enum End {
         /** Complete, with the expected text. */
@@ -43,7 +43,7 @@
      * @param expected the expected text
      * @param intendedNanos the intended time of sending, as of {@link System#nanoTime()}
      */
-    public CheckedStream(String expected, long intendedNanos) {
+    public StreamedAnswerChecker(String expected, long intendedNanos) {
         this.expected = expected;
         this.intendedNanos = intendedNanos;
     }
--- a/src/main/java/org/gooseberryhill/program/TimelineCommand.java
+++ b/src/main/java/org/gooseberryhill/program/TimelineCommand.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
 import org.gooseberryhill.timeline.TimelineEvent;
-import org.gooseberryhill.timeline.TimelineLines;
+import org.gooseberryhill.timeline.TimelineLineFormat;
 import org.gooseberryhill.timeline.TimelineQuery;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -58,7 +58,7 @@
     public Integer call() throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         for (TimelineEvent event : query().select(merge(logs))) {
-            out.println(json ? TimelineLines.line(event) : format(event));
+            out.println(json ? TimelineLineFormat.format(event) : format(event));
         }
         out.flush();
         return Commands.OK;
@@ -70,7 +70,7 @@
         for (Path log : logs) {
             for (Path file : logFiles(log)) {
                 try (Stream<String> lines = Files.lines(file, StandardCharsets.UTF_8)) {
-                    lines.forEach(line -> TimelineLines.parse(line).ifPresent(events::add));
+                    lines.forEach(line -> TimelineLineFormat.parse(line).ifPresent(events::add));
                 }
             }
         }
--- a/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/WeightStoreStandin.java
@@ -25,7 +25,7 @@
     }
 
     /** Returns the number of served and refused reads so far. */
-    public Map<String, Long> meter() {
+    public Map<String, Long> callCounts() {
         return callCounter.snapshot();
     }
 
--- a/src/main/java/org/gooseberryhill/timeline/FileSink.java
+++ b/src/main/java/org/gooseberryhill/timeline/FileSink.java
@@ -45,7 +45,7 @@
             return;
         }
         try {
-            writer.write(TimelineLines.line(event) + "\n");
+            writer.write(TimelineLineFormat.format(event) + "\n");
             writer.flush();
         } catch (IOException e) {
             failed = true;
--- a/src/main/java/org/gooseberryhill/timeline/TimelineLines.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineLineFormat.java
@@ -12,7 +12,7 @@
 import org.gooseberryhill.link.Json;
 
 /** Formats events as log lines, one JSON object per line, and parses them. Stateless. */
-public final class TimelineLines {
+public final class TimelineLineFormat {
     private static final String AT = "at";
     private static final String TIME = "time";
     private static final String PROCESS = "process";
@@ -23,10 +23,10 @@
     private static final int EXPECTED_LINE_BYTES = 300;
     private static final Set<String> STANDARD_FIELDS = Set.of(AT, TIME, PROCESS, KIND, REQUEST, JOB, ENDPOINT);
 
-    private TimelineLines() {}
+    private TimelineLineFormat() {}
 
     /** Formats an event as one line, without the line terminator. */
-    public static String line(TimelineEvent event) {
+    public static String format(TimelineEvent event) {
         return new String(formatUtf8(List.of(event)), StandardCharsets.UTF_8).stripTrailing();
     }
 
--- a/src/test/java/org/gooseberryhill/Loopback.java
+++ b/src/test/java/org/gooseberryhill/Loopback.java
@@ -15,7 +15,7 @@
 
     private Loopback() {}
 
-    public static EventLoopGroup group() {
+    public static EventLoopGroup newEventLoopGroup() {
         return new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     }
 
--- a/src/test/java/org/gooseberryhill/decision/FakeKeyValue.java
+++ b/src/test/java/org/gooseberryhill/decision/FakeKeyValue.java
@@ -43,11 +43,11 @@
     /** Reads a key; empty if the answer is lost. */
     public Optional<Optional<Stored<V>>> read(String key) {
         boolean lost = random.nextInt(100) < faultPercent;
-        return lost ? Optional.empty() : Optional.of(now(key));
+        return lost ? Optional.empty() : Optional.of(peek(key));
     }
 
     /** Returns what the key holds, without faults. */
-    public Optional<Stored<V>> now(String key) {
+    public Optional<Stored<V>> peek(String key) {
         return Optional.ofNullable(values.get(key));
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** Applies one delayed write, chosen at random. */
-    public void arriveDelayed() {
+    public void applyDelayedWrite() {
         if (!delayed.isEmpty()) {
             delayed.remove(random.nextInt(delayed.size())).run();
         }
@@ -66,7 +66,7 @@
     private boolean apply(List<Condition> conditions, Map<String, V> writes) {
         for (Condition condition : conditions) {
             Stored<V> stored = values.get(condition.key);
-            long actual = stored == null ? 0 : condition.created ? stored.created : stored.modified;
+            long actual = stored == null ? 0 : condition.created ? stored.createRevision : stored.modRevision;
             if (actual != condition.revision) {
                 return false;
             }
@@ -74,13 +74,13 @@
         revision++;
         writes.forEach((key, value) -> {
             Stored<V> old = values.get(key);
-            values.put(key, new Stored<>(value, old == null ? revision : old.created, revision));
+            values.put(key, new Stored<>(value, old == null ? revision : old.createRevision, revision));
         });
         return true;
     }
 
     /** A value with the revisions of its creation and its last write. */
-    public record Stored<V>(V value, long created, long modified) {}
+    public record Stored<V>(V value, long createRevision, long modRevision) {}
 
     /** A condition on the creation or modification revision of a key; revision 0 requires that the key is absent. */
     public record Condition(String key, boolean created, long revision) {
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
@@ -31,7 +31,7 @@
         for (int step = 0; step < 100; step++) {
             operators.get(random.nextInt(operators.size())).advance(store);
             if (random.nextInt(5) == 0) {
-                store.arriveDelayed();
+                store.applyDelayedWrite();
             }
         }
 
@@ -40,7 +40,7 @@
                 .toList();
         assertThat(accepted).hasSizeLessThanOrEqualTo(1);
         accepted.forEach(operator ->
-                assertThat(store.now(KEY).orElseThrow().value().editId()).isEqualTo(operator.record.editId()));
+                assertThat(store.peek(KEY).orElseThrow().value().editId()).isEqualTo(operator.record.editId()));
     }
 
     /** An operator who applies the first text. */
@@ -63,7 +63,7 @@
                 step = store.read(KEY)
                         .map(found -> edit.read(
                                 found.map(FakeKeyValue.Stored::value),
-                                found.map(FakeKeyValue.Stored::modified).orElse(0L)))
+                                found.map(FakeKeyValue.Stored::modRevision).orElse(0L)))
                         .orElseGet(edit::unanswered);
             }
         }
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
@@ -33,7 +33,7 @@
             Call call = calls.get(random.nextInt(calls.size()));
             call.advance(store);
             if (random.nextInt(4) == 0) {
-                store.arriveDelayed();
+                store.applyDelayedWrite();
             }
         }
 
--- a/src/test/java/org/gooseberryhill/decision/job/JobModel.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobModel.java
@@ -38,7 +38,7 @@
     JobModel(Random random, int faultPercent) {
         this.random = random;
         this.store = new FakeKeyValue<>(random, faultPercent);
-        while (store.now(RECORD).isEmpty()) {
+        while (store.peek(RECORD).isEmpty()) {
             store.write(List.of(Condition.absent(RECORD)), Map.of(RECORD, record));
         }
     }
@@ -52,19 +52,19 @@
             case 3, 4 -> host.report();
             case 5, 6 -> host.commit();
             case 7 -> store.delete(OWNER);
-            default -> store.arriveDelayed();
+            default -> store.applyDelayedWrite();
         }
         checkChunks();
     }
 
     /** Cancels the job for its caller and returns only after the record says so. */
     void cancel() {
-        FakeKeyValue.Stored<Object> stored = store.now(RECORD).orElseThrow();
+        FakeKeyValue.Stored<Object> stored = store.peek(RECORD).orElseThrow();
         JobRecord found = (JobRecord) stored.value();
         if (found.state() == JobState.RUNNING) {
-            while (((JobRecord) store.now(RECORD).orElseThrow().value()).state() == JobState.RUNNING) {
+            while (((JobRecord) store.peek(RECORD).orElseThrow().value()).state() == JobState.RUNNING) {
                 store.write(
-                        List.of(Condition.modifiedAt(RECORD, stored.modified())),
+                        List.of(Condition.modifiedAt(RECORD, stored.modRevision())),
                         Map.of(RECORD, found.in(JobState.CANCELLED)));
             }
             cancelled = true;
@@ -74,7 +74,7 @@
     int committedItems() {
         int items = 0;
         for (int chunk = 0; chunk < record.chunks().size(); chunk++) {
-            Optional<FakeKeyValue.Stored<Object>> stored = store.now("chunk" + chunk);
+            Optional<FakeKeyValue.Stored<Object>> stored = store.peek("chunk" + chunk);
             items += stored.map(found -> ((ChunkRecord) found.value()).items()).orElse(0);
         }
         return items;
@@ -82,13 +82,13 @@
 
     private void checkChunks() {
         for (int chunk = 0; chunk < record.chunks().size(); chunk++) {
-            Optional<FakeKeyValue.Stored<Object>> stored = store.now("chunk" + chunk);
+            Optional<FakeKeyValue.Stored<Object>> stored = store.peek("chunk" + chunk);
             if (stored.isPresent()) {
                 int expectedItems = record.itemsInChunk(chunk);
                 assertThat(((ChunkRecord) stored.get().value()).items()).isEqualTo(expectedItems);
-                assertThat(stored.get().created())
+                assertThat(stored.get().createRevision())
                         .as("chunk %d is written once", chunk)
-                        .isEqualTo(stored.get().modified());
+                        .isEqualTo(stored.get().modRevision());
             }
         }
     }
@@ -112,16 +112,16 @@
             if (answer.isEmpty() || !answer.get()) {
                 return;
             }
-            FakeKeyValue.Stored<Object> stored = store.now(RECORD).orElseThrow();
+            FakeKeyValue.Stored<Object> stored = store.peek(RECORD).orElseThrow();
             if (((JobRecord) stored.value()).state() != JobState.RUNNING) {
                 return;
             }
             BitSet committed = new BitSet();
             for (int chunk = 0; chunk < record.chunks().size(); chunk++) {
-                committed.set(chunk, store.now("chunk" + chunk).isPresent());
+                committed.set(chunk, store.peek("chunk" + chunk).isPresent());
             }
-            long fence = store.now(OWNER).orElseThrow().created();
-            OwnedJob job = new OwnedJob(KEY, record, stored.modified(), fence, committed);
+            long fence = store.peek(OWNER).orElseThrow().createRevision();
+            OwnedJob job = new OwnedJob(KEY, record, stored.modRevision(), fence, committed);
             runningItems.clear();
             pendingCommits.clear();
             owned = Optional.of(job);
--- a/src/test/java/org/gooseberryhill/decision/job/JobSubmissionTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobSubmissionTest.java
@@ -32,11 +32,11 @@
         for (int step = 0; step < 100; step++) {
             submissions.get(random.nextInt(submissions.size())).advance(store);
             if (random.nextInt(4) == 0) {
-                store.arriveDelayed();
+                store.applyDelayedWrite();
             }
         }
 
-        Optional<String> kept = store.now(KEY).map(stored -> stored.value().bodyHash());
+        Optional<String> kept = store.peek(KEY).map(stored -> stored.value().bodyHash());
         for (Submission submission : submissions) {
             if (submission.step == Step.ACCEPTED || submission.step == Step.SAME_JOB) {
                 assertThat(kept).contains(submission.hash);
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
@@ -31,7 +31,7 @@
         this.random = random;
         this.store = new FakeKeyValue<>(random, faultPercent);
         BatchRecord record = BatchFixture.record(ITEMS, "a", "1");
-        while (store.now(RECORD).isEmpty()) {
+        while (store.peek(RECORD).isEmpty()) {
             store.write(List.of(Condition.absent(RECORD)), Map.of(RECORD, record));
         }
     }
@@ -42,7 +42,7 @@
             case 0 -> host.takeOver();
             case 1, 2, 3 -> host.runItem();
             case 4, 5 -> host.commit();
-            case 6 -> store.arriveDelayed();
+            case 6 -> store.applyDelayedWrite();
             default -> host.show();
         }
     }
@@ -53,13 +53,13 @@
             hosts.get(0).takeOver();
             hosts.get(0).runItem();
             hosts.get(0).commit();
-            store.arriveDelayed();
+            store.applyDelayedWrite();
         }
         hosts.get(0).show();
     }
 
     BatchRecord record() {
-        return (BatchRecord) store.now(RECORD).orElseThrow().value();
+        return (BatchRecord) store.peek(RECORD).orElseThrow().value();
     }
 
     Map<Integer, String> shownIdsByPosition() {
@@ -71,7 +71,7 @@
         List<ItemResult> results = new ArrayList<>();
         for (int first : record.chunks()) {
             results.addAll((List<ItemResult>)
-                    store.now("results/" + first).orElseThrow().value());
+                    store.peek("results/" + first).orElseThrow().value());
         }
         return results;
     }
@@ -102,7 +102,10 @@
             Stored<Object> stored = read.get().orElseThrow();
             process++;
             beginWrite(
-                    ((BatchRecord) stored.value()).withOwner(name, "p" + process), stored.modified(), List.of(), false);
+                    ((BatchRecord) stored.value()).withOwner(name, "p" + process),
+                    stored.modRevision(),
+                    List.of(),
+                    false);
         }
 
         void runItem() {
@@ -176,7 +179,7 @@
 
         private void finishWrite() {
             writing = Optional.empty();
-            long revision = store.now(RECORD).orElseThrow().modified();
+            long revision = store.peek(RECORD).orElseThrow().modRevision();
             boolean superseded = !record().equals(intended);
             if (superseded) {
                 // Another host has taken the batch over since; this host learns of it at its next write.
--- a/src/test/java/org/gooseberryhill/external/HostListContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/HostListContractTest.java
@@ -21,7 +21,7 @@
 
     private static final long LONG_LAG_MILLIS = 600_000;
 
-    private final EventLoopGroup group = Loopback.group();
+    private final EventLoopGroup group = Loopback.newEventLoopGroup();
     private final Address address = Loopback.freeAddress();
     private final HostListStandin standin = new HostListStandin(group, address, 0);
     private final HttpClient http = new HttpClient(group);
--- a/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
@@ -33,7 +33,7 @@
     /** Longer than the time-out of any call here. */
     private static final long LONG_DELAY_MILLIS = 600_000;
 
-    private final EventLoopGroup group = Loopback.group();
+    private final EventLoopGroup group = Loopback.newEventLoopGroup();
     private final Address address = Loopback.freeAddress();
     private final KeyValueStandin standin = new KeyValueStandin(group, address);
     private final HttpClient http = new HttpClient(group);
--- a/src/test/java/org/gooseberryhill/http/EndedExchangeTest.java
+++ b/src/test/java/org/gooseberryhill/http/EndedExchangeTest.java
@@ -21,7 +21,7 @@
 
     private static final int MAX_ANSWER_BYTES = 100;
 
-    private final EventLoopGroup group = Loopback.group();
+    private final EventLoopGroup group = Loopback.newEventLoopGroup();
     private final HttpClient client = new HttpClient(group);
     private final Address address = Loopback.freeAddress();
     private final BlockingQueue<HttpCall> calls = new LinkedBlockingQueue<>();
--- a/src/test/java/org/gooseberryhill/http/HttpClientTest.java
+++ b/src/test/java/org/gooseberryhill/http/HttpClientTest.java
@@ -26,7 +26,7 @@
     private static final String CHUNKED_ANSWER =
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
 
-    private final EventLoopGroup group = Loopback.group();
+    private final EventLoopGroup group = Loopback.newEventLoopGroup();
     private final HttpClient client = new HttpClient(group);
 
     @AfterEach
--- a/src/test/java/org/gooseberryhill/http/HttpServerTest.java
+++ b/src/test/java/org/gooseberryhill/http/HttpServerTest.java
@@ -35,7 +35,7 @@
     private static final int UPLOAD_BYTES = 8 * 1024 * 1024;
     private static final int RECEIVE_BUFFER_BYTES = 64 * 1024;
 
-    private final EventLoopGroup group = Loopback.group();
+    private final EventLoopGroup group = Loopback.newEventLoopGroup();
     private final Address address = Loopback.freeAddress();
     private final AtomicInteger disconnects = new AtomicInteger();
     private final AtomicInteger answered = new AtomicInteger();
--- a/src/test/java/org/gooseberryhill/http/SilentExchangeTest.java
+++ b/src/test/java/org/gooseberryhill/http/SilentExchangeTest.java
@@ -28,8 +28,8 @@
     /** Longer than the delay of tasks that the event loop defers until it has read. */
     private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-    private final EventLoopGroup clientGroup = Loopback.group();
-    private final EventLoopGroup endpointGroup = Loopback.group();
+    private final EventLoopGroup clientGroup = Loopback.newEventLoopGroup();
+    private final EventLoopGroup endpointGroup = Loopback.newEventLoopGroup();
     private final HttpClient client = new HttpClient(clientGroup);
     private final Address address = Loopback.freeAddress();
     private final BlockingQueue<HttpCall> calls = new LinkedBlockingQueue<>();
--- a/src/test/java/org/gooseberryhill/logging/LogSinkTest.java
+++ b/src/test/java/org/gooseberryhill/logging/StandardOutputSinkTest.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 import org.gooseberryhill.link.HybridTimestamp;
 import org.gooseberryhill.timeline.TimelineEvent;
-import org.gooseberryhill.timeline.TimelineLines;
+import org.gooseberryhill.timeline.TimelineLineFormat;
 import org.junit.jupiter.api.Test;
 
-class LogSinkTest {
+class StandardOutputSinkTest {
     private static final long FINISH_MILLIS = 120_000;
 
     private final CountingStream out = new CountingStream();
-    private final LogSink sink = new LogSink(out, "info");
+    private final StandardOutputSink sink = new StandardOutputSink(out, "info");
 
     @Test
     void eventsAreWrittenInTheirOrder() {
@@ -45,13 +45,13 @@
 
     @Test
     void aFullBufferIsWritten() {
-        for (int i = 0; i < LogSink.FLUSH_THRESHOLD; i++) {
+        for (int i = 0; i < StandardOutputSink.FLUSH_THRESHOLD; i++) {
             sink.accept(event("request.ended"));
         }
         sink.accept(event("request.ended"));
 
         out.awaitWrites(1);
-        assertThat(kinds()).hasSize(LogSink.FLUSH_THRESHOLD);
+        assertThat(kinds()).hasSize(StandardOutputSink.FLUSH_THRESHOLD);
     }
 
     /** A failing host must write the reason and the events before it while it still can. */
@@ -66,22 +66,22 @@
 
     @Test
     void aMinimumLevelAboveThatOfEventsDisablesThem() {
-        LogSink quiet = new LogSink(out, "Error");
+        StandardOutputSink quiet = new StandardOutputSink(out, "Error");
         quiet.accept(event("request.failed"));
-        quiet.finish(FINISH_MILLIS);
+        quiet.flushAndAwait(FINISH_MILLIS);
 
         assertThat(out.writes()).isZero();
     }
 
     private List<String> flushedKinds() {
-        sink.finish(FINISH_MILLIS);
+        sink.flushAndAwait(FINISH_MILLIS);
         return kinds();
     }
 
     private List<String> kinds() {
         return out.text()
                 .lines()
-                .map(line -> TimelineLines.parse(line).orElseThrow().kind())
+                .map(line -> TimelineLineFormat.parse(line).orElseThrow().kind())
                 .toList();
     }
 
--- a/src/test/java/org/gooseberryhill/metrics/MetricSetTest.java
+++ b/src/test/java/org/gooseberryhill/metrics/MetricRegistryTest.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class MetricSetTest {
-    private final MetricSet metrics = new MetricSet();
+class MetricRegistryTest {
+    private final MetricRegistry metrics = new MetricRegistry();
 
     @Test
     void aCounterShowsEachCombinationOfItsLabels() {
         LabeledCounter requests = metrics.counter("requests", "Requests", "route", "end");
-        requests.add("summaries", "answered");
-        requests.add("summaries", "answered");
-        requests.add("summaries", "overloaded");
+        requests.increment("summaries", "answered");
+        requests.increment("summaries", "answered");
+        requests.increment("summaries", "overloaded");
 
         assertThat(lines())
                 .contains(
@@ -57,10 +57,12 @@
     void aMissingLabelValueIsAnError() {
         LabeledCounter requests = metrics.counter("requests", "Requests", "route", "end");
 
-        assertThatThrownBy(() -> requests.add("summaries")).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> requests.increment("summaries")).isInstanceOf(IllegalArgumentException.class);
     }
 
     private List<String> lines() {
-        return new String(metrics.text(), StandardCharsets.UTF_8).lines().toList();
+        return new String(metrics.toPrometheusText(), StandardCharsets.UTF_8)
+                .lines()
+                .toList();
     }
 }
--- a/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
@@ -25,7 +25,7 @@
     private static final long SHORT_TIMEOUT_MILLIS = 200;
     private static final long LONG_TIMEOUT_MILLIS = 30_000;
 
-    private final EventLoopGroup group = Loopback.group();
+    private final EventLoopGroup group = Loopback.newEventLoopGroup();
     private final EventLoopGroup clientGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Address address = Loopback.freeAddress();
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
--- a/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
+++ b/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
@@ -16,7 +16,7 @@
 import org.gooseberryhill.host.Host;
 import org.gooseberryhill.http.HttpResult;
 import org.gooseberryhill.link.Json;
-import org.gooseberryhill.program.CheckedStream.End;
+import org.gooseberryhill.program.StreamedAnswerChecker.End;
 import org.gooseberryhill.standin.SampleAnswers;
 import org.gooseberryhill.standin.SampleFleet;
 import org.gooseberryhill.timeline.TimelineEvent;
@@ -61,12 +61,12 @@
             Loopback.await("a first chunk", () -> completedItems(coordinator) > 0);
             sendSignal("steward-0", "KILL");
             sendSignal("steward-1", "STOP");
-            List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
+            List<CompletableFuture<StreamedAnswerChecker.Result>> answers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                CheckedStream stream =
-                        new CheckedStream(SampleAnswers.chatAnswer("sketch " + i, 20), System.nanoTime());
-                tutor.start("POST", "/v1/chat/completions", SampleAnswers.chatBody("sketch " + i, 20), stream);
-                answers.add(stream.result());
+                StreamedAnswerChecker checker =
+                        new StreamedAnswerChecker(SampleAnswers.chatAnswer("sketch " + i, 20), System.nanoTime());
+                tutor.start("POST", "/v1/chat/completions", SampleAnswers.chatBody("sketch " + i, 20), checker);
+                answers.add(checker.result());
             }
             assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
             Loopback.await("the loss of the suspended steward", () -> isReportedDead("steward-1"));
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.gooseberryhill.Loopback;
 import org.gooseberryhill.http.HttpResult;
-import org.gooseberryhill.program.CheckedStream.End;
+import org.gooseberryhill.program.StreamedAnswerChecker.End;
 import org.gooseberryhill.standin.EngineFaults;
 import org.gooseberryhill.standin.EngineStandin;
 import org.gooseberryhill.standin.KeyValueFaults;
@@ -53,7 +53,7 @@
     void streamsCompleteAlthoughRunnersAreKilled() {
         Set<EngineStandin> killed = new HashSet<>();
         while (killed.size() < 2) {
-            List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
+            List<CompletableFuture<StreamedAnswerChecker.Result>> answers = new ArrayList<>();
             EngineStandin busy = awaitBusyRunner(killed, answers);
             busy.crash();
             killed.add(busy);
@@ -71,7 +71,7 @@
     void aStreamWithoutItsEndMarkIsNeverReportedAsComplete() {
         EngineFaults early = new EngineFaults(Optional.empty(), 0, true, false, true);
         fixture.system.platform().engines().subList(0, 2).forEach(engine -> engine.setFaults(early));
-        List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> answers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 20));
         }
@@ -206,7 +206,7 @@
                 .platform()
                 .engines()
                 .forEach(engine -> engine.setFaults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
-        List<CompletableFuture<CheckedStream.Result>> others = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> others = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             others.add(fixture.startStream(fixture.tutor, "sketch " + i, 60));
         }
@@ -230,7 +230,7 @@
                 .platform()
                 .engines()
                 .forEach(engine -> engine.setFaults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
-        List<CompletableFuture<CheckedStream.Result>> sent = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> sent = new ArrayList<>();
         List<EntryClient> clients = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             EntryClient client = fixture.system.client(i % 3, SampleFleet.TUTORS_KEY);
@@ -249,7 +249,7 @@
      */
     @Test
     void aLeavingEngineCompletesItsRequestsAndGetsNoNewOnes() {
-        List<CompletableFuture<CheckedStream.Result>> before = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> before = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             before.add(fixture.startStream(fixture.tutor, "before " + i, 100));
         }
@@ -262,7 +262,7 @@
                                         entry.process(), () -> entry.isEndpointLeaving("tutor-00")))
                         && engine(0).isIdle());
         int served = engine(0).servedCount();
-        List<CompletableFuture<CheckedStream.Result>> after = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> after = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             after.add(fixture.startStream(fixture.tutor, "after " + i, 10));
         }
@@ -276,7 +276,7 @@
     /** A planned stop of an entry is requested twice while streams are in progress; a runner is lost in between. */
     @Test
     void aPlannedStopOfAnEntryCutsNothingAlsoWhenARunnerIsLost() {
-        List<CompletableFuture<CheckedStream.Result>> answers = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> answers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 100));
         }
@@ -339,7 +339,7 @@
 
     /** Returns a runner that has streams in progress; starts new ones whenever all have ended. */
     private EngineStandin awaitBusyRunner(
-            Set<EngineStandin> excluded, List<CompletableFuture<CheckedStream.Result>> answers) {
+            Set<EngineStandin> excluded, List<CompletableFuture<StreamedAnswerChecker.Result>> answers) {
         List<EngineStandin> busy = new ArrayList<>();
         Loopback.await("a runner with streams", () -> {
             boolean allEnded = answers.stream().allMatch(CompletableFuture::isDone);
--- a/src/test/java/org/gooseberryhill/program/SystemFixture.java
+++ b/src/test/java/org/gooseberryhill/program/SystemFixture.java
@@ -149,10 +149,11 @@
         return Integer.parseInt(host.substring("steward-".length()));
     }
 
-    CompletableFuture<CheckedStream.Result> startStream(EntryClient client, String prompt, int tokens) {
-        CheckedStream stream = new CheckedStream(SampleAnswers.chatAnswer(prompt, tokens), System.nanoTime());
-        client.start("POST", "/v1/chat/completions", SampleAnswers.chatBody(prompt, tokens), stream);
-        return stream.result();
+    CompletableFuture<StreamedAnswerChecker.Result> startStream(EntryClient client, String prompt, int tokens) {
+        StreamedAnswerChecker checker =
+                new StreamedAnswerChecker(SampleAnswers.chatAnswer(prompt, tokens), System.nanoTime());
+        client.start("POST", "/v1/chat/completions", SampleAnswers.chatBody(prompt, tokens), checker);
+        return checker.result();
     }
 
     HttpResult book(EntryClient client, String seat, String key) {
--- a/src/test/java/org/gooseberryhill/standin/EngineStandinTest.java
+++ b/src/test/java/org/gooseberryhill/standin/EngineStandinTest.java
@@ -20,7 +20,7 @@
     /** Far longer than any pause within a stream, so that it expires only if the stream never ends. */
     private static final int STREAM_TIMEOUT_MILLIS = 60_000;
 
-    private final EventLoopGroup group = Loopback.group();
+    private final EventLoopGroup group = Loopback.newEventLoopGroup();
     private final EngineStandin engine = new EngineStandin(group, Loopback.freeAddress(), new EngineSpeed(4, 1, 16, 4));
     private final HttpClient http = new HttpClient(group);
 
--- a/src/test/java/org/gooseberryhill/timeline/JsonLineWriterProperties.java
+++ b/src/test/java/org/gooseberryhill/timeline/JsonLineWriterProperties.java
@@ -75,10 +75,10 @@
                 Optional.empty(),
                 Map.of());
 
-        String lines = new String(TimelineLines.formatUtf8(List.of(event)), StandardCharsets.UTF_8);
+        String lines = new String(TimelineLineFormat.formatUtf8(List.of(event)), StandardCharsets.UTF_8);
 
         assertThat(lines.lines()).hasSize(1);
-        assertThat(TimelineLines.parse(lines)).contains(event);
+        assertThat(TimelineLineFormat.parse(lines)).contains(event);
     }
 
     /** Replaces unpaired surrogates, which UTF-8 cannot represent, as the Java library does. */
--- a/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
+++ b/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
@@ -24,7 +24,8 @@
                 .write();
 
         TimelineEvent event = accepted.get(0);
-        TimelineEvent read = TimelineLines.parse(TimelineLines.line(event)).orElseThrow();
+        TimelineEvent read =
+                TimelineLineFormat.parse(TimelineLineFormat.format(event)).orElseThrow();
 
         assertThat(read.at()).isEqualTo(event.at());
         assertThat(read.kind()).isEqualTo("attempt.failed");
@@ -36,9 +37,9 @@
 
     @Test
     void linesThatAreNoEventsAreSkipped() {
-        assertThat(TimelineLines.parse("{\"at\":1,\"ki")).isEmpty();
-        assertThat(TimelineLines.parse("plain text")).isEmpty();
-        assertThat(TimelineLines.parse("{\"level\":\"WARN\",\"message\":\"m\"}"))
+        assertThat(TimelineLineFormat.parse("{\"at\":1,\"ki")).isEmpty();
+        assertThat(TimelineLineFormat.parse("plain text")).isEmpty();
+        assertThat(TimelineLineFormat.parse("{\"level\":\"WARN\",\"message\":\"m\"}"))
                 .isEmpty();
     }
 
