--- a/src/main/java/org/gooseberryhill/decision/routing/TwoChoicesPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/TwoChoicesPolicy.java
@@ -14,7 +14,7 @@
 public final class TwoChoicesPolicy implements RoutePolicy {
     private static final int MAX_PICKS = 8;
 
-    /** Round trip to another availability zone, in milliseconds: twice the specified 1.5 ms. */
+    /** Round trip to another availability zone, in milliseconds: twice the expected 1.5 ms. */
     private static final double OTHER_ZONE_ROUND_TRIP_MILLIS = 3;
 
     /** Extra response time of a fully loaded endpoint, in milliseconds: it slows down even before requests queue. */
