--- a/src/main/java/org/gooseberryhill/control/ControlLoop.java
+++ b/src/main/java/org/gooseberryhill/control/ControlLoop.java
@@ -24,7 +24,7 @@
  */
 public final class ControlLoop implements Executor, Closeable {
     /**
-     * Maximum number of queued tasks; a full ring blocks the publishing I/O threads instead of growing without bound.
+     * Maximum number of queued tasks; a full ring blocks the publishing traffic threads instead of growing without bound.
      */
     private static final int RING_BUFFER_SIZE = 1 << 14;
 
--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -162,7 +162,7 @@
                 .getOrElseThrow(failure -> new ExternalServiceException("key-value service: " + failure.getMessage()));
     }
 
-    /** Splits the response stream of a watch into lines and handles each of them. Used by one I/O thread only. */
+    /** Splits the response stream of a watch into lines and handles each of them. Used by one traffic thread only. */
     private static final class WatchResponseListener implements ExchangeListener {
         private final WatchListener listener;
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
--- a/src/main/java/org/gooseberryhill/external/StreamingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/StreamingKeyValueStore.java
@@ -17,7 +17,7 @@
     /** Watches the keys that begin with a prefix, from a revision inclusive; closing the result ends the watch. */
     Closeable watch(String prefix, long fromRevision, WatchListener listener);
 
-    /** Receives the events of a watch; called by one I/O thread. */
+    /** Receives the events of a watch; called by one traffic thread. */
     interface WatchListener {
         /** Called when a key was written, or deleted if the entry is empty. */
         void onChange(String key, Optional<Entry> entry);
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -33,7 +33,7 @@
  * sync takes milliseconds.
  */
 public final class OutboxProcess implements Closeable {
-    private static final int IO_THREADS = 1;
+    private static final int TRAFFIC_THREADS = 1;
     private static final long TICK_PERIOD_MILLIS = 250;
     private static final long LOG_FLUSH_PERIOD_MILLIS = 250;
     private static final long GROUP_SHUTDOWN_MILLIS = 100;
@@ -43,7 +43,7 @@
 
     private final OutboxSettings settings;
     private final String processStart = ProcessStartIds.next();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(TRAFFIC_THREADS, NioIoHandler.newFactory());
     private final HybridClock clock = new HybridClock(System::currentTimeMillis);
     private final HttpClient http = new HttpClient(group);
     private final StandardOutputSink log = new StandardOutputSink();
--- a/src/main/java/org/gooseberryhill/peer/PeerMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerMessage.java
@@ -76,7 +76,7 @@
     record Ack() implements PeerMessage {}
 
     /**
-     * Checks whether the connection is alive. The event-loop thread of the other process replies directly, so that a
+     * Checks whether the connection is alive. The traffic thread of the other process replies directly, so that a
      * slow control thread is not mistaken for a dead connection.
      */
     record ConnectionProbe() implements PeerMessage {}
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -47,7 +47,7 @@
 /**
  * The part that all processes of the system share. Methods are called on the control thread unless stated otherwise.
  *
- * <p>Invariant: only the control thread accesses control state; event-loop threads submit tasks to {@link #loop()}.
+ * <p>Invariant: only the control thread accesses control state; traffic threads submit tasks to {@link #loop()}.
  */
 public final class HostProcess implements Closeable {
     /** Time-out of replies on the control lane. */
@@ -200,7 +200,7 @@
         return plannedStop;
     }
 
-    /** Sends a message to a host and returns the reply, which completes on an event-loop thread. */
+    /** Sends a message to a host and returns the reply, which completes on a traffic thread. */
     public CompletableFuture<PeerMessage> ask(Host host, PeerMessage message) {
         return peerClient.ask(host.address(), PeerLane.CONTROL, message, ASK_TIMEOUT_MILLIS);
     }
