--- a/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
@@ -98,8 +98,8 @@
             readStoredResults(call, read);
             return;
         }
-        PeerMessage question = new GatewayMessage.ResultsRequest(read.batch(), read.after(), waitMillis);
-        context.onLoop(links.ask(owner.get(), question, waitMillis + REPLY_MARGIN_MILLIS), (reply, failure) -> {
+        PeerMessage request = new GatewayMessage.ResultsRequest(read.batch(), read.after(), waitMillis);
+        context.onLoop(links.ask(owner.get(), request, waitMillis + REPLY_MARGIN_MILLIS), (reply, failure) -> {
             boolean hasOwnerAnswer = reply instanceof GatewayMessage.Results;
             replyPage(call, read, hasOwnerAnswer ? ((GatewayMessage.Results) reply).page() : Optional.empty());
         });
@@ -136,8 +136,8 @@
             readStoredItem(call, read);
             return;
         }
-        PeerMessage question = new GatewayMessage.ItemBodyRequest(read.batch(), read.item());
-        context.onLoop(links.ask(owner.get(), question), (reply, failure) -> {
+        PeerMessage request = new GatewayMessage.ItemBodyRequest(read.batch(), read.item());
+        context.onLoop(links.ask(owner.get(), request), (reply, failure) -> {
             if (reply instanceof GatewayMessage.ItemBody answer && answer.owned()) {
                 replyItem(call, read, answer.body());
             } else {
