--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
@@ -7,6 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.gooseberryhill.contract.ErrorCode;
+import org.gooseberryhill.contract.Fingerprint;
 import org.gooseberryhill.contract.Outcome;
 import org.gooseberryhill.contract.Refusal;
 import org.gooseberryhill.decision.retry.AttemptFailure;
@@ -120,6 +121,23 @@
         assertThat(resent.outcome()).isEqualTo(Outcome.NOT_RUN);
     }
 
+    /**
+     * Guards against a further crash by a request that is already quarantined: its second crash is recorded while this host
+     * waits for the permit, and the permit is used all the same.
+     */
+    @Test
+    void aPermitAnsweredAfterTheQuarantineIsNotUsed() {
+        OnlineRequest request = admit(1, true);
+        List<Fingerprint> fingerprints = List.of(request.intake().fingerprint());
+        core.suspects().recordCrash("e0", fingerprints, 0);
+        core.next(request, 0);
+        core.suspects().recordCrash("e1", fingerprints, 0);
+
+        OnlineDecision decision = core.onPermitAnswer(request, Optional.of("e2"), 0);
+
+        assertThat(decision).isInstanceOf(OnlineDecision.Refuse.class);
+    }
+
     @Test
     void aSuspectThatCompletesIsCleared() {
         OnlineRequest request = admit(1, true);
