--- a/src/test/java/org/gooseberryhill/http/BlockedEventLoopTest.java
+++ b/src/test/java/org/gooseberryhill/http/BlockedEventLoopTest.java
@@ -28,7 +28,7 @@
     private static final int MAX_BODY_BYTES = 100;
     private static final int SMALL_ANSWER_BYTES = 1024;
 
-    /** Ends a test that would otherwise hang; shorter than the idle timeout. */
+    /** Fails a test that would otherwise hang; shorter than the idle timeout. */
     private static final int READ_TIMEOUT_MILLIS = 60_000;
 
     /** Blocks the event loop long enough that its timers are due when it continues. */
@@ -58,7 +58,7 @@
     void closingIdleConnectionsReadsWhatHasArrivedBefore() throws IOException, InterruptedException {
         try (Socket caller = answeredCaller()) {
             eventLoop.execute(this::blockEventLoop);
-            blocked.await();
+            awaitSignal(blocked);
 
             send(caller, "GET /two HTTP/1.1\r\nconnection: close\r\n\r\n");
             server.closeIdle();
@@ -83,11 +83,11 @@
                     awaitRelease(requestSent);
                 });
             });
-            closeRequested.await();
+            awaitSignal(closeRequested);
             send(other, "GET /busy HTTP/1.1\r\n\r\n");
             waitFor(DELAY_MILLIS);
             requestSent.countDown();
-            blocked.await();
+            awaitSignal(blocked);
 
             send(caller, "GET /two HTTP/1.1\r\nconnection: close\r\n\r\n");
             waitFor(LONG_DELAY_MILLIS);
@@ -101,7 +101,7 @@
     @Test
     void stopListeningAcceptsCallersThatConnectedBefore() throws IOException, InterruptedException {
         eventLoop.execute(this::blockEventLoop);
-        blocked.await();
+        awaitSignal(blocked);
         List<Socket> callers = new ArrayList<>();
         for (int i = 0; i < PENDING_CALLERS; i++) {
             Socket caller = connect();
@@ -136,6 +136,10 @@
         awaitRelease(release);
     }
 
+    private static void awaitSignal(CountDownLatch latch) throws InterruptedException {
+        assertThat(latch.await(READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    }
+
     private static void awaitRelease(CountDownLatch latch) {
         try {
             latch.await();
