--- a/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
+++ b/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
@@ -6,6 +6,7 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.concurrent.locks.LockSupport;
 import org.gooseberryhill.timeline.TimelineEvent;
@@ -26,14 +27,22 @@
 
     private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
-    private final BlockingQueue<List<TimelineEvent>> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final BlockingQueue<List<TimelineEvent>> queue;
     private final LongAdder droppedLines = new LongAdder();
     private final OutputStream out;
-    private volatile boolean writing;
+
+    /** The number of batches that are queued or being written. */
+    private final AtomicInteger unwrittenBatches = new AtomicInteger();
 
     /** Starts a writer to a stream, which must not be closed elsewhere. */
     AsyncLineWriter(OutputStream out) {
+        this(out, new ArrayBlockingQueue<>(QUEUE_CAPACITY));
+    }
+
+    /** Starts a writer to a stream with a queue of its own. */
+    AsyncLineWriter(OutputStream out, BlockingQueue<List<TimelineEvent>> queue) {
         this.out = out;
+        this.queue = queue;
         Thread thread = new Thread(this::run, "log");
         thread.setDaemon(true);
         thread.start();
@@ -41,7 +50,9 @@
 
     /** Queues a batch of events; drops it if the queue is full. Never blocks. */
     void enqueue(List<TimelineEvent> events) {
+        unwrittenBatches.incrementAndGet();
         if (!queue.offer(List.copyOf(events))) {
+            unwrittenBatches.decrementAndGet();
             droppedLines.add(events.size());
         }
     }
@@ -54,19 +65,23 @@
     /** Waits until all queued events are written, or until a time-out in milliseconds has passed. */
     void awaitWritten(long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-        while ((writing || !queue.isEmpty()) && System.nanoTime() - deadlineNanos < 0) {
+        while (!isAllWritten() && System.nanoTime() - deadlineNanos < 0) {
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
+    /** Returns whether no queued batch remains to be written. */
+    boolean isAllWritten() {
+        return unwrittenBatches.get() == 0;
+    }
+
     private void run() {
         try {
             while (true) {
-                writing = !queue.isEmpty();
                 List<TimelineEvent> events = queue.take();
-                writing = true;
                 out.write(TimelineLineFormat.formatUtf8(events));
                 out.flush();
+                unwrittenBatches.decrementAndGet();
             }
         } catch (IOException e) {
             // The stream is closed: there is nowhere left to report the error.
--- a/src/test/java/org/gooseberryhill/logging/AsyncLineWriterTest.java
+++ b/src/test/java/org/gooseberryhill/logging/AsyncLineWriterTest.java
@@ -6,12 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import org.gooseberryhill.link.HybridTimestamp;
 import org.gooseberryhill.timeline.TimelineEvent;
 import org.junit.jupiter.api.Test;
 
 class AsyncLineWriterTest {
+    private static final long FINISH_MILLIS = 120_000;
+
     private static final TimelineEvent EVENT = new TimelineEvent(
             new HybridTimestamp(1), "p", "kind", Optional.empty(), Optional.empty(), Optional.empty(), Map.of());
 
@@ -45,6 +48,45 @@
         stream.released.countDown();
     }
 
+    /** A process ends after the writer thread has removed the last batch from the queue and before it writes the batch. */
+    @Test
+    void aBatchRemovedFromTheQueueIsNotWrittenYet() throws InterruptedException {
+        BlockedStream stream = new BlockedStream();
+        PausedQueue queue = new PausedQueue();
+        AsyncLineWriter output = new AsyncLineWriter(stream, queue);
+        queue.awaited.await();
+        output.enqueue(List.of(EVENT));
+        queue.removed.await();
+
+        assertThat(queue).isEmpty();
+        assertThat(output.isAllWritten()).isFalse();
+
+        queue.released.countDown();
+        stream.released.countDown();
+        output.awaitWritten(FINISH_MILLIS);
+        assertThat(output.isAllWritten()).isTrue();
+    }
+
+    /** A queue that returns a removed batch only after it is released. */
+    private static final class PausedQueue extends ArrayBlockingQueue<List<TimelineEvent>> {
+        private final transient CountDownLatch awaited = new CountDownLatch(1);
+        private final transient CountDownLatch removed = new CountDownLatch(1);
+        private final transient CountDownLatch released = new CountDownLatch(1);
+
+        private PausedQueue() {
+            super(AsyncLineWriter.QUEUE_CAPACITY);
+        }
+
+        @Override
+        public List<TimelineEvent> take() throws InterruptedException {
+            awaited.countDown();
+            List<TimelineEvent> events = super.take();
+            removed.countDown();
+            released.await();
+            return events;
+        }
+    }
+
     /** A stream whose writes block until it is released. */
     private static final class BlockedStream extends OutputStream {
         private final CountDownLatch blocked = new CountDownLatch(1);
