--- a/src/main/java/org/gooseberryhill/decision/batch/LeftoverSlotsPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/LeftoverSlotsPolicy.java
@@ -22,7 +22,7 @@
     @Override
     public int slots(SlotCase slotCase) {
         int reserve = Math.max(1, (int) Math.floor(slotCase.slots() * reserveShare));
-        // The reserve stays free in addition to the slots in use by online requests.
+        // Online requests in flight do not use up the reserve.
         int left = slotCase.slots() - Math.max(slotCase.online(), 0) - reserve;
         int weighted = Math.max(0, left) * slotCase.weightPercent() / PERCENT;
         return Math.min(weighted, slotCase.tailLatencyCap());
--- a/src/main/java/org/gooseberryhill/decision/batch/TailLatencyMonitor.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/TailLatencyMonitor.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * Detects endpoints whose online latency exceeds the target of their class. Not thread-safe.
+ * Detects endpoints whose online latency exceeds the latency target of their service. Not thread-safe.
  *
  * <p>The target applies to 95 % of the samples: an endpoint is slow while more than 5 % of its recent samples exceed
  * it. Older samples lose weight exponentially, so that a past burst does not hold back batch items.
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
@@ -27,16 +27,25 @@
     /** Retry-after when no endpoint is usable: registrations return within about two seconds. */
     private static final long NO_ENDPOINT_RETRY_AFTER_MILLIS = 1000;
 
-    /** Limits the sends of one request, refused ones included: each costs a round trip; a full service refuses all. */
+    /**
+     * Maximum sends of one request, including those that endpoints refuse.
+     *
+     * <p>Each send costs a round trip, and when the service is full, all its endpoints refuse.
+     */
     private static final int MAX_SENDS = 6;
 
     /**
-     * The limit for a request whose caller has received a part of the answer: items yield within some tens of
-     * milliseconds, and completing an answer is worth more sends than a new request, whose caller can retry.
+     * Maximum sends of a request whose caller has received a part of the answer.
+     *
+     * <p>Batch items free a slot within some tens of milliseconds. Completing an answer is worth more sends than a new
+     * request, whose caller can retry.
      */
     private static final int MAX_SENDS_AFTER_ANSWER_START = 20;
 
-    /** Delay before a full service is tried again for the rest of an answer: about the time an item takes to yield. */
+    /**
+     * Delay before another choice of endpoint for a request that waits: about the time that a batch item takes to
+     * yield.
+     */
     private static final long FULL_SERVICE_WAIT_MILLIS = 50;
 
     /** Shortest time in which an endpoint can answer: a round trip and the shortest run. */
@@ -159,7 +168,11 @@
         });
     }
 
-    /** Returns the refusal if no further attempt may follow one that ended; empty if one may. */
+    /**
+     * Returns the refusal if the request may not be sent again after an attempt with the given end; empty if it may.
+     *
+     * @param progress the progress of the request, including that attempt
+     */
     private Optional<Refusal> refuseFurtherAttempt(
             RoutedRequest request, RequestProgress progress, AttemptEnd end, long nowNanos) {
         Route route = request.intake().route();
--- a/src/main/java/org/gooseberryhill/decision/dispatch/EndpointHealth.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/EndpointHealth.java
@@ -22,7 +22,11 @@
     /** Doublings of the ejection time: 4 s at most, since a restarted endpoint registers within seconds. */
     private static final int MAX_EJECTION_DOUBLINGS = 3;
 
-    /** No placement for this long after an endpoint that seemed to have room refused: newer counts arrive by then. */
+    /**
+     * Time without placements at an endpoint that refused although it seemed to have a free slot.
+     *
+     * <p>Newer in-flight counts arrive within this time.
+     */
     private static final long BUSY_BACKOFF_MILLIS = 40;
 
     private int consecutiveFailures;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -18,8 +18,8 @@
  * Holds all endpoints that a host knows, by identity and by service. Not thread-safe.
  *
  * <p>Invariants: an endpoint that left the directory or registered as leaving gets no new requests from the moment that
- * the host knows it; failures never eject more than half of the endpoints of a service, since a network partition of
- * this host looks like a failure of all of them; the reports of a lost host no longer count.
+ * the host learns of it; failures never eject more than half of the endpoints of a service, since a network partition
+ * of this host looks like a failure of all of them; the reports of a lost host no longer count.
  */
 public final class Fleet {
     private final ConnectionView connections;
@@ -141,8 +141,8 @@
 
     /**
      * Returns how many of its items a host has to stop at an endpoint that has more requests in flight than slots. All
-     * hosts with items there compute it from the same counts: hosts with most items yield first, so that not every host
-     * yields to the same request.
+     * hosts with items there compute it from the same counts: the hosts with the most items yield first, so that not
+     * every host yields to the same request.
      */
     public int yieldShare(FleetEndpoint endpoint, HostId self) {
         int excess = Math.min(-endpoint.freeSlots(), endpoint.batch());
@@ -251,7 +251,7 @@
         return endpoint;
     }
 
-    /** Recounts the endpoints that an earlier report of a host named and its current one does not. */
+    /** Recounts the endpoints that the earlier report of a host contained and its current one does not. */
     private void updateOthersNoLongerReported(Report before, Map<EndpointKey, InFlight> after) {
         if (before == null) {
             return;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
@@ -17,7 +17,7 @@
     /** A round trip to another availability zone. */
     private static final double OTHER_ZONE_MILLIS = 3;
 
-    /** Extra time that a full endpoint takes for each event over an idle one, until the first event. */
+    /** Extra time until the first event at a full endpoint, which takes longer for each event than an idle one. */
     private static final double FULL_LOAD_MILLIS = 10;
 
     /** Connection setup: a round trip and the endpoint's share of the work. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ReservedSlotPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ReservedSlotPlacement.java
@@ -5,16 +5,20 @@
 import java.util.Random;
 
 /**
- * Keeps one slot of each endpoint free of items for the next online request; urgent items may use it. Not thread-safe.
+ * Places items of request batches so that one slot of each endpoint stays free for the next online request; urgent
+ * items may use that slot. Not thread-safe.
  *
  * <p>Load pattern: online requests come in bursts of seconds, and several hosts start items at the same moment from
  * reports that are some milliseconds old. With every slot in use, each arrival of a burst displaced an item, which then
- * started elsewhere: 1,287 of 3,774 arrivals at 13 endpoints of 8 slots were such starts, each with a new connection. A
- * free slot absorbs the first arrival as well as a simultaneous start by two hosts. The choice among nearly equal
+ * started elsewhere: 1,287 of 3,774 arrivals at 13 endpoints of 8 slots were such restarts, each with a new connection.
+ * A free slot absorbs the first arrival as well as a simultaneous start by two hosts. The choice among nearly equal
  * endpoints is random, so that hosts spread their items.
  */
 public final class ReservedSlotPlacement implements ItemPlacement {
-    /** One slot: more would leave an eighth of the fleet idle for little gain, as items yield within a round trip. */
+    /**
+     * One slot. At 8 slots per endpoint, each further slot would leave an eighth of the fleet idle for little gain, as
+     * items yield within a round trip.
+     */
     private static final int RESERVED_SLOTS = 1;
 
     /** Upper bound of the random part of the score, in free slots. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoutedIntake.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoutedIntake.java
@@ -15,8 +15,9 @@
  * @param prompt the prompt; present for a token generation request
  * @param lazyFingerprint equal for equal requests; computed only once some request has crashed endpoints, as it takes a
  *     digest of the whole body
- * @param arrivedNanos when it arrived
- * @param deadlineNanos when the caller stops waiting or the timeout of the route ends
+ * @param arrivedNanos the time of arrival, in nanoseconds
+ * @param deadlineNanos the time at which the caller stops waiting or the timeout of the route ends, whichever is
+ *     earlier, in nanoseconds
  */
 public record RoutedIntake(
         String id,
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
@@ -10,7 +10,8 @@
 import org.gooseberryhill.directory.EndpointKey;
 
 /**
- * A routed request in progress. Not thread-safe; modified by {@link DispatchCore} only, except by {@link #answerStarted}.
+ * A routed request in progress. Not thread-safe; modified by {@link DispatchCore} only, except for {@link
+ * #answerStarted}.
  *
  * <p>Invariant: once an attempt may have run, the request may have run, whatever the results of later attempts.
  */
@@ -95,6 +96,7 @@
     void attemptEnded(AttemptEnd end, long nowNanos) {
         endpoint.ifPresent(key -> {
             if (end == AttemptEnd.BUSY && (progress.answerStarted() || leftSilentEndpoint)) {
+                // The request may wait and be sent to this endpoint again, so the endpoint is not excluded.
                 refusedBy.add(key);
             } else {
                 tried.add(key);
--- a/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
@@ -16,10 +16,12 @@
     /** Share of the slots that retries get during a burst; new requests use the rest. */
     private static final double RETURNING_SHARE_OF_SLOTS = 0.1;
 
-    /** Callers of the users' interface wait at most a third of their remaining time before a retry. */
+    /**
+     * Longest retry time as a share of the remaining time: callers of the user interface wait at most a third of it.
+     */
     private static final double MAX_SHARE_OF_REMAINING = 1.0 / 3;
 
-    /** Retry times beyond that limit are drawn at random from its last share, so that they do not coincide. */
+    /** Retry times beyond that limit are drawn at random from this last share of it, so that they do not coincide. */
     private static final double JITTER_SHARE = 0.25;
 
     private final Random random;
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineIntake.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineIntake.java
@@ -5,7 +5,7 @@
 /**
  * The properties of an online request that are known on arrival. Immutable.
  *
- * @param id identifies the request in logs and on the time line
+ * @param id identifies the request in logs and in timeline events
  * @param caller the name of the caller
  * @param service the name of the requested service
  * @param fingerprint equal for equal requests
--- a/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
@@ -31,7 +31,7 @@
         assertThat(endpoint.freeSlots(0)).isEqualTo(1);
     }
 
-    /** When online load rises to ten times at once, each report makes just enough batch items yield. */
+    /** When online load rises tenfold at once, each report makes just enough batch items yield. */
     @Test
     void aBurstMakesBatchYieldInTheSameCall() {
         fill();
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
@@ -123,7 +123,7 @@
         assertThat(sent(decision)).isNotEqualTo(broken);
     }
 
-    /** The deadline passed while the host was busy with its start: the refusal says so and does not report overload. */
+    /** The deadline passed while the host was starting: the refusal must report this and not an overload. */
     @Test
     void aRequestWhoseDeadlineHasPassedIsNotSent() {
         RoutedRequest request = fixture.arrive(SAFE);
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
@@ -61,7 +61,8 @@
 
     /**
      * Guards against an answer that is cut because its endpoint is silent: after a silent attempt a request is sent to
-     * another endpoint exactly if that was predicted, whatever happened to it, its endpoints and equal requests before.
+     * another endpoint if and only if {@link DispatchCore#canFailOver} predicted it, whatever happened to it, its
+     * endpoints and equal requests before.
      */
     @Property
     void aSilentRequestIsSentElsewhereExactlyWhenThatWasPredicted(
--- a/src/test/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicyTest.java
+++ b/src/test/java/org/gooseberryhill/decision/retry/BudgetedRetryPolicyTest.java
@@ -45,7 +45,7 @@
 
     /**
      * Half of the endpoints are lost and every request fails. Without a budget each request would be tried three times;
-     * with it, the retries are limited to the reserve plus a share of the traffic, and the rest are refused at once.
+     * with it, the retries are limited to a burst plus a share of the traffic, and the rest are refused at once.
      */
     @Test
     void retriesAreBoundedByAShareOfTheTraffic() {
