--- a/src/main/java/org/gooseberryhill/decision/batch/LeftoverSlotsPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/LeftoverSlotsPolicy.java
@@ -23,8 +23,8 @@
     public int slots(SlotCase slotCase) {
         int reserve = Math.max(1, (int) Math.floor(slotCase.slots() * reserveShare));
         // Online requests in flight do not use up the reserve.
-        int left = slotCase.slots() - Math.max(slotCase.online(), 0) - reserve;
-        int weighted = Math.max(0, left) * slotCase.weightPercent() / PERCENT;
-        return Math.min(weighted, slotCase.tailLatencyCap());
+        int leftoverSlots = slotCase.slots() - Math.max(slotCase.online(), 0) - reserve;
+        int weightedSlots = Math.max(0, leftoverSlots) * slotCase.weightPercent() / PERCENT;
+        return Math.min(weightedSlots, slotCase.tailLatencyCap());
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/batch/TailLatencyMonitor.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/TailLatencyMonitor.java
@@ -43,21 +43,21 @@
     /** Exponentially decayed sample counts of one endpoint. */
     private static final class Samples {
         private double total;
-        private double beyond;
+        private double beyondTarget;
 
-        void add(int number, int numberBeyond) {
+        void add(int number, int numberBeyondTarget) {
             double decay = Math.pow(DECAY_PER_SAMPLE, number);
             total = total * decay + number;
-            beyond = beyond * decay + numberBeyond;
+            beyondTarget = beyondTarget * decay + numberBeyondTarget;
         }
 
         boolean isSlow() {
-            return total >= MIN_SAMPLES && beyond > MAX_SLOW_SHARE * total;
+            return total >= MIN_SAMPLES && beyondTarget > MAX_SLOW_SHARE * total;
         }
 
         void clear() {
             total = 0;
-            beyond = 0;
+            beyondTarget = 0;
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -56,14 +56,14 @@
 
     /** Applies the report of another host on all requests that it has in flight. */
     public void updateReport(HostId host, Map<EndpointKey, InFlight> inFlight, long nowNanos) {
-        Report before = reports.put(host, new Report(Map.copyOf(inFlight), nowNanos));
-        inFlight.keySet().forEach(this::updateOthers);
-        updateOthersNoLongerReported(before, inFlight);
+        Report earlierReport = reports.put(host, new Report(Map.copyOf(inFlight), nowNanos));
+        inFlight.keySet().forEach(this::updateOtherHostsInFlight);
+        updateEndpointsNoLongerReported(earlierReport, inFlight);
     }
 
     /** Removes the report of a lost host: none of its requests count as in flight any longer. */
     public void removeReport(HostId host) {
-        updateOthersNoLongerReported(reports.remove(host), Map.of());
+        updateEndpointsNoLongerReported(reports.remove(host), Map.of());
     }
 
     /** Returns a snapshot of what is known about a service now. */
@@ -122,21 +122,21 @@
     }
 
     void onlineStarted(EndpointKey key) {
-        addOwn(key, 1, 0);
+        addOwnInFlight(key, 1, 0);
     }
 
     void onlineEnded(EndpointKey key) {
-        addOwn(key, -1, 0);
+        addOwnInFlight(key, -1, 0);
     }
 
     /** Counts an item of a request batch that starts at an endpoint. */
     public void batchStarted(EndpointKey key) {
-        addOwn(key, 0, 1);
+        addOwnInFlight(key, 0, 1);
     }
 
     /** Removes an item of a request batch that ended at an endpoint, with whatever result. */
     public void batchEnded(EndpointKey key) {
-        addOwn(key, 0, -1);
+        addOwnInFlight(key, 0, -1);
     }
 
     /**
@@ -153,9 +153,9 @@
         items.put(self, endpoint.own().batch());
         reports.forEach(
                 (host, report) -> items.put(host, report.at(endpoint.key()).batch()));
-        Comparator<Map.Entry<HostId, Integer>> mostFirst = Map.Entry.comparingByValue(Comparator.reverseOrder());
+        Comparator<Map.Entry<HostId, Integer>> mostItemsFirst = Map.Entry.comparingByValue(Comparator.reverseOrder());
         List<Map.Entry<HostId, Integer>> order =
-                items.entrySet().stream().sorted(mostFirst).toList();
+                items.entrySet().stream().sorted(mostItemsFirst).toList();
         for (Map.Entry<HostId, Integer> entry : order) {
             if (entry.getKey().equals(self)) {
                 return Math.min(excess, entry.getValue());
@@ -233,7 +233,7 @@
         }
     }
 
-    private void addOwn(EndpointKey key, int online, int batch) {
+    private void addOwnInFlight(EndpointKey key, int online, int batch) {
         InFlight before = ownInFlight.getOrDefault(key, InFlight.NONE);
         InFlight after = new InFlight(before.online() + online, before.batch() + batch);
         if (after.total() == 0) {
@@ -241,36 +241,36 @@
         } else {
             ownInFlight.put(key, after);
         }
-        find(key).ifPresent(endpoint -> endpoint.setOwn(after));
+        find(key).ifPresent(endpoint -> endpoint.setOwnInFlight(after));
     }
 
     private FleetEndpoint newEndpoint(EndpointEntry entry) {
         FleetEndpoint endpoint = new FleetEndpoint(entry, connections);
-        endpoint.setOwn(ownInFlight.getOrDefault(entry.key(), InFlight.NONE));
-        updateOthers(endpoint);
+        endpoint.setOwnInFlight(ownInFlight.getOrDefault(entry.key(), InFlight.NONE));
+        updateOtherHostsInFlight(endpoint);
         return endpoint;
     }
 
     /** Recounts the endpoints that the earlier report of a host contained and its current one does not. */
-    private void updateOthersNoLongerReported(Report before, Map<EndpointKey, InFlight> after) {
-        if (before == null) {
+    private void updateEndpointsNoLongerReported(Report earlierReport, Map<EndpointKey, InFlight> reportedNow) {
+        if (earlierReport == null) {
             return;
         }
-        for (EndpointKey key : before.inFlight.keySet()) {
-            if (!after.containsKey(key)) {
-                updateOthers(key);
+        for (EndpointKey key : earlierReport.inFlight.keySet()) {
+            if (!reportedNow.containsKey(key)) {
+                updateOtherHostsInFlight(key);
             }
         }
     }
 
-    private void updateOthers(EndpointKey key) {
+    private void updateOtherHostsInFlight(EndpointKey key) {
         FleetEndpoint endpoint = byKey.get(key);
         if (endpoint != null) {
-            updateOthers(endpoint);
+            updateOtherHostsInFlight(endpoint);
         }
     }
 
-    private void updateOthers(FleetEndpoint endpoint) {
+    private void updateOtherHostsInFlight(FleetEndpoint endpoint) {
         int online = 0;
         int batch = 0;
         for (Report report : reports.values()) {
@@ -278,7 +278,7 @@
             online += inFlight.online();
             batch += inFlight.batch();
         }
-        endpoint.setOthers(new InFlight(online, batch));
+        endpoint.setOtherHostsInFlight(new InFlight(online, batch));
     }
 
     /** The requests that a host had in flight, and when its report arrived. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/FleetEndpoint.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/FleetEndpoint.java
@@ -12,8 +12,8 @@
     private final EndpointHealth health = new EndpointHealth();
     private final ConnectionView connections;
     private EndpointEntry entry;
-    private InFlight own = InFlight.NONE;
-    private InFlight others = InFlight.NONE;
+    private InFlight ownInFlight = InFlight.NONE;
+    private InFlight otherHostsInFlight = InFlight.NONE;
 
     FleetEndpoint(EndpointEntry entry, ConnectionView connections) {
         this.entry = entry;
@@ -32,17 +32,17 @@
 
     /** Returns the number of online requests in flight, of all hosts. */
     public int online() {
-        return own.online() + others.online();
+        return ownInFlight.online() + otherHostsInFlight.online();
     }
 
     /** Returns the number of items of request batches in flight, of all hosts. */
     public int batch() {
-        return own.batch() + others.batch();
+        return ownInFlight.batch() + otherHostsInFlight.batch();
     }
 
     /** Returns the requests that this host has in flight. */
     public InFlight own() {
-        return own;
+        return ownInFlight;
     }
 
     /** Returns the number of free slots; negative while requests wait at the endpoint. */
@@ -77,11 +77,11 @@
         entry = newEntry;
     }
 
-    void setOthers(InFlight inFlight) {
-        others = inFlight;
+    void setOtherHostsInFlight(InFlight inFlight) {
+        otherHostsInFlight = inFlight;
     }
 
-    void setOwn(InFlight inFlight) {
-        own = inFlight;
+    void setOwnInFlight(InFlight inFlight) {
+        ownInFlight = inFlight;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PlacementCase.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PlacementCase.java
@@ -25,7 +25,7 @@
         long nowNanos) {
     /** Returns how many tokens of the prompt an endpoint would have to process; 0 without a prompt. */
     int prefillTokens(FleetEndpoint endpoint) {
-        return prompt.map(known -> prefixes.prefillTokens(endpoint.key(), known))
+        return prompt.map(generationPrompt -> prefixes.prefillTokens(endpoint.key(), generationPrompt))
                 .orElse(0);
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
@@ -14,7 +14,7 @@
  */
 public final class SpreadRetryAfterPolicy implements RetryAfterPolicy {
     /** Share of the slots that retries get during a burst; new requests use the rest. */
-    private static final double RETURNING_SHARE_OF_SLOTS = 0.1;
+    private static final double RETRY_SHARE_OF_SLOTS = 0.1;
 
     /**
      * Longest retry time as a share of the remaining time: callers of the user interface wait at most a third of it.
@@ -25,7 +25,7 @@
     private static final double JITTER_SHARE = 0.25;
 
     private final Random random;
-    private long nextFreeTurnNanos = Long.MIN_VALUE;
+    private long nextRetryNanos = Long.MIN_VALUE;
 
     /** Creates a policy that uses a seeded random source. */
     public SpreadRetryAfterPolicy(Random random) {
@@ -34,21 +34,21 @@
 
     @Override
     public long retryAfterMillis(OverloadCase overload) {
-        long soonestNanos =
+        long earliestRetryNanos =
                 overload.nowNanos() + TimeUnit.MILLISECONDS.toNanos((long) Math.ceil(overload.waitMillis()));
-        boolean hasEarlierTurns = nextFreeTurnNanos != Long.MIN_VALUE && nextFreeTurnNanos - soonestNanos > 0;
-        long turnNanos = hasEarlierTurns ? nextFreeTurnNanos : soonestNanos;
-        long millis = TimeUnit.NANOSECONDS.toMillis(turnNanos - overload.nowNanos());
-        long latestMillis = (long) (overload.remainingMillis() * MAX_SHARE_OF_REMAINING);
-        if (millis > latestMillis) {
-            return Math.max(1, (long) (latestMillis * (1 - JITTER_SHARE * random.nextDouble())));
+        boolean hasEarlierRetries = nextRetryNanos != Long.MIN_VALUE && nextRetryNanos - earliestRetryNanos > 0;
+        long retryNanos = hasEarlierRetries ? nextRetryNanos : earliestRetryNanos;
+        long millis = TimeUnit.NANOSECONDS.toMillis(retryNanos - overload.nowNanos());
+        long maxRetryAfterMillis = (long) (overload.remainingMillis() * MAX_SHARE_OF_REMAINING);
+        if (millis > maxRetryAfterMillis) {
+            return Math.max(1, (long) (maxRetryAfterMillis * (1 - JITTER_SHARE * random.nextDouble())));
         }
-        nextFreeTurnNanos = turnNanos + gapNanos(overload);
+        nextRetryNanos = retryNanos + gapNanos(overload);
         return Math.max(1, millis);
     }
 
     private static long gapNanos(OverloadCase overload) {
-        double slotsForRetries = Math.max(1, overload.slots()) * RETURNING_SHARE_OF_SLOTS / overload.hostCount();
+        double slotsForRetries = Math.max(1, overload.slots()) * RETRY_SHARE_OF_SLOTS / overload.hostCount();
         double gapMillis = overload.meanRunMillis() / slotsForRetries;
         return (long) (gapMillis * TimeUnit.MILLISECONDS.toNanos(1));
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/WaitForecast.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/WaitForecast.java
@@ -7,7 +7,7 @@
     /** Returns the forecast in milliseconds. Batch items are not counted, since they yield to online requests. */
     static double waitMillis(FleetEndpoint endpoint, double meanRunMillis) {
         int slots = endpoint.entry().slots();
-        int before = endpoint.online() - slots + 1;
-        return before <= 0 ? 0 : before * meanRunMillis / slots;
+        int completionsNeeded = endpoint.online() - slots + 1;
+        return completionsNeeded <= 0 ? 0 : completionsNeeded * meanRunMillis / slots;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/YieldGracePeriod.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/YieldGracePeriod.java
@@ -27,7 +27,7 @@
             excessSinceNanos.remove(endpoint);
             return 0;
         }
-        long since = excessSinceNanos.computeIfAbsent(endpoint, key -> nowNanos);
-        return nowNanos - since >= GRACE_NANOS ? excess : 0;
+        long sinceNanos = excessSinceNanos.computeIfAbsent(endpoint, key -> nowNanos);
+        return nowNanos - sinceNanos >= GRACE_NANOS ? excess : 0;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
@@ -100,8 +100,8 @@
         private long lastCrashNanos;
 
         void add(Crash crash) {
-            boolean known = crashes.stream().anyMatch(crash::isSameAs);
-            if (!known && crashes.size() < CRASHES_BEFORE_QUARANTINE) {
+            boolean alreadyRecorded = crashes.stream().anyMatch(crash::isSameAs);
+            if (!alreadyRecorded && crashes.size() < CRASHES_BEFORE_QUARANTINE) {
                 crashes.add(crash);
             }
             lastCrashNanos = crash.atNanos;
--- a/src/main/java/org/gooseberryhill/decision/routing/EndpointState.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/EndpointState.java
@@ -54,11 +54,11 @@
 
     /** Returns the expected wait for a slot, in milliseconds; batch items are not counted, since they yield. */
     public double predictedWaitMillis() {
-        int waiting = onlineInFlight() - settings.slots() + 1;
-        if (waiting <= 0) {
+        int completionsNeeded = onlineInFlight() - settings.slots() + 1;
+        if (completionsNeeded <= 0) {
             return 0;
         }
-        return waiting * meanRunMillis / settings.slots();
+        return completionsNeeded * meanRunMillis / settings.slots();
     }
 
     /** Returns the online requests in flight as a share of the slots. */
--- a/src/main/java/org/gooseberryhill/decision/routing/RoundRobinPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/RoundRobinPolicy.java
@@ -5,14 +5,14 @@
 
 /** Chooses the eligible endpoints in turn; the baseline for comparisons. Not thread-safe. */
 public final class RoundRobinPolicy implements RoutePolicy {
-    private int next;
+    private int lastIndex;
 
     @Override
     public Optional<EndpointState> choose(ServicePool pool, RouteRequest request, long nowNanos) {
         List<EndpointState> endpoints = pool.endpoints();
         for (int i = 0; i < endpoints.size(); i++) {
-            next = (next + 1) % endpoints.size();
-            EndpointState candidate = endpoints.get(next);
+            lastIndex = (lastIndex + 1) % endpoints.size();
+            EndpointState candidate = endpoints.get(lastIndex);
             if (candidate.isEligible(nowNanos) && !request.tried().contains(candidate.name())) {
                 return Optional.of(candidate);
             }
