--- a/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
@@ -20,7 +20,7 @@
     private static final HostId OTHER_ENTRY = new HostId("other");
 
     private final EndpointBatch endpoint = endpoint(new LeftoverSlotsPolicy(0.125));
-    private long nextRun;
+    private long lastRunNumber;
 
     @Test
     void batchFillsTheSlotsThatOnlineLeavesExceptForAReserve() {
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aSlowTailHalvesTheBatchCapAndItRisesSlowly() {
+    void aTailLatencyAboveItsTargetHalvesTheBatchCapWhichThenRisesSlowly() {
         fill();
 
         assertThat(endpoint.onOnlineReport(ENTRY, 0, true, 0)).hasSize(4);
@@ -110,18 +110,18 @@
     void batchIsNeverMoreThanWhatOnlineLeaves(@ForAll long seed) {
         Random random = new Random(seed);
         EndpointBatch batch = endpoint(new LeftoverSlotsPolicy(0.125));
-        long now = 0;
+        long nowNanos = 0;
         int online = 0;
         for (int step = 0; step < 200; step++) {
-            now += random.nextInt(100) * MILLI;
+            nowNanos += random.nextInt(100) * MILLI;
             if (random.nextInt(3) == 0) {
                 online = random.nextInt(12);
-                batch.onOnlineReport(ENTRY, online, random.nextInt(10) == 0, now)
+                batch.onOnlineReport(ENTRY, online, random.nextInt(10) == 0, nowNanos)
                         .forEach(item -> batch.recordEnd(item.runNumber()));
             } else {
-                batch.onOnlineReport(ENTRY, online, false, now).forEach(item -> batch.recordEnd(item.runNumber()));
-                if (batch.freeSlots(now) > 0) {
-                    batch.recordStart(new RunningItem(step, now));
+                batch.onOnlineReport(ENTRY, online, false, nowNanos).forEach(item -> batch.recordEnd(item.runNumber()));
+                if (batch.freeSlots(nowNanos) > 0) {
+                    batch.recordStart(new RunningItem(step, nowNanos));
                 }
             }
             assertThat(batch.running().size()).isLessThanOrEqualTo(Math.max(0, 8 - online - 1));
@@ -130,7 +130,7 @@
 
     private void fill() {
         while (endpoint.freeSlots(0) > 0) {
-            endpoint.recordStart(new RunningItem(++nextRun, nextRun));
+            endpoint.recordStart(new RunningItem(++lastRunNumber, lastRunNumber));
         }
     }
 
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
@@ -21,7 +21,7 @@
 class DispatchCoreTest {
     private static final Route SAFE = DispatchFixture.route(RouteKind.SAFE, false, 3);
     private static final Route UNSAFE = DispatchFixture.route(RouteKind.UNSAFE, false, 3);
-    private static final Route ONCE_STREAM = DispatchFixture.route(RouteKind.STREAM, false, 2);
+    private static final Route NON_RESUMABLE = DispatchFixture.route(RouteKind.STREAM, false, 2);
     private static final Route RESUMABLE = DispatchFixture.route(RouteKind.STREAM, true, 2);
 
     private final DispatchFixture fixture = new DispatchFixture(4);
@@ -39,8 +39,8 @@
     @Test
     void anEndpointWithAnIdleConnectionIsChosenAmongEqualEndpoints() {
         fixture.connected.add(DispatchFixture.address("e2"));
-        EndpointKey first = sent(fixture.dispatch(fixture.arrive(SAFE)));
-        assertThat(first).isEqualTo(DispatchFixture.key("e2"));
+        EndpointKey chosen = sent(fixture.dispatch(fixture.arrive(SAFE)));
+        assertThat(chosen).isEqualTo(DispatchFixture.key("e2"));
 
         for (int i = 0; i < 30; i++) {
             fixture.dispatch(fixture.arrive(SAFE));
@@ -54,9 +54,9 @@
      */
     @Test
     void requestsThatShareAPrefixGoWhereItIsCachedUnlessTheyWouldWait() {
-        EndpointKey first = sent(fixture.dispatch(fixture.arrive(RESUMABLE, prompt(0))));
-        fixture.fleet.onlineEnded(first);
-        assertThat(sent(fixture.dispatch(fixture.arrive(RESUMABLE, prompt(1))))).isEqualTo(first);
+        EndpointKey cachingEndpoint = sent(fixture.dispatch(fixture.arrive(RESUMABLE, prompt(0))));
+        fixture.fleet.onlineEnded(cachingEndpoint);
+        assertThat(sent(fixture.dispatch(fixture.arrive(RESUMABLE, prompt(1))))).isEqualTo(cachingEndpoint);
 
         Set<EndpointKey> used = new HashSet<>();
         for (int i = 2; i < 30; i++) {
@@ -83,7 +83,7 @@
     /** A stream that cannot be resumed counts as a request that may not be repeated, even before its first event. */
     @Test
     void aStreamThatCannotBeResumedIsNotSentAgainOnceItMayHaveRun() {
-        RoutedRequest request = fixture.arrive(ONCE_STREAM);
+        RoutedRequest request = fixture.arrive(NON_RESUMABLE);
         fixture.dispatch(request);
 
         assertThat(refusal(fixture.failed(request, AttemptEnd.CUT)).code()).isEqualTo(ErrorCode.ENDPOINT_FAILED);
@@ -91,12 +91,12 @@
 
     @Test
     void aRequestOfAnyKindGoesToAnotherEndpointAfterABusyRefusal() {
-        for (Route route : List.of(SAFE, UNSAFE, ONCE_STREAM, RESUMABLE)) {
+        for (Route route : List.of(SAFE, UNSAFE, NON_RESUMABLE, RESUMABLE)) {
             DispatchFixture fresh = new DispatchFixture(4);
             RoutedRequest request = fresh.arrive(route);
-            EndpointKey one = sent(fresh.dispatch(request));
-            EndpointKey other = sent(fresh.failed(request, AttemptEnd.BUSY));
-            assertThat(other).isNotEqualTo(one);
+            EndpointKey busyEndpoint = sent(fresh.dispatch(request));
+            EndpointKey nextEndpoint = sent(fresh.failed(request, AttemptEnd.BUSY));
+            assertThat(nextEndpoint).isNotEqualTo(busyEndpoint);
             assertThat(request.outcome()).isEqualTo(Outcome.NOT_RUN);
         }
     }
@@ -108,7 +108,7 @@
     @Test
     void theRestOfAStreamWaitsForASlotWhenAllEndpointsAreFull() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
-        EndpointKey broken = sent(fixture.dispatch(request));
+        EndpointKey failedEndpoint = sent(fixture.dispatch(request));
         request.answerStarted();
         DispatchDecision decision = fixture.failed(request, AttemptEnd.CUT);
         for (int i = 0; i < 5; i++) {
@@ -120,7 +120,7 @@
             decision = fixture.core.dispatchAfterWait(request, fixture.nowNanos);
         }
 
-        assertThat(sent(decision)).isNotEqualTo(broken);
+        assertThat(sent(decision)).isNotEqualTo(failedEndpoint);
     }
 
     /** The deadline passed while the host was starting: the refusal must report this and not an overload. */
@@ -162,10 +162,10 @@
     @Test
     void aResumableStreamContinuesElsewhereAfterItsCallerGotAPart() {
         RoutedRequest request = fixture.arrive(RESUMABLE);
-        EndpointKey one = sent(fixture.dispatch(request));
+        EndpointKey failedEndpoint = sent(fixture.dispatch(request));
         request.answerStarted();
 
-        assertThat(sent(fixture.failed(request, AttemptEnd.CUT))).isNotEqualTo(one);
+        assertThat(sent(fixture.failed(request, AttemptEnd.CUT))).isNotEqualTo(failedEndpoint);
     }
 
     @Test
@@ -231,7 +231,7 @@
                 DispatchFixture.key("e2"), new InFlight(0, 8),
                 DispatchFixture.key("e3"), new InFlight(0, 8)));
 
-        assertThat(fixture.dispatch(fixture.arrive(ONCE_STREAM))).isInstanceOf(DispatchDecision.Send.class);
+        assertThat(fixture.dispatch(fixture.arrive(NON_RESUMABLE))).isInstanceOf(DispatchDecision.Send.class);
     }
 
     @Test
@@ -327,16 +327,16 @@
                 .as("its last attempt")
                 .isFalse();
 
-        RoutedRequest once = fixture.arrive(DispatchFixture.route(RouteKind.STREAM, false, 2));
-        fixture.dispatch(once);
-        assertThat(fixture.core.canFailOver(once, fixture.nowNanos))
+        RoutedRequest nonResumableRequest = fixture.arrive(DispatchFixture.route(RouteKind.STREAM, false, 2));
+        fixture.dispatch(nonResumableRequest);
+        assertThat(fixture.core.canFailOver(nonResumableRequest, fixture.nowNanos))
                 .as("may run once")
                 .isFalse();
 
-        DispatchFixture single = new DispatchFixture(1);
-        RoutedRequest alone = single.arrive(resumable);
-        single.dispatch(alone);
-        assertThat(single.core.canFailOver(alone, single.nowNanos))
+        DispatchFixture singleEndpoint = new DispatchFixture(1);
+        RoutedRequest onlyRequest = singleEndpoint.arrive(resumable);
+        singleEndpoint.dispatch(onlyRequest);
+        assertThat(singleEndpoint.core.canFailOver(onlyRequest, singleEndpoint.nowNanos))
                 .as("no other endpoint")
                 .isFalse();
     }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/FleetYieldTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/FleetYieldTest.java
@@ -48,17 +48,17 @@
     @Test
     void thePauseOfAnEndpointDoublesDuringABurst() {
         ItemStartPause pause = new ItemStartPause();
-        long now = 1_000_000_000L;
-        pause.itemsYielded(KEY, now);
-        assertThat(pause.isPaused(KEY, now + 299_000_000L)).isTrue();
-        assertThat(pause.isPaused(KEY, now + 301_000_000L)).isFalse();
+        long burstNanos = 1_000_000_000L;
+        pause.itemsYielded(KEY, burstNanos);
+        assertThat(pause.isPaused(KEY, burstNanos + 299_000_000L)).isTrue();
+        assertThat(pause.isPaused(KEY, burstNanos + 301_000_000L)).isFalse();
 
-        pause.itemsYielded(KEY, now + 400_000_000L);
-        assertThat(pause.isPaused(KEY, now + 990_000_000L)).isTrue();
+        pause.itemsYielded(KEY, burstNanos + 400_000_000L);
+        assertThat(pause.isPaused(KEY, burstNanos + 990_000_000L)).isTrue();
 
-        long later = now + 10_000_000_000L;
-        pause.itemsYielded(KEY, later);
-        assertThat(pause.isPaused(KEY, later + 301_000_000L)).isFalse();
+        long afterBurstNanos = burstNanos + 10_000_000_000L;
+        pause.itemsYielded(KEY, afterBurstNanos);
+        assertThat(pause.isPaused(KEY, afterBurstNanos + 301_000_000L)).isFalse();
     }
 
     @Test
--- a/src/test/java/org/gooseberryhill/decision/dispatch/PromptPrefixTrackerTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/PromptPrefixTrackerTest.java
@@ -49,11 +49,14 @@
                 .isEqualTo(450);
     }
 
-    private static Prompt prompt(String first, String second, String own) {
+    private static Prompt prompt(String firstPartId, String secondPartId, String lastPartId) {
         return new Prompt(
                 "m",
                 450,
                 25,
-                List.of(new PromptPart(first, 100), new PromptPart(second, 100), new PromptPart(own, 250)));
+                List.of(
+                        new PromptPart(firstPartId, 100),
+                        new PromptPart(secondPartId, 100),
+                        new PromptPart(lastPartId, 250)));
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/SilentEndpointFailoverTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/SilentEndpointFailoverTest.java
@@ -15,25 +15,26 @@
     /** Guards against an answer that is cut because no other endpoint is free once its silent endpoint was given up. */
     @Test
     void aStreamMovedFromItsSilentEndpointWaitsWhileNoOtherEndpointIsFree() {
-        for (boolean begun : List.of(true, false)) {
-            DispatchFixture pair = new DispatchFixture(2);
-            RoutedRequest request = pair.arrive(RESUMABLE);
-            EndpointKey silent = sent(pair.dispatch(request));
-            EndpointKey other = DispatchFixture.key(silent.id().equals("e0") ? "e1" : "e0");
-            if (begun) {
+        for (boolean hasPartialAnswer : List.of(true, false)) {
+            DispatchFixture twoEndpoints = new DispatchFixture(2);
+            RoutedRequest request = twoEndpoints.arrive(RESUMABLE);
+            EndpointKey silentEndpoint = sent(twoEndpoints.dispatch(request));
+            EndpointKey otherEndpoint = DispatchFixture.key(silentEndpoint.id().equals("e0") ? "e1" : "e0");
+            if (hasPartialAnswer) {
                 request.answerStarted();
             }
-            assertThat(pair.core.canFailOver(request, pair.nowNanos)).isTrue();
-            pair.fleet.attemptEnded(other, AttemptEnd.BUSY, pair.nowNanos);
+            assertThat(twoEndpoints.core.canFailOver(request, twoEndpoints.nowNanos))
+                    .isTrue();
+            twoEndpoints.fleet.attemptEnded(otherEndpoint, AttemptEnd.BUSY, twoEndpoints.nowNanos);
 
-            assertThat(pair.failed(request, AttemptEnd.SILENT)).isInstanceOf(DispatchDecision.Wait.class);
-            pair.advanceMillis(50);
-            assertThat(sent(pair.core.dispatchAfterWait(request, pair.nowNanos)))
-                    .isEqualTo(other);
-            assertThat(pair.failed(request, AttemptEnd.BUSY)).isInstanceOf(DispatchDecision.Wait.class);
-            pair.advanceMillis(50);
-            assertThat(sent(pair.core.dispatchAfterWait(request, pair.nowNanos)))
-                    .isEqualTo(other);
+            assertThat(twoEndpoints.failed(request, AttemptEnd.SILENT)).isInstanceOf(DispatchDecision.Wait.class);
+            twoEndpoints.advanceMillis(50);
+            assertThat(sent(twoEndpoints.core.dispatchAfterWait(request, twoEndpoints.nowNanos)))
+                    .isEqualTo(otherEndpoint);
+            assertThat(twoEndpoints.failed(request, AttemptEnd.BUSY)).isInstanceOf(DispatchDecision.Wait.class);
+            twoEndpoints.advanceMillis(50);
+            assertThat(sent(twoEndpoints.core.dispatchAfterWait(request, twoEndpoints.nowNanos)))
+                    .isEqualTo(otherEndpoint);
         }
     }
 
--- a/src/test/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicyTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicyTest.java
@@ -20,11 +20,11 @@
 
     @Test
     void eachFurtherCallerRetriesLater() {
-        long first = policy.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
-        long second = policy.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
+        long firstMillis = policy.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
+        long secondMillis = policy.retryAfterMillis(overloadAt(SECOND_NANOS, 5000));
 
         // 8 hosts share a tenth of 100 slots, each of which becomes free every 800 ms.
-        assertThat(second - first).isEqualTo(640);
+        assertThat(secondMillis - firstMillis).isEqualTo(640);
     }
 
     /** In a burst no caller is told a longer wait than it accepts, and the latest retry times are spread. */
@@ -50,7 +50,7 @@
         assertThat(policy.retryAfterMillis(overloadAt(10 * SECOND_NANOS, 5000))).isEqualTo(120);
     }
 
-    private static OverloadCase overloadAt(long nowNanos, long leftMillis) {
-        return new OverloadCase("s", 120, 300, leftMillis, 100, 800, 8, nowNanos);
+    private static OverloadCase overloadAt(long nowNanos, long remainingMillis) {
+        return new OverloadCase("s", 120, 300, remainingMillis, 100, 800, 8, nowNanos);
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.Test;
 
 class ClaimTest {
-    private final ClaimRecord own = ClaimRecord.claimed("own", "hash", 0);
-    private final ClaimRecord others = ClaimRecord.claimed("other", "hash", 0);
-    private final Claim claim = new Claim(own);
+    private final ClaimRecord ownRecord = ClaimRecord.claimed("own", "hash", 0);
+    private final ClaimRecord otherCallsRecord = ClaimRecord.claimed("other", "hash", 0);
+    private final Claim claim = new Claim(ownRecord);
 
     @Test
     void aResendGetsTheStoredAnswer() {
         claim.onCreateResult(false);
 
-        ClaimStep step = claim.onReadResult(Optional.of(others.answered(201, Map.of(), new byte[] {1})), 0);
+        ClaimStep step = claim.onReadResult(Optional.of(otherCallsRecord.answered(201, Map.of(), new byte[] {1})), 0);
 
         assertThat(step)
                 .isInstanceOfSatisfying(
@@ -28,14 +28,14 @@
 
     @Test
     void aResendOfACallWhoseAnswerIsLostIsNotRepeated() {
-        assertThat(refusal(claim.onReadResult(Optional.of(others.answerLost()), 0))
+        assertThat(refusal(claim.onReadResult(Optional.of(otherCallsRecord.answerLost()), 0))
                         .outcome())
                 .isEqualTo(Outcome.MAY_HAVE_RUN);
     }
 
     @Test
     void aResendDuringTheCallIsRefusedWithARetryAfterTime() {
-        Refusal refusal = refusal(claim.onReadResult(Optional.of(others), 0));
+        Refusal refusal = refusal(claim.onReadResult(Optional.of(otherCallsRecord), 0));
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.IN_PROGRESS);
         assertThat(refusal.retryAfterMillis()).isPresent();
@@ -44,7 +44,7 @@
     /** The claim's host was lost while the call was in flight; a later resend must learn that the answer is lost. */
     @Test
     void aClaimWhoseHolderWasLostEndsAsMayHaveRun() {
-        Refusal refusal = refusal(claim.onReadResult(Optional.of(others), 700_000));
+        Refusal refusal = refusal(claim.onReadResult(Optional.of(otherCallsRecord), 700_000));
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.ENDPOINT_FAILED);
         assertThat(refusal.outcome()).isEqualTo(Outcome.MAY_HAVE_RUN);
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
@@ -34,12 +34,12 @@
     private static final class Run {
         private final Random random;
         private final OnlineCore core;
-        private final List<OnlineRequest> sent = new ArrayList<>();
-        private final Map<String, Integer> mayHaveRun = new HashMap<>();
-        private final Set<String> idempotent = new HashSet<>();
-        private final Set<String> finished = new HashSet<>();
+        private final List<OnlineRequest> inFlight = new ArrayList<>();
+        private final Map<String, Integer> possibleRuns = new HashMap<>();
+        private final Set<String> idempotentIds = new HashSet<>();
+        private final Set<String> finishedIds = new HashSet<>();
         private Set<String> leaving = Set.of();
-        private long now;
+        private long nowNanos;
 
         Run(long seed) {
             random = new Random(seed);
@@ -48,7 +48,7 @@
 
         void execute() {
             for (int step = 0; step < STEPS; step++) {
-                now += random.nextInt((int) (SECOND / 10));
+                nowNanos += random.nextInt((int) (SECOND / 10));
                 switch (random.nextInt(6)) {
                     case 0, 1 -> arrive(step);
                     case 2 -> succeed();
@@ -57,7 +57,7 @@
                     default -> changeLeavingEndpoints();
                 }
             }
-            while (!sent.isEmpty()) {
+            while (!inFlight.isEmpty()) {
                 succeed();
             }
             core.endpoints()
@@ -68,17 +68,17 @@
         }
 
         private void arrive(int number) {
-            boolean repeatable = random.nextBoolean();
-            OnlineIntake intake = OnlineCoreFixture.intake(number, repeatable, now + 20 * SECOND);
-            Either<Refusal, OnlineRequest> admitted = core.admit(intake, now);
+            boolean isIdempotent = random.nextBoolean();
+            OnlineIntake intake = OnlineCoreFixture.intake(number, isIdempotent, nowNanos + 20 * SECOND);
+            Either<Refusal, OnlineRequest> admitted = core.admit(intake, nowNanos);
             if (admitted.isLeft()) {
                 assertThat(admitted.getLeft().outcome()).isEqualTo(Outcome.NOT_RUN);
                 return;
             }
-            if (repeatable) {
-                idempotent.add(intake.id());
+            if (isIdempotent) {
+                idempotentIds.add(intake.id());
             }
-            follow(admitted.get(), core.next(admitted.get(), now));
+            follow(admitted.get(), core.next(admitted.get(), nowNanos));
         }
 
         private void follow(OnlineRequest request, OnlineDecision decision) {
@@ -86,49 +86,49 @@
             if (decision instanceof OnlineDecision.AskPermit askPermit) {
                 Optional<String> granted =
                         random.nextBoolean() ? Optional.of(askPermit.endpoints().get(0)) : Optional.empty();
-                follow(request, core.onPermitAnswer(request, granted, now));
+                follow(request, core.onPermitAnswer(request, granted, nowNanos));
             } else if (decision instanceof OnlineDecision.Wait wait) {
-                now += wait.delayMillis() * 1_000_000;
-                follow(request, core.next(request, now));
+                nowNanos += wait.delayMillis() * 1_000_000;
+                follow(request, core.next(request, nowNanos));
             } else if (decision instanceof OnlineDecision.Send send) {
                 assertThat(leaving)
                         .as("leaving endpoints")
                         .doesNotContain(send.endpoint().name());
-                boolean repeated = mayHaveRun.getOrDefault(id, 0) > 0;
-                assertThat(repeated && !idempotent.contains(id))
+                boolean repeated = possibleRuns.getOrDefault(id, 0) > 0;
+                assertThat(repeated && !idempotentIds.contains(id))
                         .as("%s sent again after it may have run", id)
                         .isFalse();
-                sent.add(request);
+                inFlight.add(request);
             } else if (decision instanceof OnlineDecision.Refuse refuse) {
-                boolean reached = mayHaveRun.getOrDefault(id, 0) > 0;
+                boolean mayHaveRun = possibleRuns.getOrDefault(id, 0) > 0;
                 assertThat(refuse.refusal().outcome() == Outcome.MAY_HAVE_RUN)
                         .as("%s may have run", id)
-                        .isEqualTo(reached);
+                        .isEqualTo(mayHaveRun);
                 finish(request);
             }
         }
 
         private void succeed() {
-            if (!sent.isEmpty()) {
-                OnlineRequest request = sent.remove(random.nextInt(sent.size()));
-                core.attemptSucceeded(request, now);
+            if (!inFlight.isEmpty()) {
+                OnlineRequest request = inFlight.remove(random.nextInt(inFlight.size()));
+                core.attemptSucceeded(request, nowNanos);
                 finish(request);
             }
         }
 
         private void fail(Outcome outcome, boolean crash) {
-            if (sent.isEmpty()) {
+            if (inFlight.isEmpty()) {
                 return;
             }
-            OnlineRequest request = sent.remove(random.nextInt(sent.size()));
+            OnlineRequest request = inFlight.remove(random.nextInt(inFlight.size()));
             if (outcome == Outcome.MAY_HAVE_RUN) {
-                mayHaveRun.merge(request.intake().id(), 1, Integer::sum);
+                possibleRuns.merge(request.intake().id(), 1, Integer::sum);
             }
             if (crash) {
                 String endpoint = request.endpoint().orElseThrow();
-                core.suspects().recordCrash(endpoint, List.of(request.intake().fingerprint()), now);
+                core.suspects().recordCrash(endpoint, List.of(request.intake().fingerprint()), nowNanos);
             }
-            follow(request, core.attemptFailed(request, new AttemptFailure(outcome, crash, ""), now));
+            follow(request, core.attemptFailed(request, new AttemptFailure(outcome, crash, ""), nowNanos));
         }
 
         private void changeLeavingEndpoints() {
@@ -137,7 +137,7 @@
         }
 
         private void finish(OnlineRequest request) {
-            assertThat(finished.add(request.intake().id()))
+            assertThat(finishedIds.add(request.intake().id()))
                     .as("%s finished once", request.intake().id())
                     .isTrue();
             core.finished(request);
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
@@ -113,12 +113,12 @@
         core.suspects().recordCrash(granted, List.of(request.intake().fingerprint()), 3 * SECOND);
 
         OnlineDecision decision = core.attemptFailed(request, CUT, 3 * SECOND);
-        Refusal resent = core.admit(OnlineCoreFixture.intake(1, true, 10 * SECOND), 3 * SECOND)
+        Refusal resendRefusal = core.admit(OnlineCoreFixture.intake(1, true, 10 * SECOND), 3 * SECOND)
                 .getLeft();
 
         assertThat(((OnlineDecision.Refuse) decision).refusal().code()).isEqualTo(ErrorCode.QUARANTINED);
-        assertThat(resent.code()).isEqualTo(ErrorCode.QUARANTINED);
-        assertThat(resent.outcome()).isEqualTo(Outcome.NOT_RUN);
+        assertThat(resendRefusal.code()).isEqualTo(ErrorCode.QUARANTINED);
+        assertThat(resendRefusal.outcome()).isEqualTo(Outcome.NOT_RUN);
     }
 
     /**
