--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
@@ -371,16 +371,17 @@
     /** Guards against a request that is sent twice at once: failed over as silent while it waits to be sent again. */
     @Test
     void aRequestThatWaitsForAnEndpointCannotFailOver() {
-        DispatchFixture pair = new DispatchFixture(2);
-        RoutedRequest request = pair.arrive(DispatchFixture.route(RouteKind.STREAM, true, 4));
-        pair.dispatch(request);
+        DispatchFixture twoEndpoints = new DispatchFixture(2);
+        RoutedRequest request = twoEndpoints.arrive(DispatchFixture.route(RouteKind.STREAM, true, 4));
+        twoEndpoints.dispatch(request);
         request.answerStarted();
-        pair.failed(request, AttemptEnd.CUT);
-        DispatchDecision decision = pair.failed(request, AttemptEnd.BUSY);
+        twoEndpoints.failed(request, AttemptEnd.CUT);
+        DispatchDecision decision = twoEndpoints.failed(request, AttemptEnd.BUSY);
         assertThat(decision).isInstanceOf(DispatchDecision.Wait.class);
-        pair.advanceMillis(((DispatchDecision.Wait) decision).millis());
+        twoEndpoints.advanceMillis(((DispatchDecision.Wait) decision).millis());
 
-        assertThat(pair.core.canFailOver(request, pair.nowNanos)).isFalse();
+        assertThat(twoEndpoints.core.canFailOver(request, twoEndpoints.nowNanos))
+                .isFalse();
     }
 
     private void quarantine(RoutedRequest request) {
