--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -150,7 +150,7 @@
             return 0;
         }
         Map<HostId, Integer> items = new TreeMap<>();
-        items.put(self, endpoint.own().batch());
+        items.put(self, endpoint.ownInFlight().batch());
         reports.forEach(
                 (host, report) -> items.put(host, report.at(endpoint.key()).batch()));
         Comparator<Map.Entry<HostId, Integer>> mostItemsFirst = Map.Entry.comparingByValue(Comparator.reverseOrder());
--- a/src/main/java/org/gooseberryhill/decision/dispatch/FleetEndpoint.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/FleetEndpoint.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns the requests that this host has in flight. */
-    public InFlight own() {
+    public InFlight ownInFlight() {
         return ownInFlight;
     }
 
