--- a/src/main/java/org/gooseberryhill/decision/configuration/ActiveConfiguration.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ActiveConfiguration.java
@@ -9,8 +9,8 @@
 /**
  * Holds the active configuration of one host. Not thread-safe.
  *
- * <p>Invariant: the revision, which the key-value service assigns, only grows. A slow watcher, a peer that was
- * partitioned or a store that answers with an older revision can therefore never bring back an older text.
+ * <p>Invariant: the revision, which the key-value store assigns, only grows. A slow watcher, a peer that was
+ * partitioned or a key-value store that answers with an older revision can therefore never bring back an older text.
  */
 public final class ActiveConfiguration {
     /** The result of offering a text. */
@@ -28,14 +28,14 @@
     private Configuration configuration = Configuration.EMPTY;
     private List<Finding> findings = List.of();
 
-    /** Activates a text, with the revision that the key-value service assigned to it, if it is newer and valid. */
+    /** Activates a text, with the revision that the key-value store assigned to it, if it is newer and valid. */
     public Offer offer(long newRevision, String newText) {
         if (newRevision <= revision) {
             return Offer.NOT_NEWER;
         }
         Either<List<Finding>, Configuration> read = ConfigurationReader.read("configuration", newText);
         if (read.isLeft()) {
-            // The command line validates texts before it applies them, so this one was written without it. Serving
+            // The command line validates texts before it applies them, so this one was written in another way. Serving
             // continues with the last valid text. The revision stays, so that a corrected text is applied in
             // whatever order it arrives.
             findings = read.getLeft();
@@ -48,12 +48,12 @@
         return Offer.APPLIED;
     }
 
-    /** Returns the active revision; 0 before the first. */
+    /** Returns the active revision; 0 if no text has been applied yet. */
     public long revision() {
         return revision;
     }
 
-    /** Returns the active text; empty before the first. */
+    /** Returns the active text; empty if no text has been applied yet. */
     public String text() {
         return text;
     }
--- a/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationEdit.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationEdit.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The state machine of a configuration edit: decides the next step after each answer of the key-value service. Not
+ * The state machine of a configuration edit: decides the next step after each answer of the key-value store. Not
  * thread-safe.
  *
  * <p>Invariant: the edit takes effect at most once, reports success only if its own record was read or its write
@@ -20,7 +20,7 @@
         ACCEPTED,
         /** Done: another edit took effect first. */
         CONFLICT,
-        /** Done: the key-value service does not answer; the edit may or may not have taken effect. */
+        /** Done: the key-value store does not answer; the edit may or may not have taken effect. */
         UNKNOWN
     }
 
--- a/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationRecord.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.decision.configuration;
 
 /**
- * The value that the key-value service holds under the configuration's key. Immutable.
+ * The value that the key-value store holds under the configuration's key. Immutable.
  *
  * @param editId the id of the edit, by which its author can find out whether it took effect
  * @param author who applied the edit
--- a/src/main/java/org/gooseberryhill/decision/drain/LeavingEndpoints.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/LeavingEndpoints.java
@@ -9,7 +9,7 @@
  * Tracks the leaving endpoints, which get no new work, as reported by several sources. Not thread-safe.
  *
  * <p>The platform's host list alone is not enough: it lags by many seconds, during which requests would still be sent
- * to an endpoint that is about to end. Therefore the endpoint's own status and reports from peers count as well. An
+ * to an endpoint that is about to stop. Therefore the endpoint's own status and reports from peers count as well. An
  * endpoint gets work again only when no source reports it as leaving.
  */
 public final class LeavingEndpoints {
--- a/src/main/java/org/gooseberryhill/decision/job/ChunkCommit.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ChunkCommit.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The state machine of one chunk's commit: decides the next step after each answer of the key-value service. Not
+ * The state machine of one chunk's commit: decides the next step after each answer of the key-value store. Not
  * thread-safe.
  *
  * <p>Invariant: a chunk has at most one record, which never changes. It is created only while the job's record is the
@@ -38,9 +38,8 @@
     /** Returns the step after the chunk's record was read. */
     public Step read(Optional<ChunkRecord> found) {
         if (found.isPresent()) {
-            // The record is this owner's or an earlier owner's. In both cases its completions count and those of this
-            // run
-            // are discarded.
+            // The record is this owner's or an earlier owner's. In both cases its completions count, and those
+            // of this run are discarded.
             return Step.COMMITTED;
         }
         if (uncertain) {
--- a/src/main/java/org/gooseberryhill/decision/job/ChunkRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ChunkRecord.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.decision.job;
 
 /**
- * The record of a finished chunk in the key-value service; its existence completes all items of the chunk. Immutable.
+ * The record of a finished chunk in the key-value store; its existence completes all items of the chunk. Immutable.
  *
  * @param segment the name of the segment with the results, one line per item
  * @param items the number of items
--- a/src/main/java/org/gooseberryhill/decision/job/ItemEnd.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ItemEnd.java
@@ -4,9 +4,9 @@
 public enum ItemEnd {
     /** The item has its result. */
     COMPLETED,
-    /** The run was stopped in favor of online work; a later run continues from the text generated so far. */
+    /** The run was stopped in favor of online requests; a later run continues from the text generated so far. */
     YIELDED,
-    /** The endpoint broke off the answer, which counts as a crash. */
+    /** The endpoint ended the answer prematurely, which counts as a crash. */
     CRASHED,
     /** The endpoint answered with an error that a retry may resolve. */
     FAILED,
--- a/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
@@ -8,16 +8,17 @@
 /**
  * The state of one item of a chunk that is in memory. Not thread-safe.
  *
- * <p>Invariant: an item gets one completion; reports of hand-outs other than the latest have no effect.
+ * <p>Invariant: an item gets one completion, a line of JSON with its result or its permanent failure; reports of
+ * hand-outs other than the latest have no effect.
  */
 final class ItemSlot {
     /** Number of attempts that end in an error after which the item has failed permanently. */
     private static final int MAX_FAILURES = 3;
 
     /**
-     * Number of crashes after which the item has failed permanently. It is one more than for online requests: their
-     * refusal ends after some time, while this failure is final, and an item may by chance be running at two crashes
-     * that another item caused.
+     * Number of crashes after which the item has failed permanently. It is one more than for online requests: those are
+     * refused only for some time, while this failure is final, and an item may by chance be running at two crashes that
+     * another item caused.
      */
     private static final int MAX_CRASHES = 3;
 
--- a/src/main/java/org/gooseberryhill/decision/job/JobRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobRecord.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A job's record in the key-value service, written when the job is accepted and when its state changes. Immutable.
+ * A job's record in the key-value store, written when the job is accepted and when its state changes. Immutable.
  *
  * @param state the state of the job
  * @param bodyHash the hash of the request body, which distinguishes a resent job from another job under the same id
--- a/src/main/java/org/gooseberryhill/decision/job/JobSubmission.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobSubmission.java
@@ -6,7 +6,7 @@
 import org.gooseberryhill.contract.Refusal;
 
 /**
- * The state machine of a job's submission: decides the next step after each answer of the key-value service. Not
+ * The state machine of a job's submission: decides the next step after each answer of the key-value store. Not
  * thread-safe.
  *
  * <p>Invariant: a job is accepted only if its key holds its own record or one with the same body. A job that is sent
@@ -26,7 +26,7 @@
         SAME_JOB,
         /** Done: a job with another body was accepted under the id. */
         CONFLICT,
-        /** Done: the key-value service does not answer. Sending the job again shows whether it was accepted. */
+        /** Done: the key-value store does not answer. Sending the job again shows whether it was accepted. */
         UNAVAILABLE
     }
 
--- a/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
@@ -197,6 +197,8 @@
      * <p>This happens if the answer that carried the items, or the report on the end of a run, was lost. Nobody runs
      * such an item, and without this method the job would wait for it until the hand-out times out. The minimum age
      * excludes messages that are still on their way.
+     *
+     * @param held the numbers of the hand-outs that the steward holds
      */
     public void reclaimMissing(HostId steward, Set<Long> held, long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
--- a/src/main/java/org/gooseberryhill/decision/job/WaitingItems.java
+++ b/src/main/java/org/gooseberryhill/decision/job/WaitingItems.java
@@ -9,8 +9,8 @@
  * The queue of a job's items that wait to be handed out, lowest index first; an item may have a time before which it
  * must not run. Not thread-safe.
  *
- * <p>Operations take time logarithmic in the number of waiting items. A search over all loaded items took most of an
- * owner's processor time when most of the items were in flight.
+ * <p>Operations take time logarithmic in the number of waiting items. A search over all loaded items would take most of
+ * an owner's processor time when most of the items are in flight.
  */
 final class WaitingItems {
     private final TreeSet<Integer> ready = new TreeSet<>();
--- a/src/main/java/org/gooseberryhill/decision/lease/LeaseGuard.java
+++ b/src/main/java/org/gooseberryhill/decision/lease/LeaseGuard.java
@@ -6,10 +6,10 @@
 /**
  * Tells whether this host may still act under its lease. Not thread-safe.
  *
- * <p>Failure: a host is paused, its lease expires and another host takes over; when the first one resumes, it would go
- * on as if it still held the lease. Two measures prevent this. The validity period is counted on the monotonic clock
- * from before each renewal was <em>sent</em>, less a margin, so this host stops before the key-value service expires
- * the lease. And each action carries the fence of its claim, so it is refused once the claim is gone.
+ * <p>Failure: a host is paused, its lease expires and another host takes over; when the paused host resumes, it
+ * continues as if it still held the lease. Two measures prevent this. The validity period is counted on the monotonic
+ * clock from before each renewal was <em>sent</em>, less a margin, so this host stops before the key-value store
+ * expires the lease. And each action carries the fencing token of its claim, so it is refused once the claim is gone.
  */
 public final class LeaseGuard {
     private final long marginNanos;
@@ -38,7 +38,7 @@
         leaseId = Optional.of(id);
     }
 
-    /** Records that the lease no longer exists, as reported by the key-value service. */
+    /** Records that the lease no longer exists, as reported by the key-value store. */
     public void lost() {
         leaseId = Optional.empty();
     }
--- a/src/main/java/org/gooseberryhill/decision/lease/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Leases: how long a host may act under the lease that the key-value service granted to it. */
+/** Leases: how long a host may act under the lease that the key-value store granted to it. */
 package org.gooseberryhill.decision.lease;
--- a/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
@@ -19,8 +19,8 @@
  * Tracks which other hosts are alive, from the host list in the key-value store, where each host is registered under
  * its lease, and from the reports that hosts send each other. Not thread-safe.
  *
- * <p>Neither source is sufficient. Keys expire during an outage of the store although their hosts are alive, and keys
- * outlive their hosts by up to a lease, or by the length of an outage. Invariants:
+ * <p>Neither source is sufficient. Entries of the list expire during an outage of the key-value store although their
+ * hosts are alive, and they outlive a lost host by up to the length of a lease, or of an outage. Invariants:
  *
  * <ul>
  *   <li>A host that has reported recently is alive, whatever the list says.
@@ -138,9 +138,9 @@
     }
 
     /**
-     * Returns the other gateways that may call the key-value store on behalf of this host: those that reach the store,
-     * or all known gateways while none has been heard. The fallback serves a host that starts while it cannot reach the
-     * store: it is on nobody's list yet and therefore receives no reports.
+     * Returns the other gateways that may call the key-value store on behalf of this host: those that reach it, or all
+     * known gateways while none has been heard. The fallback serves a host that starts while it cannot reach the
+     * key-value store: it is on no list yet and therefore receives no reports.
      */
     public List<Host> gatewaysReachingStore(long nowNanos) {
         boolean noneIsHeard = heardGateways(report -> true, nowNanos).isEmpty();
--- a/src/main/java/org/gooseberryhill/decision/membership/Membership.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/Membership.java
@@ -23,7 +23,10 @@
  * thread-safe.
  */
 public final class Membership {
+    /** How many times a rumor is sent for each doubling of the number of hosts. */
     private static final int RUMOR_REPEATS_PER_DOUBLING = 3;
+
+    /** The interval at which each suspect is probed. */
     private static final long SUSPECT_PROBE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final HostId self;
@@ -91,7 +94,7 @@
      *
      * <p>Without this, a live host could be declared dead: a few messages lost in a row make it a suspect, and the
      * rumor that would let it refute can be lost too. Every host that suspects a peer probes it. Suspects are few, so
-     * the cost stays flat.
+     * the cost does not grow with the number of hosts.
      */
     private void probeSuspects(long nowNanos, MembershipCommands commands) {
         for (Peer peer : peers.values()) {
--- a/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
+++ b/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
@@ -15,8 +15,8 @@
  * Stateless and thread-safe.
  *
  * <p>Invariant: hosts with the same view compute the same owner, and the loss of a host moves only the keys that it
- * owned. Hosts with different views may compute two owners for a while, so exclusive work carries a fence from the
- * key-value service.
+ * owned. Hosts with different views may compute two owners for a while, so exclusive work carries a fencing token from
+ * the key-value store.
  */
 public final class Ownership {
     private Ownership() {}
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
@@ -34,7 +34,8 @@
     }
 
     /**
-     * Returns how long after its arrival copies of a submission are requested if the key-value store has not answered.
+     * Returns the time after the arrival of a submission at which copies of it are requested if the key-value store has
+     * not answered yet.
      */
     public static long copiesAfterMillis(long targetLatencyMillis) {
         return Math.round(COPIES_SHARE_OF_TARGET * targetLatencyMillis);
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/DueItem.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/DueItem.java
@@ -1,7 +1,7 @@
 package org.gooseberryhill.decision.requestbatch;
 
 /**
- * An open item with the values that determine its place in the scheduling order. Immutable.
+ * An item without a result, with the values that determine its place in the scheduling order. Immutable.
  *
  * @param batch the batch of the item
  * @param item the item
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/FeasibleFirstOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/FeasibleFirstOrder.java
@@ -8,8 +8,9 @@
  * due first. Stateless.
  *
  * <p>Load pattern: after an outage of all hosts for some seconds, or a burst of batches, more items are due than the
- * slots can complete in time. With the earliest due item first, each item in turn is done just after it was due, so one
- * outage makes the batches of half a minute late. An item that is late anyway loses little by being later still.
+ * slots can complete in time. With the earliest due item first, each item in turn is done just after it was due, so a
+ * single outage makes half a minute's worth of batches late. An item that is late anyway loses little by being later
+ * still.
  */
 public final class FeasibleFirstOrder implements ItemOrder {
     private static final Comparator<DueItem> ORDER =
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
@@ -31,8 +31,8 @@
  */
 public final class ItemDispatch {
     /**
-     * Items with less slack than this many whole runs are urgent: they may take a slot of the reserve for online
-     * requests.
+     * Items whose slack is less than this many times the expected run time of a whole item are urgent: they may take
+     * slots that are reserved for online requests.
      */
     private static final double URGENT_SLACK_RUNS = 1;
 
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemOrder.java
@@ -4,6 +4,6 @@
 
 /** Determines the order in which the items of all batches of a host get free slots. */
 public interface ItemOrder {
-    /** Returns all the items, those that get a slot first at the front. */
+    /** Returns all the items in the order in which they get free slots. */
     List<DueItem> sorted(List<DueItem> items);
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
@@ -132,7 +132,7 @@
         return Optional.of(new ItemCheckpoint(item.id(), lastEventId.get(), text.toString()));
     }
 
-    /** Restores output that an earlier owner generated, unless at least as much is already known. */
+    /** Restores output that an earlier owner generated, unless at least as much is already present. */
     void restore(ItemCheckpoint checkpoint) {
         if (result.isPresent() || lastEventId.orElse(0L) >= checkpoint.lastEventId()) {
             return;
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OutboxTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OutboxTiming.java
@@ -13,17 +13,20 @@
  * batch that has long been finished and deleted, and that must not run again.
  */
 public final class OutboxTiming {
-    /** Longer than a gateway takes to create the record after an outage and to have the copies deleted. */
+    /**
+     * The time that the gateway gets to create the record: longer than it takes to do so after an outage and to have
+     * the copies deleted.
+     */
     private static final long GATEWAY_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
-    /** The interval between attempts: outages are either longer or much shorter, and each call has a cost. */
+    /** The interval between attempts. Outages are either longer than this or much shorter, and each call has a cost. */
     private static final long RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final long retentionMillis;
     private final Map<String, Long> nextAttemptNanos = new HashMap<>();
 
     /**
-     * Creates a timing without copies.
+     * Creates an instance that tracks no copies.
      *
      * @param retentionMillis how long a finished batch is kept; an older copy may belong to a batch that was deleted
      */
@@ -36,7 +39,7 @@
         nextAttemptNanos.put(name, nowNanos + GATEWAY_GRACE_NANOS);
     }
 
-    /** Makes the record of a copy due at once, since this host is being emptied. */
+    /** Makes the record of a copy due at once, since this host is being evacuated. */
     public void makeDueNow(String name, long nowNanos) {
         nextAttemptNanos.computeIfPresent(name, (key, dueNanos) -> dueNanos - nowNanos > 0 ? nowNanos : dueNanos);
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
@@ -18,13 +18,16 @@
     /** The delay after an error answer: the endpoint may be the cause, and other items can run in the meantime. */
     private static final long ERROR_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-    /** The delay after yielding: the burst of online requests lasts longer than a restart elsewhere would gain. */
+    /**
+     * The delay after yielding. The burst of online requests lasts longer than the time that an immediate restart at
+     * another endpoint would gain.
+     */
     private static final long YIELD_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     /** The delay after an endpoint refused to run an item: about the time until one of its slots is free. */
     private static final long BUSY_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** The number of runs cut before any output from which on an item is suspected of crashing its endpoints. */
+    /** An item is suspected of crashing its endpoints once this many of its runs were cut before any output. */
     private static final int SUSPECT_RUN_THRESHOLD = 3;
 
     /**
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
@@ -16,20 +16,20 @@
  */
 public final class OwnerFailureDetector {
     /**
-     * The delay for a process that was never seen alive: longer than a new host takes to be listed, and longer than the
-     * list may lag behind.
+     * The time after which a missing process that was never seen alive counts as lost: longer than a new host takes to
+     * be listed, and longer than the list may lag behind.
      */
     private static final long UNKNOWN_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
 
     /**
-     * The delay for a process that was seen alive: it can't be too new for the list. Hosts send each other a heartbeat
-     * every second, so the delay covers one more heartbeat.
+     * The time after which a missing process that was seen alive counts as lost. It can't be too new for the list.
+     * Hosts send each other a heartbeat every second, so the time covers one more heartbeat.
      */
     private static final long KNOWN_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(1200);
 
     /**
-     * The delay for an earlier process of a restarted host: the host takes over its own batches, others only if it does
-     * not.
+     * The time after which the earlier process of a restarted host counts as lost: the host takes over its own batches,
+     * and other hosts do so only if it does not.
      */
     private static final long RESTARTED_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(6000);
 
@@ -45,9 +45,9 @@
     private Map<String, String> liveStartByHost = Map.of();
 
     /**
-     * Creates a watch without any known owners.
+     * Creates a detector that tracks no owners.
      *
-     * @param self the host that watches the owners
+     * @param self the host that runs this detector
      */
     public OwnerFailureDetector(String self) {
         this.self = self;
@@ -56,7 +56,7 @@
     /**
      * Updates the set of live processes. Has to be called periodically.
      *
-     * @param liveProcessStarts the process of each host that is known to be alive now, by host
+     * @param liveProcessStarts the value that identifies the process of each host that is alive now, by host
      * @return whether a process that was seen alive has become lost since the last call
      */
     public boolean updateLiveProcesses(Map<String, String> liveProcessStarts, long nowNanos) {
@@ -75,10 +75,10 @@
     }
 
     /**
-     * Returns whether the owner of a batch is lost; starts tracking an owner that is not known yet.
+     * Returns whether the owner of a batch is lost; starts tracking an owner that is not tracked yet.
      *
      * @param owner the owner's host
-     * @param ownerStart the owner's process on that host
+     * @param ownerStart distinguishes the owner's process from earlier processes of that host
      */
     public boolean isLost(String owner, String ownerStart, long nowNanos) {
         if (isLive(owner, ownerStart)) {
@@ -92,7 +92,7 @@
         return isMissingTooLong(process, nowNanos);
     }
 
-    /** Returns whether a process is known to be alive now. */
+    /** Returns whether a process was alive at the last call of {@link #updateLiveProcesses}. */
     public boolean isLive(String host, String start) {
         return start.equals(liveStartByHost.get(host));
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/PlacedItem.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/PlacedItem.java
@@ -45,7 +45,7 @@
         return slackMillis;
     }
 
-    /** Returns whether the run was allowed to take a slot of the reserve for online requests. */
+    /** Returns whether the run was allowed to take a slot that is reserved for online requests. */
     public boolean isUrgent() {
         return urgent;
     }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/RecordWrite.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/RecordWrite.java
@@ -12,7 +12,7 @@
 public final class RecordWrite {
     /** The next step of the write. */
     public enum Step {
-        /** Send the unchanged write, again if it was sent before. */
+        /** Send the write; if it was sent before, repeat it unchanged. */
         WRITE,
         /** Read the record to find out whether the write has taken effect. */
         READ,
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/RunEnd.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/RunEnd.java
@@ -5,7 +5,7 @@
     /** The run delivered the complete output. */
     COMPLETED,
     /**
-     * The owner cancelled the run in favour of online requests, or because the owner stops; the item is to be resumed.
+     * The owner cancelled the run in favor of online requests, or because the owner stops; the item is to be resumed.
      */
     YIELDED,
     /** The endpoint closed the connection or stopped sending; the item is to be resumed. */
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/SaveTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/SaveTiming.java
@@ -10,7 +10,7 @@
  *
  * <p>Each write has a cost, so results and progress of a short period are written together. Waiting too long has a cost
  * as well: when a host is lost, the unsaved output of its items is generated again, in slots that other items wait for,
- * and after a loss of all hosts the batches of the last seconds before it are late by that much.
+ * and after a loss of all hosts the batches of the seconds before it are late by the time that this takes.
  */
 public final class SaveTiming {
     /** The delay of a commit of results: callers read them when the batch is due, many seconds later. */
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/SubmissionOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/SubmissionOrder.java
@@ -3,7 +3,10 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The baseline order: items of the batch that is due first, and among those the ones that have output. Stateless. */
+/**
+ * Orders items by the due time of their batch and, among equal ones, those with output first; the baseline to compare
+ * other orders with. Stateless.
+ */
 public final class SubmissionOrder implements ItemOrder {
     private static final Comparator<DueItem> ORDER = Comparator.comparingLong(DueItem::untilDueMillis)
             .thenComparing(due -> !due.item().hasOutput());
--- a/src/test/java/org/gooseberryhill/decision/job/JobModel.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobModel.java
@@ -15,8 +15,8 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * A minimal model of a job, two hosts that may own it, and a key-value service with faults. A lease may expire while
- * its holder is paused; the holder then continues until one of its writes is refused.
+ * A minimal model of a job, two hosts that may own it, and a key-value store with faults. A lease may expire while its
+ * holder is paused; the holder then continues until one of its writes is refused.
  */
 final class JobModel {
     static final String RECORD = "record";
--- a/src/test/java/org/gooseberryhill/decision/job/JobProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobProperties.java
@@ -8,8 +8,7 @@
 
 /**
  * Checks a job that two hosts own in turn, while sometimes both consider themselves its owner: a lease expires while
- * its holder is paused, reports arrive late and twice, answers of the key-value service are lost and writes arrive
- * late.
+ * its holder is paused, reports arrive late and twice, answers of the key-value store are lost and writes arrive late.
  */
 class JobProperties {
     private static final int STEPS = 300;
--- a/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * A burst of online requests makes hundreds of items yield one after the other, and each is taken immediately: only
-     * a few offers must be sent.
+     * A burst of online requests makes hundreds of items yield one after the other, and each is handed out immediately:
+     * only a few offers must be sent.
      */
     @Test
     void manyYieldsInABurstMakeFewOffers() {
--- a/src/test/java/org/gooseberryhill/decision/lease/LeaseGuardTest.java
+++ b/src/test/java/org/gooseberryhill/decision/lease/LeaseGuardTest.java
@@ -22,7 +22,8 @@
     }
 
     /**
-     * The service counts the time to live from the receipt of a renewal, this host from the sending, which is earlier.
+     * The key-value store counts the time to live from the receipt of a renewal, this host from the sending, which is
+     * earlier.
      */
     @Test
     void validityCountsFromTheSendingOfTheRenewal() {
--- a/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
@@ -141,8 +141,8 @@
     }
 
     /**
-     * A host starts while it cannot reach the key-value store. It is on nobody's list, so it receives no reports, and
-     * it could never register if it asked only hosts that it has heard to call the store for it.
+     * A host starts while it cannot reach the key-value store. It is on no list, so it receives no reports, and it
+     * could never register if it asked only hosts that it has heard to call the store for it.
      */
     @Test
     void aHostThatNobodyKnowsYetAsksTheListedOnesForHelp() {
--- a/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
@@ -174,7 +174,7 @@
             return true;
         }
 
-        /** The probes of one host. */
+        /** Sends the probes of one host through the simulated network. */
         private final class Sender implements MembershipCommands {
             private final String from;
 
--- a/src/test/java/org/gooseberryhill/decision/replay/ServingReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ServingReplay.java
@@ -40,7 +40,10 @@
     private static final double TROUGH_RATE_FACTOR = 0.391;
     private static final double PEAK_RATE_FACTOR = 1.91;
     private static final long BATCH_DUE_MILLIS = 18_000;
+
+    /** How long after the due time of its batch an item still counts as done in time. */
     private static final long READ_GRACE_MILLIS = 700;
+
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final VirtualClock clock = new VirtualClock();
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
@@ -10,7 +10,10 @@
 import net.jqwik.api.constraints.Size;
 import org.gooseberryhill.contract.Outcome;
 
-/** Tests the answer to the caller of a submission for all orders in which the key-value store and the disks answer. */
+/**
+ * Checks the answer to the caller of a submission for random orders in which the key-value store and the hosts that
+ * hold copies answer.
+ */
 class BatchAcceptanceProperties {
     enum Step {
         RECORDED,
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplay.java
@@ -39,7 +39,10 @@
     private static final int EVENT_CHARACTERS = 70;
     private static final long STARTUP_MILLIS = 60;
     private static final long DUE_MILLIS = 18_000;
+
+    /** How long after the due time of its batch an item still counts as done in time. */
     private static final long READ_GRACE_MILLIS = 700;
+
     private static final HostId CALLERS = new HostId("callers");
 
     private final Random random;
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
@@ -13,9 +13,9 @@
 import org.gooseberryhill.decision.FakeKeyValue.Stored;
 
 /**
- * Models a batch and two hosts that may both believe they own it, on a key-value service that loses answers and that
- * applies writes late or never. Results once shown at a position are remembered and compared with all that is shown
- * there later.
+ * Models a batch and two hosts that may both believe they own it, on a key-value store that loses answers and that
+ * applies writes late or never. Records the result that was first shown at each position and compares it with all
+ * results that are shown there later.
  */
 final class BatchOwnershipModel {
     private static final String RECORD = "record";
