--- a/src/main/java/org/gooseberryhill/decision/job/EarliestDeadlineFairOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/job/EarliestDeadlineFairOrder.java
@@ -30,8 +30,8 @@
     }
 
     static boolean isUrgent(OwnedJob job, DispatchContext context) {
-        long leftMillis = job.record().dueMillis() - context.nowMillis();
+        long remainingMillis = job.record().dueMillis() - context.nowMillis();
         double neededMillis = job.remainingItems() * job.meanItemMillis() / Math.max(1, job.runningItems());
-        return neededMillis > URGENT_SHARE * leftMillis;
+        return neededMillis > URGENT_SHARE * remainingMillis;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/job/ItemSlot.java
+++ b/src/main/java/org/gooseberryhill/decision/job/LoadedItem.java
@@ -11,7 +11,7 @@
  * <p>Invariant: an item gets one completion, a line of JSON with its result or its permanent failure; reports of
  * hand-outs other than the latest have no effect.
  */
-final class ItemSlot {
+final class LoadedItem {
     /** Number of attempts that end in an error after which the item has failed permanently. */
     private static final int MAX_FAILURES = 3;
 
@@ -25,16 +25,16 @@
     private final String body;
     private Optional<HostId> holder = Optional.empty();
     private Optional<String> completion = Optional.empty();
-    private boolean failedForGood;
+    private boolean failedPermanently;
     private long handout;
     private long handedOutNanos;
     private Optional<Long> notBeforeNanos = Optional.empty();
     private int failures;
     private int crashes;
-    private String partial = "";
+    private String partialText = "";
     private int partialTokens;
 
-    ItemSlot(String body) {
+    LoadedItem(String body) {
         this.body = body;
     }
 
@@ -63,8 +63,8 @@
         return completion;
     }
 
-    boolean isFailedForGood() {
-        return failedForGood;
+    boolean isFailedPermanently() {
+        return failedPermanently;
     }
 
     boolean isSuspect() {
@@ -83,7 +83,7 @@
         holder = Optional.of(steward);
         handout = number;
         handedOutNanos = nowNanos;
-        return new WorkItem(job, index, fence, number, body, partial, partialTokens, isSuspect());
+        return new WorkItem(job, index, fence, number, body, partialText, partialTokens, isSuspect());
     }
 
     /** Ends the current hand-out without a report, because its steward is lost or has had the item for too long. */
@@ -112,7 +112,7 @@
 
     private void keepPartial(ItemOutcome outcome) {
         if (outcome.tokens() >= partialTokens) {
-            partial = outcome.text();
+            partialText = outcome.text();
             partialTokens = outcome.tokens();
         }
     }
@@ -129,7 +129,7 @@
     private void recordFailure(ItemOutcome outcome, long nowNanos, long backoffNanos) {
         failures++;
         // The partial text to continue from may have caused the failure, so the next attempt starts from scratch.
-        partial = "";
+        partialText = "";
         partialTokens = 0;
         notBeforeNanos = Optional.of(nowNanos + backoffNanos * failures);
         if (failures >= MAX_FAILURES) {
@@ -138,7 +138,7 @@
     }
 
     private void completeAsFailed(int index, String code, String message) {
-        failedForGood = true;
+        failedPermanently = true;
         completion = Optional.of(Json.text(Json.object()
                 .put("index", index)
                 .put("status", "failed")
--- a/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
@@ -41,7 +41,7 @@
     private final long fence;
     private final BitSet committedChunks = new BitSet();
     private final BitSet requestedChunks = new BitSet();
-    private final Map<Integer, List<ItemSlot>> loadedChunks = new TreeMap<>();
+    private final Map<Integer, List<LoadedItem>> loadedChunks = new TreeMap<>();
     private final WaitingItems waiting = new WaitingItems();
     private long lastHandout;
     private int completedItems;
@@ -134,9 +134,9 @@
         if (committedChunks.get(chunk) || loadedChunks.containsKey(chunk)) {
             return;
         }
-        loadedChunks.put(chunk, bodies.stream().map(ItemSlot::new).toList());
-        for (int place = 0; place < bodies.size(); place++) {
-            waiting.add(chunk * record.chunkItems() + place);
+        loadedChunks.put(chunk, bodies.stream().map(LoadedItem::new).toList());
+        for (int offset = 0; offset < bodies.size(); offset++) {
+            waiting.add(chunk * record.chunkItems() + offset);
         }
     }
 
@@ -152,23 +152,23 @@
             return Optional.empty();
         }
         runningItems++;
-        return findSlot(index.getAsInt())
-                .map(slot -> slot.handOut(key.path(), index.getAsInt(), fence, ++lastHandout, steward, nowNanos));
+        return findItem(index.getAsInt())
+                .map(item -> item.handOut(key.path(), index.getAsInt(), fence, ++lastHandout, steward, nowNanos));
     }
 
     /** Applies a report. Returns the chunk for commit if the report completed its last item. */
     public Optional<ChunkResult> report(ItemOutcome outcome, long nowNanos) {
-        Optional<ItemSlot> slot = stopped || outcome.fence() != fence ? Optional.empty() : findSlot(outcome.index());
-        if (slot.isEmpty() || !slot.get().applyReport(outcome, nowNanos, BACKOFF_NANOS)) {
+        Optional<LoadedItem> item = stopped || outcome.fence() != fence ? Optional.empty() : findItem(outcome.index());
+        if (item.isEmpty() || !item.get().applyReport(outcome, nowNanos, BACKOFF_NANOS)) {
             return Optional.empty();
         }
         runningItems--;
-        if (slot.get().completion().isEmpty()) {
-            enqueueAgain(outcome.index(), slot.get());
+        if (item.get().completion().isEmpty()) {
+            requeue(outcome.index(), item.get());
             return Optional.empty();
         }
         completedItems++;
-        updateMeanItemMillis(slot.get().millisSinceHandOut(nowNanos));
+        updateMeanItemMillis(item.get().millisSinceHandOut(nowNanos));
         return removeIfComplete(outcome.index() / record.chunkItems());
     }
 
@@ -182,13 +182,13 @@
         Set<HostId> holders = new TreeSet<>();
         loadedChunks
                 .values()
-                .forEach(slots -> slots.forEach(slot -> slot.holder().ifPresent(holders::add)));
+                .forEach(items -> items.forEach(item -> item.holder().ifPresent(holders::add)));
         return holders;
     }
 
     /** Makes the items of a lost steward wait again. */
     public void reclaimFromSteward(HostId steward) {
-        reclaimWhere(slot -> slot.isHeldBy(steward));
+        reclaimWhere(item -> item.isHeldBy(steward));
     }
 
     /**
@@ -198,19 +198,19 @@
      * such an item, and without this method the job would wait for it until the hand-out times out. The minimum age
      * excludes messages that are still on their way.
      *
-     * @param held the numbers of the hand-outs that the steward holds
+     * @param heldHandouts the numbers of the hand-outs that the steward holds
      */
-    public void reclaimMissing(HostId steward, Set<Long> held, long ageMillis, long nowNanos) {
+    public void reclaimMissing(HostId steward, Set<Long> heldHandouts, long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
-        reclaimWhere(slot -> slot.isHeldBy(steward)
-                && slot.isHandedOutLongerThan(ageNanos, nowNanos)
-                && !held.contains(slot.handout()));
+        reclaimWhere(item -> item.isHeldBy(steward)
+                && item.isHandedOutLongerThan(ageNanos, nowNanos)
+                && !heldHandouts.contains(item.handout()));
     }
 
     /** Reclaims items that were handed out more than the given time ago; late reports on them will be ignored. */
     public void reclaimOlderThan(long ageMillis, long nowNanos) {
         long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
-        reclaimWhere(slot -> slot.isRunning() && slot.isHandedOutLongerThan(ageNanos, nowNanos));
+        reclaimWhere(item -> item.isRunning() && item.isHandedOutLongerThan(ageNanos, nowNanos));
     }
 
     /** Stops the job on this host, because it was cancelled, lost to another owner or finished. */
@@ -226,35 +226,36 @@
     }
 
     private Optional<ChunkResult> removeIfComplete(int chunk) {
-        List<ItemSlot> slots = loadedChunks.get(chunk);
-        boolean complete = slots.stream().allMatch(slot -> slot.completion().isPresent());
+        List<LoadedItem> items = loadedChunks.get(chunk);
+        boolean complete = items.stream().allMatch(item -> item.completion().isPresent());
         if (!complete) {
             return Optional.empty();
         }
         loadedChunks.remove(chunk);
-        int failed = (int) slots.stream().filter(ItemSlot::isFailedForGood).count();
+        int failed =
+                (int) items.stream().filter(LoadedItem::isFailedPermanently).count();
         List<String> lines =
-                slots.stream().map(slot -> slot.completion().orElseThrow()).toList();
+                items.stream().map(item -> item.completion().orElseThrow()).toList();
         return Optional.of(new ChunkResult(chunk, lines, failed));
     }
 
-    private Optional<ItemSlot> findSlot(int index) {
-        List<ItemSlot> slots = loadedChunks.get(index / record.chunkItems());
-        int place = index % record.chunkItems();
-        return slots == null || place >= slots.size() ? Optional.empty() : Optional.of(slots.get(place));
+    private Optional<LoadedItem> findItem(int index) {
+        List<LoadedItem> items = loadedChunks.get(index / record.chunkItems());
+        int offset = index % record.chunkItems();
+        return items == null || offset >= items.size() ? Optional.empty() : Optional.of(items.get(offset));
     }
 
-    private void enqueueAgain(int index, ItemSlot slot) {
-        slot.notBeforeNanos().ifPresentOrElse(time -> waiting.addDelayed(index, time), () -> waiting.add(index));
+    private void requeue(int index, LoadedItem item) {
+        item.notBeforeNanos().ifPresentOrElse(time -> waiting.addDelayed(index, time), () -> waiting.add(index));
     }
 
-    private void reclaimWhere(Predicate<ItemSlot> condition) {
-        loadedChunks.forEach((chunk, slots) -> {
-            for (int place = 0; place < slots.size(); place++) {
-                if (condition.test(slots.get(place))) {
-                    slots.get(place).endHandOut();
+    private void reclaimWhere(Predicate<LoadedItem> condition) {
+        loadedChunks.forEach((chunk, items) -> {
+            for (int offset = 0; offset < items.size(); offset++) {
+                if (condition.test(items.get(offset))) {
+                    items.get(offset).endHandOut();
                     runningItems--;
-                    waiting.add(chunk * record.chunkItems() + place);
+                    waiting.add(chunk * record.chunkItems() + offset);
                 }
             }
         });
--- a/src/main/java/org/gooseberryhill/decision/job/WaitingItems.java
+++ b/src/main/java/org/gooseberryhill/decision/job/WaitingItems.java
@@ -35,8 +35,8 @@
     /** Removes and returns the lowest item index that may run now. */
     OptionalInt poll(long nowNanos) {
         promote(nowNanos);
-        Integer first = ready.pollFirst();
-        return first == null ? OptionalInt.empty() : OptionalInt.of(first);
+        Integer lowestIndex = ready.pollFirst();
+        return lowestIndex == null ? OptionalInt.empty() : OptionalInt.of(lowestIndex);
     }
 
     void clear() {
--- a/src/test/java/org/gooseberryhill/decision/job/JobModel.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobModel.java
@@ -48,7 +48,7 @@
         ModelHost host = hosts.get(random.nextInt(hosts.size()));
         switch (random.nextInt(faults ? 9 : 7)) {
             case 0 -> host.claim();
-            case 1, 2 -> host.takeItem();
+            case 1, 2 -> host.handOutItem();
             case 3, 4 -> host.report();
             case 5, 6 -> host.commit();
             case 7 -> store.delete(OWNER);
@@ -127,7 +127,7 @@
             owned = Optional.of(job);
         }
 
-        void takeItem() {
+        void handOutItem() {
             owned.ifPresent(job -> {
                 job.nextChunkToLoad().ifPresent(chunk -> {
                     List<String> bodies = new ArrayList<>();
--- a/src/test/java/org/gooseberryhill/decision/job/JobSubmissionTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobSubmissionTest.java
@@ -36,13 +36,14 @@
             }
         }
 
-        Optional<String> kept = store.peek(KEY).map(stored -> stored.value().bodyHash());
+        Optional<String> storedHash =
+                store.peek(KEY).map(stored -> stored.value().bodyHash());
         for (Submission submission : submissions) {
             if (submission.step == Step.ACCEPTED || submission.step == Step.SAME_JOB) {
-                assertThat(kept).contains(submission.hash);
+                assertThat(storedHash).contains(submission.hash);
             }
             if (submission.step == Step.CONFLICT) {
-                assertThat(kept).isPresent().isNotEqualTo(Optional.of(submission.hash));
+                assertThat(storedHash).isPresent().isNotEqualTo(Optional.of(submission.hash));
             }
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/OwnedJobTest.java
@@ -22,8 +22,8 @@
 
     @Test
     void aChunkIsReturnedForCommitWhenItsLastItemCompletes() {
-        WorkItem first = take();
-        WorkItem second = take();
+        WorkItem first = handOutItem();
+        WorkItem second = handOutItem();
 
         assertThat(report(first, ItemEnd.COMPLETED)).isEmpty();
         ChunkResult result = report(second, ItemEnd.COMPLETED).orElseThrow();
@@ -35,9 +35,9 @@
     /** The endpoint rejects one item permanently: that is the item's completion, and the rest of the job continues. */
     @Test
     void aRejectedItemCompletesAsFailed() {
-        report(take(), ItemEnd.REJECTED);
+        report(handOutItem(), ItemEnd.REJECTED);
 
-        ChunkResult result = report(take(), ItemEnd.COMPLETED).orElseThrow();
+        ChunkResult result = report(handOutItem(), ItemEnd.COMPLETED).orElseThrow();
 
         assertThat(result.failed()).isEqualTo(1);
         assertThat(result.lines().get(0)).contains("\"status\":\"failed\"").contains("rejected");
@@ -45,12 +45,12 @@
 
     @Test
     void anItemFailsPermanentlyAtItsThirdCrash() {
-        report(take(), ItemEnd.COMPLETED);
+        report(handOutItem(), ItemEnd.COMPLETED);
         for (int crash = 1; crash <= 2; crash++) {
-            assertThat(report(take(), ItemEnd.CRASHED)).isEmpty();
+            assertThat(report(handOutItem(), ItemEnd.CRASHED)).isEmpty();
             advanceOneSecond();
         }
-        WorkItem last = take();
+        WorkItem last = handOutItem();
 
         assertThat(last.suspect()).isTrue();
         assertThat(report(last, ItemEnd.CRASHED).orElseThrow().lines().get(1)).contains("crashed-endpoints");
@@ -62,10 +62,10 @@
      */
     @Test
     void aYieldedItemContinuesFromItsPartialText() {
-        WorkItem item = take();
+        WorkItem item = handOutItem();
         for (int i = 0; i < 10; i++) {
             job.report(new ItemOutcome(0, FENCE, item.handout(), ItemEnd.YIELDED, "so far", 2), nowNanos);
-            item = take();
+            item = handOutItem();
         }
 
         assertThat(item.partial()).isEqualTo("so far");
@@ -79,32 +79,33 @@
      */
     @Test
     void aFailedItemStartsFromScratch() {
-        WorkItem item = take();
+        WorkItem item = handOutItem();
         job.report(new ItemOutcome(0, FENCE, item.handout(), ItemEnd.YIELDED, "so far", 2), nowNanos);
-        report(take(), ItemEnd.FAILED);
+        report(handOutItem(), ItemEnd.FAILED);
         advanceOneSecond();
 
-        assertThat(take().partial()).isEmpty();
+        assertThat(handOutItem().partial()).isEmpty();
     }
 
     /** A steward was considered lost and its item runs elsewhere; the steward's late report must have no effect. */
     @Test
     void aReportOfAnEarlierHandOutHasNoEffect() {
-        WorkItem early = take();
+        WorkItem firstHandOut = handOutItem();
         job.reclaimFromSteward(STEWARD);
-        WorkItem again = take();
+        WorkItem secondHandOut = handOutItem();
 
-        assertThat(again.index()).isEqualTo(early.index());
-        report(early, ItemEnd.REJECTED);
-        report(again, ItemEnd.COMPLETED);
-        assertThat(report(take(), ItemEnd.COMPLETED).orElseThrow().failed()).isZero();
+        assertThat(secondHandOut.index()).isEqualTo(firstHandOut.index());
+        report(firstHandOut, ItemEnd.REJECTED);
+        report(secondHandOut, ItemEnd.COMPLETED);
+        assertThat(report(handOutItem(), ItemEnd.COMPLETED).orElseThrow().failed())
+                .isZero();
     }
 
     /** The answer that carried an item was lost: the steward does not hold the item, so it must wait again. */
     @Test
     void anItemThatItsStewardDoesNotHaveWaitsAgain() {
-        WorkItem lost = take();
-        WorkItem held = take();
+        WorkItem lost = handOutItem();
+        WorkItem held = handOutItem();
         advanceOneSecond();
 
         job.reclaimMissing(STEWARD, Set.of(held.handout()), 2000, nowNanos);
@@ -114,7 +115,7 @@
         job.reclaimMissing(STEWARD, Set.of(held.handout()), 2000, nowNanos);
 
         assertThat(job.runningItems()).isEqualTo(1);
-        assertThat(take().index()).isEqualTo(lost.index());
+        assertThat(handOutItem().index()).isEqualTo(lost.index());
     }
 
     /**
@@ -123,7 +124,7 @@
      */
     @Test
     void aReportUnderAnEarlierClaimHasNoEffect() {
-        WorkItem item = take();
+        WorkItem item = handOutItem();
 
         ItemOutcome old = new ItemOutcome(item.index(), FENCE - 1, item.handout(), ItemEnd.REJECTED, "", 0);
 
@@ -133,7 +134,7 @@
 
     @Test
     void afterAStopNothingIsHandedOutAndReportsHaveNoEffect() {
-        WorkItem item = take();
+        WorkItem item = handOutItem();
         job.stop();
 
         assertThat(job.handOutNext(STEWARD, nowNanos)).isEmpty();
@@ -179,12 +180,12 @@
     @Test
     void urgentJobsGoFirstAndOtherwiseCallersTakeTurns() {
         OwnedJobs ownedJobs = new OwnedJobs(new EarliestDeadlineFairOrder());
-        OwnedJob late = loaded(job("many", 8, 10_000_000));
-        OwnedJob other = loaded(job("few", 8, 20_000_000));
-        OwnedJob urgent = loaded(job("many", 8, 100));
-        ownedJobs.add(late);
-        ownedJobs.add(other);
-        ownedJobs.add(urgent);
+        OwnedJob jobOfBusyCaller = loaded(job("many", 8, 10_000_000));
+        OwnedJob jobOfOtherCaller = loaded(job("few", 8, 20_000_000));
+        OwnedJob urgentJobOfBusyCaller = loaded(job("many", 8, 100));
+        ownedJobs.add(jobOfBusyCaller);
+        ownedJobs.add(jobOfOtherCaller);
+        ownedJobs.add(urgentJobOfBusyCaller);
 
         List<WorkItem> items = ownedJobs.handOut("s", 12, STEWARD, 0, 0);
 
@@ -196,7 +197,7 @@
         return job.report(new ItemOutcome(item.index(), item.fence(), item.handout(), end, "text", 4), nowNanos);
     }
 
-    private WorkItem take() {
+    private WorkItem handOutItem() {
         loaded(job);
         return job.handOutNext(STEWARD, nowNanos).orElseThrow();
     }
--- a/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/WorkOffersTest.java
@@ -26,14 +26,14 @@
      */
     @Test
     void manyYieldsInABurstMakeFewOffers() {
-        int made = 0;
+        int sentOffers = 0;
         for (int milli = 0; milli < 1000; milli++) {
             if (offers.recordWaiting("s", milli * NANOS_PER_MILLI)) {
-                made++;
+                sentOffers++;
             }
             offers.recordNoneWaiting("s");
         }
 
-        assertThat(made).isEqualTo(4);
+        assertThat(sentOffers).isEqualTo(4);
     }
 }
