--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
@@ -58,9 +58,9 @@
      * @return whether the copies are to be requested
      */
     public boolean requestCopies(int hosts) {
-        boolean suffice = !answered && hosts >= copiesNeeded;
-        copiesRequested |= suffice;
-        return suffice;
+        boolean shouldRequest = !answered && hosts >= copiesNeeded;
+        copiesRequested |= shouldRequest;
+        return shouldRequest;
     }
 
     /** Records that the key-value store has the record; returns whether the caller is to be answered now. */
@@ -85,8 +85,8 @@
     }
 
     private boolean markAnswered() {
-        boolean first = !answered;
+        boolean newlyAnswered = !answered;
         answered = true;
-        return first;
+        return newlyAnswered;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/EarliestDueOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/EarliestDueOrder.java
@@ -7,9 +7,9 @@
  * Orders items by the due time of their batch and, among equal ones, those with output first; the baseline to compare
  * other orders with. Stateless.
  */
-public final class SubmissionOrder implements ItemOrder {
+public final class EarliestDueOrder implements ItemOrder {
     private static final Comparator<DueItem> ORDER = Comparator.comparingLong(DueItem::untilDueMillis)
-            .thenComparing(due -> !due.item().hasOutput());
+            .thenComparing(dueItem -> !dueItem.item().hasOutput());
 
     @Override
     public List<DueItem> sorted(List<DueItem> items) {
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/FeasibleFirstOrder.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/FeasibleFirstOrder.java
@@ -14,14 +14,14 @@
  */
 public final class FeasibleFirstOrder implements ItemOrder {
     private static final Comparator<DueItem> ORDER =
-            Comparator.comparing((DueItem due) -> !due.isFeasible()).thenComparing(FeasibleFirstOrder::rank);
+            Comparator.comparing((DueItem dueItem) -> !dueItem.isFeasible()).thenComparing(FeasibleFirstOrder::rank);
 
     @Override
     public List<DueItem> sorted(List<DueItem> items) {
         return items.stream().sorted(ORDER).toList();
     }
 
-    private static double rank(DueItem due) {
-        return due.isFeasible() ? due.slackMillis() : due.untilDueMillis();
+    private static double rank(DueItem dueItem) {
+        return dueItem.isFeasible() ? dueItem.slackMillis() : dueItem.untilDueMillis();
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemDispatch.java
@@ -44,7 +44,7 @@
     private final YieldGracePeriod yieldGracePeriod = new YieldGracePeriod();
     private final ItemStartPause pause = new ItemStartPause();
     private final RunTimeEstimator runTimeEstimator = new RunTimeEstimator();
-    private final Map<EndpointKey, List<PlacedItem>> placed = new TreeMap<>();
+    private final Map<EndpointKey, List<PlacedItem>> runsByEndpoint = new TreeMap<>();
 
     /** Creates a dispatch of the items of one host to the endpoints that this host knows. */
     public ItemDispatch(HostId self, Fleet fleet, BatchRoutes routes, ItemOrder order, ItemPlacement placement) {
@@ -57,7 +57,7 @@
 
     /** Returns the number of running items. */
     public int runningCount() {
-        return placed.values().stream().mapToInt(List::size).sum();
+        return runsByEndpoint.values().stream().mapToInt(List::size).sum();
     }
 
     /** Starts runs on free slots and returns them, already counted as in flight. */
@@ -80,11 +80,11 @@
      */
     public List<PlacedItem> chooseRunsToYield(long nowNanos, long nowMillis) {
         List<PlacedItem> yielding = new ArrayList<>();
-        placed.forEach((key, runs) -> fleet.find(key).ifPresent(endpoint -> {
-            int share = yieldGracePeriod.itemsToYield(key, fleet.yieldShare(endpoint, self), nowNanos);
-            if (share > 0) {
+        runsByEndpoint.forEach((key, runs) -> fleet.find(key).ifPresent(endpoint -> {
+            int yieldCount = yieldGracePeriod.itemsToYield(key, fleet.yieldShare(endpoint, self), nowNanos);
+            if (yieldCount > 0) {
                 pause.itemsYielded(key, nowNanos);
-                yielding.addAll(lastInOrder(runs, Math.min(share, runs.size()), nowMillis));
+                yielding.addAll(lastInOrder(runs, Math.min(yieldCount, runs.size()), nowMillis));
             }
         }));
         return yielding;
@@ -99,16 +99,16 @@
 
     /** Returns all runs. */
     public List<PlacedItem> allRuns() {
-        return placed.values().stream().flatMap(List::stream).toList();
+        return runsByEndpoint.values().stream().flatMap(List::stream).toList();
     }
 
     /** Records the end of a run. */
     public void runEnded(PlacedItem run, RunEnd end, AttemptEnd attemptEnd, long nowNanos) {
         EndpointKey key = run.endpoint().key();
-        List<PlacedItem> runs = placed.get(key);
+        List<PlacedItem> runs = runsByEndpoint.get(key);
         runs.remove(run);
         if (runs.isEmpty()) {
-            placed.remove(key);
+            runsByEndpoint.remove(key);
         }
         fleet.batchEnded(key);
         fleet.attemptEnded(key, attemptEnd, nowNanos);
@@ -124,31 +124,31 @@
     private List<PlacedItem> place(List<DueItem> items, long nowNanos) {
         List<PlacedItem> started = new ArrayList<>();
         Map<Route, List<FleetEndpoint>> endpointsByRoute = new IdentityHashMap<>();
-        Set<String> exhausted = new HashSet<>();
-        for (DueItem due : items) {
-            Route route = routes.of(due.batch()).orElseThrow();
-            boolean urgent =
-                    due.isFeasible() && due.slackMillis() < URGENT_SLACK_RUNS * runTimeEstimator.fullRunMillis();
+        Set<String> exhaustedSlotClasses = new HashSet<>();
+        for (DueItem dueItem : items) {
+            Route route = routes.of(dueItem.batch()).orElseThrow();
+            boolean urgent = dueItem.isFeasible()
+                    && dueItem.slackMillis() < URGENT_SLACK_RUNS * runTimeEstimator.fullRunMillis();
             String slotClass = route.name() + (urgent ? " urgent" : "");
-            if (exhausted.contains(slotClass)) {
+            if (exhaustedSlotClasses.contains(slotClass)) {
                 continue;
             }
             List<FleetEndpoint> endpoints = endpointsByRoute.computeIfAbsent(route, key -> endpoints(key, nowNanos));
             Optional<FleetEndpoint> endpoint = placement.choose(endpoints, urgent, nowNanos);
             if (endpoint.isEmpty()) {
-                exhausted.add(slotClass);
+                exhaustedSlotClasses.add(slotClass);
             } else {
-                started.add(placeAt(endpoint.get(), due, urgent, nowNanos));
+                started.add(placeAt(endpoint.get(), dueItem, urgent, nowNanos));
             }
         }
         return started;
     }
 
-    private PlacedItem placeAt(FleetEndpoint endpoint, DueItem due, boolean urgent, long nowNanos) {
-        PlacedItem run = new PlacedItem(due, endpoint.entry(), urgent, nowNanos);
-        placed.computeIfAbsent(endpoint.key(), key -> new ArrayList<>()).add(run);
+    private PlacedItem placeAt(FleetEndpoint endpoint, DueItem dueItem, boolean urgent, long nowNanos) {
+        PlacedItem run = new PlacedItem(dueItem, endpoint.entry(), urgent, nowNanos);
+        runsByEndpoint.computeIfAbsent(endpoint.key(), key -> new ArrayList<>()).add(run);
         fleet.batchStarted(endpoint.key());
-        due.batch().runStarted(due.item());
+        dueItem.batch().runStarted(dueItem.item());
         return run;
     }
 
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/ItemProgress.java
@@ -86,8 +86,8 @@
     }
 
     boolean mayStart(long nowNanos) {
-        boolean due = notBeforeNanos.isEmpty() || nowNanos - notBeforeNanos.get() >= 0;
-        return !running && result.isEmpty() && due;
+        boolean delayElapsed = notBeforeNanos.isEmpty() || nowNanos - notBeforeNanos.get() >= 0;
+        return !running && result.isEmpty() && delayElapsed;
     }
 
     void runStarted() {
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OutboxTiming.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OutboxTiming.java
@@ -65,10 +65,10 @@
     /**
      * Returns whether a copy is too old for its record to be created.
      *
-     * @param keptMillis the age of the copy by the wall clock of the host that holds it, since the monotonic clock
+     * @param ageMillis the age of the copy by the wall clock of the host that holds it, since the monotonic clock
      *     restarts with the process
      */
-    public boolean isExpired(long keptMillis) {
-        return keptMillis > retentionMillis;
+    public boolean isExpired(long ageMillis) {
+        return ageMillis > retentionMillis;
     }
 }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
@@ -253,8 +253,11 @@
 
     /** Returns an item whose result is not committed yet; empty for any other id. */
     public Optional<BatchItem> uncommittedItem(String itemId) {
-        boolean listed = committed.stream().anyMatch(result -> result.id().equals(itemId));
-        return Optional.ofNullable(items.get(itemId)).filter(item -> !listed).map(ItemProgress::item);
+        boolean hasCommittedResult =
+                committed.stream().anyMatch(result -> result.id().equals(itemId));
+        return Optional.ofNullable(items.get(itemId))
+                .filter(item -> !hasCommittedResult)
+                .map(ItemProgress::item);
     }
 
     private void handleCut(ItemProgress item, long nowNanos) {
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
@@ -19,13 +19,13 @@
      * The time after which a missing process that was never seen alive counts as lost: longer than a new host takes to
      * be listed, and longer than the list may lag behind.
      */
-    private static final long UNKNOWN_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
+    private static final long NEVER_SEEN_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
 
     /**
      * The time after which a missing process that was seen alive counts as lost. It can't be too new for the list.
      * Hosts send each other a heartbeat every second, so the time covers one more heartbeat.
      */
-    private static final long KNOWN_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(1200);
+    private static final long SEEN_ALIVE_LOST_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(1200);
 
     /**
      * The time after which the earlier process of a restarted host counts as lost: the host takes over its own batches,
@@ -98,7 +98,7 @@
     }
 
     private boolean isMissingTooLong(MissingProcess process, long nowNanos) {
-        long lostAfterNanos = process.seenAlive ? KNOWN_LOST_AFTER_NANOS : UNKNOWN_LOST_AFTER_NANOS;
+        long lostAfterNanos = process.seenAlive ? SEEN_ALIVE_LOST_AFTER_NANOS : NEVER_SEEN_LOST_AFTER_NANOS;
         if (liveStartByHost.containsKey(process.host)) {
             lostAfterNanos = RESTARTED_LOST_AFTER_NANOS;
         }
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/PlacedItem.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/PlacedItem.java
@@ -13,16 +13,16 @@
     private final double slackMillis;
     private final boolean urgent;
     private final long startedNanos;
-    private final int startCharacters;
+    private final int charactersAtStart;
 
-    PlacedItem(DueItem due, EndpointEntry endpoint, boolean urgent, long startedNanos) {
-        this.batch = due.batch();
-        this.item = due.item();
+    PlacedItem(DueItem dueItem, EndpointEntry endpoint, boolean urgent, long startedNanos) {
+        this.batch = dueItem.batch();
+        this.item = dueItem.item();
         this.endpoint = endpoint;
-        this.slackMillis = due.slackMillis();
+        this.slackMillis = dueItem.slackMillis();
         this.urgent = urgent;
         this.startedNanos = startedNanos;
-        this.startCharacters = item.characterCount();
+        this.charactersAtStart = item.characterCount();
     }
 
     /** Returns the batch of the item. */
@@ -57,6 +57,6 @@
 
     /** Returns the number of characters that this run has generated. */
     int newCharacters() {
-        return item.characterCount() - startCharacters;
+        return item.characterCount() - charactersAtStart;
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchAcceptanceProperties.java
@@ -25,33 +25,33 @@
     @Property
     void callerGetsOneAnswerAndAConfirmationOnlyForADurableBatch(
             @ForAll @Size(max = 12) List<Step> steps,
-            @ForAll @IntRange(min = 1, max = 3) int needed,
+            @ForAll @IntRange(min = 1, max = 3) int copiesNeeded,
             @ForAll @IntRange(max = 4) int hosts) {
-        BatchAcceptance acceptance = new BatchAcceptance(needed);
+        BatchAcceptance acceptance = new BatchAcceptance(copiesNeeded);
         int answers = 0;
-        int kept = 0;
+        int storedCopies = 0;
         boolean recorded = false;
-        boolean asked = false;
+        boolean copiesRequested = false;
         for (Step step : steps) {
             boolean confirmed = false;
             if (step == Step.RECORDED) {
                 recorded = true;
                 confirmed = acceptance.recorded();
             } else if (step == Step.COPIES_ASKED) {
-                asked |= acceptance.requestCopies(hosts);
-            } else if (step == Step.COPY_KEPT && asked) {
-                kept++;
+                copiesRequested |= acceptance.requestCopies(hosts);
+            } else if (step == Step.COPY_KEPT && copiesRequested) {
+                storedCopies++;
                 confirmed = acceptance.copyStored();
             } else if (step == Step.GIVEN_UP && !acceptance.isAnswered()) {
                 Outcome outcome = acceptance.giveUp(recorded);
                 answers++;
-                if (asked) {
+                if (copiesRequested) {
                     assertThat(outcome).isEqualTo(Outcome.MAY_HAVE_RUN);
                 }
             }
             if (confirmed) {
                 answers++;
-                assertThat(recorded || kept >= needed).isTrue();
+                assertThat(recorded || storedCopies >= copiesNeeded).isTrue();
             }
             assertThat(answers).isEqualTo(acceptance.isAnswered() ? 1 : 0);
         }
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplayTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchLoadReplayTest.java
@@ -38,11 +38,11 @@
     /** A burst exceeds what the slots can do in time: items that can no longer be in time must not make others late. */
     @Test
     void feasibleFirstOrderKeepsMoreItemsOnTimeInABurst() {
-        double bySubmission = mean(SubmissionOrder::new, BatchLoadReplayTest::burst);
+        double earliestDueFirst = mean(EarliestDueOrder::new, BatchLoadReplayTest::burst);
         double feasibleFirst = mean(FeasibleFirstOrder::new, BatchLoadReplayTest::burst);
-        System.out.printf("rush: by submission %.3f, feasible first %.3f on time%n", bySubmission, feasibleFirst);
+        System.out.printf("rush: by submission %.3f, feasible first %.3f on time%n", earliestDueFirst, feasibleFirst);
 
-        assertThat(feasibleFirst).isGreaterThan(bySubmission + 0.02);
+        assertThat(feasibleFirst).isGreaterThan(earliestDueFirst + 0.02);
     }
 
     private static void lossOfAllHosts(BatchLoadReplay replay, boolean saved) {
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
@@ -69,9 +69,9 @@
     @SuppressWarnings("unchecked")
     private List<ItemResult> committed(BatchRecord record) {
         List<ItemResult> results = new ArrayList<>();
-        for (int first : record.chunks()) {
+        for (int firstPosition : record.chunks()) {
             results.addAll((List<ItemResult>)
-                    store.peek("results/" + first).orElseThrow().value());
+                    store.peek("results/" + firstPosition).orElseThrow().value());
         }
         return results;
     }
@@ -81,7 +81,7 @@
         private final String name;
         private int process;
         private Optional<OwnedBatch> batch = Optional.empty();
-        private Optional<RecordWrite> writing = Optional.empty();
+        private Optional<RecordWrite> pendingWrite = Optional.empty();
         private BatchRecord intended;
         private List<ItemResult> results = List.of();
         private boolean writesResults;
@@ -92,7 +92,7 @@
         }
 
         void takeOver() {
-            if (batch.isPresent() || writing.isPresent() || record().isFinished()) {
+            if (batch.isPresent() || pendingWrite.isPresent() || record().isFinished()) {
                 return;
             }
             Optional<Optional<Stored<Object>>> read = store.read(RECORD);
@@ -117,7 +117,7 @@
         }
 
         void commit() {
-            if (writing.isPresent()) {
+            if (pendingWrite.isPresent()) {
                 sendWrite();
             } else if (batch.isPresent() && batch.get().hasUncommitted()) {
                 List<ItemResult> chunk = batch.get().beginCommit(NO_LIMIT);
@@ -133,9 +133,9 @@
             batch.ifPresent(owned -> {
                 List<ItemResult> page = owned.page(0, NO_LIMIT).results();
                 for (int position = 0; position < page.size(); position++) {
-                    String before = shownIdsByPosition.putIfAbsent(
+                    String earlierId = shownIdsByPosition.putIfAbsent(
                             position, page.get(position).id());
-                    assertThat(before).isIn(null, page.get(position).id());
+                    assertThat(earlierId).isIn(null, page.get(position).id());
                 }
             });
         }
@@ -145,7 +145,7 @@
             results = chunk;
             writesResults = isCommit;
             expectedRevision = revision;
-            writing = Optional.of(new RecordWrite(record));
+            pendingWrite = Optional.of(new RecordWrite(record));
             sendWrite();
         }
 
@@ -157,10 +157,10 @@
             }
             Optional<Boolean> answer = store.write(List.of(Condition.modifiedAt(RECORD, expectedRevision)), writes);
             if (answer.isEmpty()) {
-                assertThat(writing.orElseThrow().writeUnanswered()).isEqualTo(RecordWrite.Step.WRITE);
+                assertThat(pendingWrite.orElseThrow().writeUnanswered()).isEqualTo(RecordWrite.Step.WRITE);
                 return;
             }
-            if (writing.orElseThrow().written(answer.get()) == RecordWrite.Step.DONE) {
+            if (pendingWrite.orElseThrow().written(answer.get()) == RecordWrite.Step.DONE) {
                 finishWrite();
                 return;
             }
@@ -169,16 +169,16 @@
                 return;
             }
             Optional<BatchRecord> found = read.get().map(stored -> (BatchRecord) stored.value());
-            if (writing.orElseThrow().read(found) == RecordWrite.Step.DONE) {
+            if (pendingWrite.orElseThrow().read(found) == RecordWrite.Step.DONE) {
                 finishWrite();
             } else {
-                writing = Optional.empty();
+                pendingWrite = Optional.empty();
                 batch = Optional.empty();
             }
         }
 
         private void finishWrite() {
-            writing = Optional.empty();
+            pendingWrite = Optional.empty();
             long revision = store.peek(RECORD).orElseThrow().modRevision();
             boolean superseded = !record().equals(intended);
             if (superseded) {
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OutboxTimingTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void hostBeingEmptiedCreatesTheRecordAtOnce() {
+    void evacuatedHostCreatesTheRecordAtOnce() {
         timing.copyAdded("a", at(0));
 
         timing.makeDueNow("a", at(100));
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
@@ -16,11 +16,11 @@
 
     @Test
     void resultIsVisibleOnlyAfterItsCommitAndKeepsItsPosition() {
-        BatchFixture.run(batch, first(), 2);
+        BatchFixture.run(batch, firstStartableItem(), 2);
         assertThat(batch.page(0, NO_LIMIT).results()).isEmpty();
 
         commit();
-        BatchFixture.run(batch, first(), 1);
+        BatchFixture.run(batch, firstStartableItem(), 1);
         commit();
 
         assertThat(batch.page(0, NO_LIMIT).results()).extracting(ItemResult::id).containsExactly("i0", "i1");
@@ -34,7 +34,7 @@
      */
     @Test
     void cutRunIsResumedAfterItsLastEvent() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         batch.runStarted(item);
         BatchFixture.events(item, 2);
         batch.runEnded(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
@@ -54,7 +54,7 @@
      */
     @Test
     void cutRunWithoutEventIdsStartsFromTheBeginning() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         batch.runStarted(item);
         item.appendEvent(Optional.empty(), "a");
         batch.runEnded(item, RunEnd.CUT, MAX_ATTEMPTS, nowNanos);
@@ -69,7 +69,7 @@
 
     @Test
     void itemIsGivenUpAfterAsManyErrorAnswersAsItsRouteAllowsAndNotBefore() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
             assertThat(item.result()).isEmpty();
             batch.runStarted(item);
@@ -80,7 +80,7 @@
 
     @Test
     void rejectedItemIsGivenUpAtOnce() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         batch.runStarted(item);
         batch.runEnded(item, RunEnd.REJECTED, MAX_ATTEMPTS, nowNanos);
 
@@ -93,7 +93,7 @@
      */
     @Test
     void itemIsNeverGivenUpForCutsRefusalsOrYields() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         for (int i = 0; i < 50; i++) {
             batch.runStarted(item);
             batch.runEnded(
@@ -109,7 +109,7 @@
      */
     @Test
     void itemWhoseRunsProduceNoOutputGetsIncreasingPauses() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         int starts = 0;
         long endNanos = nowNanos + TimeUnit.SECONDS.toNanos(30);
         while (nowNanos < endNanos) {
@@ -133,24 +133,24 @@
     /** A write was not answered, and more results were added meanwhile: its repetition must have the same content. */
     @Test
     void pendingCommitDoesNotChangeWhenMoreItemsComplete() {
-        BatchFixture.run(batch, first(), 1);
-        List<ItemResult> once = batch.beginCommit(NO_LIMIT);
-        BatchFixture.run(batch, first(), 1);
+        BatchFixture.run(batch, firstStartableItem(), 1);
+        List<ItemResult> pendingCommit = batch.beginCommit(NO_LIMIT);
+        BatchFixture.run(batch, firstStartableItem(), 1);
 
-        assertThat(batch.beginCommit(NO_LIMIT)).isEqualTo(once);
+        assertThat(batch.beginCommit(NO_LIMIT)).isEqualTo(pendingCommit);
     }
 
     @Test
     void commitIsLimitedInCharactersButHasAtLeastOneResult() {
-        BatchFixture.run(batch, first(), 2);
-        BatchFixture.run(batch, first(), 2);
+        BatchFixture.run(batch, firstStartableItem(), 2);
+        BatchFixture.run(batch, firstStartableItem(), 2);
 
         assertThat(batch.beginCommit(1)).hasSize(1);
     }
 
     @Test
     void nextOwnerResumesItemsFromTheirCheckpoints() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         batch.runStarted(item);
         BatchFixture.events(item, 4);
         batch.runEnded(item, RunEnd.YIELDED, MAX_ATTEMPTS, nowNanos);
@@ -166,7 +166,7 @@
     @Test
     void outputIsUnsavedProgressUntilItIsSaved() {
         assertThat(batch.hasUnsavedProgress()).isFalse();
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         batch.runStarted(item);
         BatchFixture.events(item, 2);
         assertThat(batch.hasUnsavedProgress()).isTrue();
@@ -196,7 +196,7 @@
 
     @Test
     void pageHasAtLeastOneResultHoweverLargeItIs() {
-        BatchFixture.run(batch, first(), 500);
+        BatchFixture.run(batch, firstStartableItem(), 500);
         commit();
 
         assertThat(batch.page(0, 10).results()).hasSize(1);
@@ -205,13 +205,13 @@
     @Test
     void itemIsAvailableUntilItsResultIsCommitted() {
         assertThat(batch.uncommittedItem("i0")).isPresent();
-        BatchFixture.run(batch, first(), 1);
+        BatchFixture.run(batch, firstStartableItem(), 1);
         assertThat(batch.uncommittedItem("i0")).isPresent();
         commit();
         assertThat(batch.uncommittedItem("i0")).isEmpty();
     }
 
-    private ItemProgress first() {
+    private ItemProgress firstStartableItem() {
         return batch.startableItems(nowNanos).get(0);
     }
 
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/SaveTimingTest.java
@@ -14,7 +14,7 @@
 
     @Test
     void nothingIsDueBeforeAnItemHasOutput() {
-        batch.runStarted(first());
+        batch.runStarted(firstStartableItem());
 
         assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isFalse();
         assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(60_000))).isFalse();
@@ -22,7 +22,7 @@
 
     @Test
     void resultsAreWrittenAfterADelay() {
-        BatchFixture.run(batch, first(), 1);
+        BatchFixture.run(batch, firstStartableItem(), 1);
 
         assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isFalse();
         assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(1400))).isFalse();
@@ -35,7 +35,7 @@
      */
     @Test
     void resultsAreWrittenAtOnceNearTheDueTime() {
-        BatchFixture.run(batch, first(), 1);
+        BatchFixture.run(batch, firstStartableItem(), 1);
 
         assertThat(timing.isDue(batch, false, OptionalLong.of(2600), at(0))).isFalse();
         assertThat(timing.isDue(batch, false, OptionalLong.of(1000), at(0))).isTrue();
@@ -46,7 +46,7 @@
     @Test
     void lastResultsOfABatchAreWrittenAtOnce() {
         for (int item = 0; item < 3; item++) {
-            BatchFixture.run(batch, first(), 1);
+            BatchFixture.run(batch, firstStartableItem(), 1);
         }
 
         assertThat(timing.isDue(batch, false, FAR_FROM_DUE, at(0))).isTrue();
@@ -54,7 +54,7 @@
 
     @Test
     void stoppingHostWritesResultsAtOnceAndNoProgress() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         batch.runStarted(item);
         BatchFixture.events(item, 3);
         assertThat(timing.isDue(batch, true, FAR_FROM_DUE, at(0))).isFalse();
@@ -70,7 +70,7 @@
      */
     @Test
     void progressIsWrittenEveryTwoSeconds() {
-        ItemProgress item = first();
+        ItemProgress item = firstStartableItem();
         batch.runStarted(item);
         int saves = 0;
         for (int millis = 0; millis < 10_000; millis += 25) {
@@ -85,7 +85,7 @@
         assertThat(saves).isEqualTo(4);
     }
 
-    private ItemProgress first() {
+    private ItemProgress firstStartableItem() {
         return batch.startableItems(0).get(0);
     }
 
