--- a/src/main/java/org/gooseberryhill/decision/configuration/ActiveConfiguration.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ActiveConfiguration.java
@@ -33,17 +33,17 @@
         if (newRevision <= revision) {
             return Offer.NOT_NEWER;
         }
-        Either<List<Finding>, Configuration> read = ConfigurationReader.read("configuration", newText);
-        if (read.isLeft()) {
+        Either<List<Finding>, Configuration> parsed = ConfigurationReader.read("configuration", newText);
+        if (parsed.isLeft()) {
             // The command line validates texts before it applies them, so this one was written in another way. Serving
             // continues with the last valid text. The revision stays, so that a corrected text is applied in
             // whatever order it arrives.
-            findings = read.getLeft();
+            findings = parsed.getLeft();
             return Offer.INVALID;
         }
         revision = newRevision;
         text = newText;
-        configuration = read.get();
+        configuration = parsed.get();
         findings = List.of();
         return Offer.APPLIED;
     }
--- a/src/main/java/org/gooseberryhill/decision/configuration/TextChange.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/TextChange.java
@@ -24,17 +24,19 @@
     public static TextChange between(String oldText, String newText) {
         List<String> oldLines = lines(oldText);
         List<String> newLines = lines(newText);
-        int shorter = Math.min(oldLines.size(), newLines.size());
-        int begin = 0;
-        while (begin < shorter && oldLines.get(begin).equals(newLines.get(begin))) {
-            begin++;
+        int minLines = Math.min(oldLines.size(), newLines.size());
+        int prefixLines = 0;
+        while (prefixLines < minLines && oldLines.get(prefixLines).equals(newLines.get(prefixLines))) {
+            prefixLines++;
         }
-        int end = 0;
-        while (end < shorter - begin
-                && oldLines.get(oldLines.size() - 1 - end).equals(newLines.get(newLines.size() - 1 - end))) {
-            end++;
+        int suffixLines = 0;
+        while (suffixLines < minLines - prefixLines
+                && oldLines.get(oldLines.size() - 1 - suffixLines)
+                        .equals(newLines.get(newLines.size() - 1 - suffixLines))) {
+            suffixLines++;
         }
-        return new TextChange(begin, end, newLines.subList(begin, newLines.size() - end), hash(newText));
+        return new TextChange(
+                prefixLines, suffixLines, newLines.subList(prefixLines, newLines.size() - suffixLines), hash(newText));
     }
 
     /** Returns the new text; empty if the change was not made from the given text. */
--- a/src/main/java/org/gooseberryhill/decision/lease/LeaseGuard.java
+++ b/src/main/java/org/gooseberryhill/decision/lease/LeaseGuard.java
@@ -31,10 +31,10 @@
      * @param sentNanos the time just before the request was sent
      */
     public void renewed(long id, long sentNanos, long ttlMillis) {
-        long until = sentNanos + TimeUnit.MILLISECONDS.toNanos(ttlMillis) - marginNanos;
+        long newValidUntilNanos = sentNanos + TimeUnit.MILLISECONDS.toNanos(ttlMillis) - marginNanos;
         boolean sameLease = leaseId.equals(Optional.of(id));
         // Answers may arrive out of order; an older one must not shorten the validity that a newer one granted.
-        validUntilNanos = sameLease ? Math.max(validUntilNanos, until) : until;
+        validUntilNanos = sameLease ? Math.max(validUntilNanos, newValidUntilNanos) : newValidUntilNanos;
         leaseId = Optional.of(id);
     }
 
--- a/src/main/java/org/gooseberryhill/decision/membership/Membership.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/Membership.java
@@ -27,7 +27,7 @@
     private static final int RUMOR_REPEATS_PER_DOUBLING = 3;
 
     /** The interval at which each suspect is probed. */
-    private static final long SUSPECT_PROBE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long SUSPECT_PROBE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final HostId self;
     private final MembershipSettings settings;
@@ -54,12 +54,12 @@
             if (host.id().equals(self)) {
                 continue;
             }
-            Peer known = peers.get(host.id());
-            if (known == null) {
+            Peer peer = peers.get(host.id());
+            if (peer == null) {
                 peers.put(host.id(), new Peer(host, nowNanos));
                 version++;
-            } else if (!known.host.equals(host)) {
-                known.updateHost(host);
+            } else if (!peer.host.equals(host)) {
+                peer.updateHost(host);
                 version++;
             }
         }
@@ -98,7 +98,7 @@
      */
     private void probeSuspects(long nowNanos, MembershipCommands commands) {
         for (Peer peer : peers.values()) {
-            boolean due = nowNanos - peer.lastSuspectProbeNanos >= SUSPECT_PROBE_NANOS;
+            boolean due = nowNanos - peer.lastSuspectProbeNanos >= SUSPECT_PROBE_INTERVAL_NANOS;
             if (peer.state == HostState.SUSPECT && due) {
                 peer.lastSuspectProbeNanos = nowNanos;
                 commands.probe(peer.host, incarnation, rumorsFor(peer.host.id()));
--- a/src/test/java/org/gooseberryhill/decision/configuration/ActiveConfigurationTest.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ActiveConfigurationTest.java
@@ -50,11 +50,11 @@
         }
         Collections.shuffle(offers, new Random(seed));
         ActiveConfiguration host = new ActiveConfiguration();
-        long before = 0;
+        long previousRevision = 0;
         for (int revision : offers) {
             host.offer(revision, text("r" + revision));
-            assertThat(host.revision()).isGreaterThanOrEqualTo(before);
-            before = host.revision();
+            assertThat(host.revision()).isGreaterThanOrEqualTo(previousRevision);
+            previousRevision = host.revision();
         }
 
         assertThat(host.configuration().models()).containsOnlyKeys("r10");
--- a/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void aListedHostIsAliveBeforeItWasHeard() {
-        list(0, "self", "a");
+        updateListedHosts(0, "self", "a");
 
         assertThat(roster.liveProcessStarts(at(60_000)))
                 .containsEntry("a", "a1")
@@ -40,9 +40,9 @@
         List.of("a", "b").forEach(id -> entries.add(new ListedHost(host(id), id + "1")));
         List.of("x", "y", "z").forEach(id -> entries.add(new ListedHost(host(id, Role.STORE), id + "1")));
         roster.updateListedHosts(entries, at(0));
-        hear(A, 0);
-        hear(B, 0);
-        hear(A, 6000);
+        recordReport(A, 0);
+        recordReport(B, 0);
+        recordReport(A, 6000);
 
         assertThat(roster.stores()).extracting(host -> host.id().value()).containsExactly("x", "y", "z");
         assertThat(roster.gateways(at(6000))).extracting(Host::id).containsExactly(A, B);
@@ -55,10 +55,10 @@
      */
     @Test
     void aHostThatDisappearedFromTheListIsAliveWhileItIsHeard() {
-        list(0, "self", "a", "b");
-        hear(A, 0);
-        list(100);
-        hear(A, 1000);
+        updateListedHosts(0, "self", "a", "b");
+        recordReport(A, 0);
+        updateListedHosts(100);
+        recordReport(A, 1000);
 
         assertThat(roster.liveProcessStarts(at(1500))).containsEntry("a", "a1").doesNotContainKey("b");
         assertThat(roster.find(A, at(1500))).isPresent();
@@ -71,13 +71,13 @@
      */
     @Test
     void aHostThatDisappearedFromTheListAndBecameSilentIsLost() {
-        list(0, "self", "a", "b");
-        hear(A, 0);
-        hear(B, 0);
-        list(500, "self", "b");
+        updateListedHosts(0, "self", "a", "b");
+        recordReport(A, 0);
+        recordReport(B, 0);
+        updateListedHosts(500, "self", "b");
 
         for (int millis = 1000; millis <= 10_000; millis += 1000) {
-            hear(B, millis);
+            recordReport(B, millis);
             roster.takeNewlySilent(at(millis));
         }
         assertThat(roster.liveProcessStarts(at(10_000))).doesNotContainKey("a").containsEntry("b", "b1");
@@ -90,10 +90,10 @@
      */
     @Test
     void aListedHostThatIsSilentForLongIsLostWhileMostAreHeard() {
-        list(0, "self", "a", "b");
-        hear(A, 0);
-        hear(B, 0);
-        hear(B, 4000);
+        updateListedHosts(0, "self", "a", "b");
+        recordReport(A, 0);
+        recordReport(B, 0);
+        recordReport(B, 4000);
 
         assertThat(roster.liveProcessStarts(at(4900))).containsKey("a");
         assertThat(roster.liveProcessStarts(at(5100))).doesNotContainKey("a").containsKey("b");
@@ -102,16 +102,16 @@
     /** This host was suspended for long or is partitioned: all other hosts seem silent, but none of them is lost. */
     @Test
     void aHostThatHearsOnlyAMinorityConsidersNoHostLost() {
-        list(0, "self", "a", "b");
-        hear(A, 0);
-        hear(B, 0);
+        updateListedHosts(0, "self", "a", "b");
+        recordReport(A, 0);
+        recordReport(B, 0);
 
         assertThat(roster.liveProcessStarts(at(20_000))).containsKeys("a", "b");
     }
 
     @Test
     void theReportedProcessTakesPrecedenceOverTheListedOne() {
-        list(0, "self", "a");
+        updateListedHosts(0, "self", "a");
         roster.recordReport(A, new HostReport("a2", false, true), at(100));
 
         assertThat(roster.liveProcessStarts(at(200))).containsEntry("a", "a2");
@@ -119,20 +119,20 @@
 
     @Test
     void aSilentHostIsReturnedOnceUntilItIsHeardAgain() {
-        list(0, "self", "a");
-        hear(A, 0);
+        updateListedHosts(0, "self", "a");
+        recordReport(A, 0);
 
         assertThat(roster.takeNewlySilent(at(3400))).isEmpty();
         assertThat(roster.takeNewlySilent(at(3600))).containsExactly(A);
         assertThat(roster.takeNewlySilent(at(4600))).isEmpty();
-        hear(A, 5000);
+        recordReport(A, 5000);
         assertThat(roster.takeNewlySilent(at(5100))).isEmpty();
         assertThat(roster.takeNewlySilent(at(9000))).containsExactly(A);
     }
 
     @Test
     void hostsThatStopOrDoNotReachTheStoreAreNotAskedForHelp() {
-        list(0, "self", "a", "b");
+        updateListedHosts(0, "self", "a", "b");
         roster.recordReport(A, new HostReport("a1", true, true), at(0));
         roster.recordReport(B, new HostReport("b1", false, false), at(0));
 
@@ -146,7 +146,7 @@
      */
     @Test
     void aHostThatNobodyKnowsYetAsksTheListedOnesForHelp() {
-        list(0, "self", "a", "b");
+        updateListedHosts(0, "self", "a", "b");
         assertThat(roster.gatewaysReachingStore(at(1))).extracting(Host::id).containsExactly(A, B);
 
         roster.recordReport(A, new HostReport("a1", false, false), at(2));
@@ -155,18 +155,18 @@
 
     @Test
     void anAnswerShowsThatAHostIsAlive() {
-        list(0, "self", "a");
-        hear(A, 0);
+        updateListedHosts(0, "self", "a");
+        recordReport(A, 0);
         roster.recordAnswer(A, at(3000));
 
         assertThat(roster.activeGateways(at(6000))).extracting(Host::id).containsExactly(A);
     }
 
-    private void hear(HostId host, long millis) {
+    private void recordReport(HostId host, long millis) {
         roster.recordReport(host, new HostReport(host.value() + "1", false, true), at(millis));
     }
 
-    private void list(long millis, String... hosts) {
+    private void updateListedHosts(long millis, String... hosts) {
         List<ListedHost> entries = new ArrayList<>();
         Arrays.stream(hosts).forEach(host -> entries.add(new ListedHost(host(host), host + "1")));
         roster.updateListedHosts(entries, at(millis));
--- a/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void theHostListMayLoseAHostThatStillAnswers() {
+    void aHostMissingFromTheHostListIsPresentWhileItAnswers() {
         Cluster cluster = new Cluster(4);
         cluster.run(20);
         cluster.memberships.get("h0").updateCandidates(List.of(cluster.host(1)), cluster.nowNanos);
@@ -195,7 +195,7 @@
                         && arrives(helperName, from);
                 Optional.of(reached)
                         .filter(Boolean::booleanValue)
-                        .ifPresent(yes -> memberships.get(from).recordIndirectReply(target.id(), nowNanos));
+                        .ifPresent(success -> memberships.get(from).recordIndirectReply(target.id(), nowNanos));
             }
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
+++ b/src/test/java/org/gooseberryhill/decision/order/EndpointOrdersTest.java
@@ -70,21 +70,21 @@
     void withoutFencesOrdersArriveInTheSequenceOfTheClaims(@ForAll long seed) {
         Random random = new Random(seed);
         List<long[]> arrivals = new ArrayList<>();
-        long claimedAt = 0;
+        long claimedNanos = 0;
         for (long fence = 1; fence <= 6; fence++) {
             EndpointOrders holder = new EndpointOrders(SETTINGS, false);
-            holder.next(Optional.of(OLD), NEW, true, claimedAt);
-            holder.claimed(Optional.of(fence), claimedAt);
-            long leaseUntil =
-                    claimedAt + SETTINGS.leaseMillis() * NANOS_PER_MILLI + random.nextInt(20_000) * NANOS_PER_MILLI;
-            for (long now = claimedAt; now < leaseUntil; now += 500 * NANOS_PER_MILLI) {
-                if (holder.next(Optional.of(OLD), NEW, true, now) instanceof OrderStep.Send) {
-                    arrivals.add(new long[] {now + random.nextInt(2000) * NANOS_PER_MILLI, fence});
+            holder.next(Optional.of(OLD), NEW, true, claimedNanos);
+            holder.claimed(Optional.of(fence), claimedNanos);
+            long leaseEndNanos =
+                    claimedNanos + SETTINGS.leaseMillis() * NANOS_PER_MILLI + random.nextInt(20_000) * NANOS_PER_MILLI;
+            for (long nowNanos = claimedNanos; nowNanos < leaseEndNanos; nowNanos += 500 * NANOS_PER_MILLI) {
+                if (holder.next(Optional.of(OLD), NEW, true, nowNanos) instanceof OrderStep.Send) {
+                    arrivals.add(new long[] {nowNanos + random.nextInt(2000) * NANOS_PER_MILLI, fence});
                     holder.orderEnded();
                 }
             }
             // The lease may be released early or expire; the next claim can succeed as soon as the lease has ended.
-            claimedAt = leaseUntil;
+            claimedNanos = leaseEndNanos;
         }
         arrivals.sort((one, other) -> Long.compare(one[0], other[0]));
 
--- a/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/OverloadReplayTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void atNormalLoadNoRequestIsRefusedAndNearlyAllAreOnTime() {
-        for (ReplayResult result : play(DispatchPolicies::defaults, replay -> normalLoad(replay, 30))) {
+        for (ReplayResult result : runReplays(DispatchPolicies::defaults, replay -> normalLoad(replay, 30))) {
             assertThat(result.onTimeShare()).isGreaterThan(0.995);
             assertThat(result.servedShare()).isEqualTo(1);
             assertThat(result.itemsOnTimeShare()).isGreaterThan(0.99);
@@ -43,13 +43,13 @@
     void inLongBurstsMoreStreamsAreOnTimeIfNoneWaitsForLong() {
         Function<Random, DispatchPolicies> waitUpToTwoTargets =
                 random -> policies(random, new ForecastOverloadPolicy(2.0), new ForecastRetryAfterPolicy());
-        double replaced = meanOnTimeShare(play(waitUpToTwoTargets, OverloadReplayTest::longBursts));
-        List<ReplayResult> results = play(DispatchPolicies::defaults, OverloadReplayTest::longBursts);
+        double replacedPolicyShare = meanOnTimeShare(runReplays(waitUpToTwoTargets, OverloadReplayTest::longBursts));
+        List<ReplayResult> results = runReplays(DispatchPolicies::defaults, OverloadReplayTest::longBursts);
         System.out.printf(
                 "long bursts: waiting up to two targets %.3f, product %.3f on time%n",
-                replaced, meanOnTimeShare(results));
+                replacedPolicyShare, meanOnTimeShare(results));
 
-        assertThat(meanOnTimeShare(results)).isGreaterThan(replaced + 0.07);
+        assertThat(meanOnTimeShare(results)).isGreaterThan(replacedPolicyShare + 0.07);
         assertThat(results)
                 .allSatisfy(result -> assertThat(result.servedShare()).isGreaterThan(0.95));
     }
@@ -62,14 +62,14 @@
     void callersWithIndividualRetryTimesAreSeldomRefusedTwice() {
         Function<Random, DispatchPolicies> sameRetryTime =
                 random -> policies(random, new ForecastOverloadPolicy(0.3), new ForecastRetryAfterPolicy());
-        double replaced = meanRefusedTwiceShare(play(sameRetryTime, OverloadReplayTest::longBursts));
+        double replacedPolicyShare = meanRefusedTwiceShare(runReplays(sameRetryTime, OverloadReplayTest::longBursts));
         double individualRetryTimes =
-                meanRefusedTwiceShare(play(DispatchPolicies::defaults, OverloadReplayTest::longBursts));
+                meanRefusedTwiceShare(runReplays(DispatchPolicies::defaults, OverloadReplayTest::longBursts));
         System.out.printf(
                 "long bursts: told the wait of the moment %.3f, times of their own %.3f refused twice%n",
-                replaced, individualRetryTimes);
+                replacedPolicyShare, individualRetryTimes);
 
-        assertThat(individualRetryTimes).isLessThan(replaced / 2);
+        assertThat(individualRetryTimes).isLessThan(replacedPolicyShare / 2);
     }
 
     private static DispatchPolicies policies(Random random, OverloadPolicy overload, RetryAfterPolicy retryAfter) {
@@ -77,7 +77,8 @@
                 new LeastWaitPlacement(random), overload, retryAfter, new ReservedSlotPlacement(random));
     }
 
-    private static List<ReplayResult> play(Function<Random, DispatchPolicies> policies, Consumer<ServingReplay> load) {
+    private static List<ReplayResult> runReplays(
+            Function<Random, DispatchPolicies> policies, Consumer<ServingReplay> load) {
         return LongStream.rangeClosed(1, SEEDS)
                 .mapToObj(seed -> {
                     ServingReplay replay = new ServingReplay(policies, seed);
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayCall.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayCall.java
@@ -47,7 +47,7 @@
 
     void startAttempt() {
         attemptStartNanos = clock.nowNanos();
-        clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> replay.anyHost().receive(this, route, deadlineNanos()));
+        clock.schedule(ONE_WAY_LATENCY_MILLIS, () -> replay.randomHost().receive(this, route, deadlineNanos()));
     }
 
     void onEvent() {
@@ -67,9 +67,9 @@
             return;
         }
         refusedEarly = millisSince(attemptStartNanos) <= EARLY_SHARE_OF_TARGET * route.targetLatencyMillis();
-        double leftMillis = route.timeoutMillis() - millisSince(startNanos);
+        double remainingMillis = route.timeoutMillis() - millisSince(startNanos);
         clock.schedule(
-                ONE_WAY_LATENCY_MILLIS + Math.min(retryAfterMillis, leftMillis * MAX_WAIT_SHARE_OF_REMAINING_TIME),
+                ONE_WAY_LATENCY_MILLIS + Math.min(retryAfterMillis, remainingMillis * MAX_WAIT_SHARE_OF_REMAINING_TIME),
                 this::startAttempt);
     }
 
--- a/src/test/java/org/gooseberryhill/decision/replay/ServingReplay.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ServingReplay.java
@@ -68,8 +68,8 @@
         RouteTable routes = new RouteTable(
                 new RouteConfiguration(1, List.of(streamRoute, batchRoute), Map.of(), ClientLimits.DEFAULT));
         for (int i = 0; i < HOSTS; i++) {
-            DispatchPolicies own = policies.apply(new Random(seed * HOSTS + i));
-            hosts.add(new ReplayHost(clock, i, endpoints, routes, own, this::itemDone));
+            DispatchPolicies hostPolicies = policies.apply(new Random(seed * HOSTS + i));
+            hosts.add(new ReplayHost(clock, i, endpoints, routes, hostPolicies, this::itemDone));
         }
         hosts.forEach(host -> host.setOtherHosts(hosts));
     }
@@ -99,7 +99,7 @@
         clock.advance(2 * BATCH_DUE_MILLIS);
     }
 
-    ReplayHost anyHost() {
+    ReplayHost randomHost() {
         return hosts.get(random.nextInt(HOSTS));
     }
 
@@ -137,14 +137,14 @@
         int itemCount = 4 + random.nextInt(13);
         BatchRecord record = new BatchRecord(
                 "h", "/b/1", "hash", "owner", "1", clock.nowMillis(), 1, itemCount, false, List.of(), 0);
-        List<BatchItem> list = new ArrayList<>();
+        List<BatchItem> batchItems = new ArrayList<>();
         List<Integer> events = new ArrayList<>();
         for (int i = 0; i < itemCount; i++) {
-            list.add(new BatchItem("i" + i, "/b/1/" + i, Map.of(), new byte[0], 100));
+            batchItems.add(new BatchItem("i" + i, "/b/1/" + i, Map.of(), new byte[0], 100));
             events.add(130 + random.nextInt(87));
         }
         items += itemCount;
-        anyHost().addBatch(new OwnedBatch(id, record, 1, list, List.of()), events);
+        randomHost().addBatch(new OwnedBatch(id, record, 1, batchItems, List.of()), events);
     }
 
     private void itemDone(OwnedBatch batch) {
