--- a/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
@@ -81,7 +81,7 @@
         return recordRevision;
     }
 
-    /** Returns the revision of this host's claim. */
+    /** Returns this host's fencing token: the revision of its claim. */
     public long fence() {
         return fence;
     }
--- a/src/main/java/org/gooseberryhill/decision/job/WorkItem.java
+++ b/src/main/java/org/gooseberryhill/decision/job/WorkItem.java
@@ -5,7 +5,7 @@
  *
  * @param job the job as {@code caller/id}
  * @param index the index of the item in the job, from 0
- * @param fence the revision of the owner's claim under which the item was handed out
+ * @param fence the owner's fencing token: the revision of its claim under which the item was handed out
  * @param handout the number of this hand-out under that claim, which the report must carry
  * @param body the request body, one JSON object
  * @param partial the text that an earlier run generated before it yielded; empty if there is none
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
@@ -43,7 +43,7 @@
                 assertThat(store.peek(KEY).orElseThrow().value().editId()).isEqualTo(operator.record.editId()));
     }
 
-    /** An operator who applies the first text. */
+    /** An operator who edits the configuration before any text is stored. */
     private static final class Operator {
         private final ConfigurationRecord record;
         private final ConfigurationEdit edit;
--- a/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/MembershipTest.java
@@ -103,6 +103,8 @@
         private int lossPercent;
         private long nowNanos;
         private int messages;
+
+        /** The number of hosts that consider another host dead, summed over all ticks. */
         private int deaths;
 
         Cluster(int size) {
