--- a/src/main/java/org/gooseberryhill/external/EtcdJson.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdJson.java
@@ -11,7 +11,8 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * The published JSON mapping of the etcd v3 protocol: Base64 for keys and values, strings for 64-bit numbers.
+ * Encodes requests and decodes responses in the published JSON mapping of the etcd v3 protocol: Base64 for keys and
+ * values, strings for 64-bit numbers.
  * Stateless.
  */
 public final class EtcdJson {
@@ -27,7 +28,7 @@
         return Base64.getEncoder().encodeToString(bytes);
     }
 
-    /** Decodes a Base64 node to bytes; an absent node yields no bytes. */
+    /** Decodes a Base64 node to bytes; an absent node yields an empty array. */
     public static byte[] decode(JsonNode node) {
         return Base64.getDecoder().decode(node.asText(""));
     }
@@ -84,6 +85,7 @@
                 node.path("mod_revision").asLong());
     }
 
+    /** Decodes an event of a watch to the entry that was written; empty if the key was deleted. */
     static Optional<KeyValueStore.Entry> decodeEvent(JsonNode event) {
         boolean deleted = event.path("type").asText("PUT").equals("DELETE");
         return deleted ? Optional.empty() : Optional.of(decodeEntry(event.path("kv")));
--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -129,8 +129,9 @@
         return readPrefix(prefix, fromKey, KEYS_PER_PAGE).thenCompose(page -> {
             page.entries()
                     .forEach(entry -> found.add(KeyChange.written(entry.key(), entry.value(), entry.modRevision())));
-            // The pages are no snapshot: the listing gets the oldest revision, so that changes after the first page are
-            // read later.
+            // The pages together are not a snapshot. The listing gets the oldest of their revisions, so that changes
+            // made
+            // after the first page was read are read again as later changes.
             long revision = Math.min(oldestRevision, page.revision());
             if (!page.more() || page.entries().isEmpty()) {
                 return CompletableFuture.completedFuture(new Listing(revision, found));
--- a/src/main/java/org/gooseberryhill/external/StreamingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/StreamingKeyValueStore.java
@@ -19,7 +19,7 @@
 
     /** Receives the events of a watch; called by one traffic thread. */
     interface WatchListener {
-        /** Called when a key was written, or deleted if the entry is empty. */
+        /** Called when a key was written or deleted; the entry is empty if it was deleted. */
         void onChange(String key, Optional<Entry> entry);
 
         /** Called when the watch has ended; the caller may start a new one. */
--- a/src/main/java/org/gooseberryhill/http/AfterRead.java
+++ b/src/main/java/org/gooseberryhill/http/AfterRead.java
@@ -14,8 +14,8 @@
     static final long NEXT_ITERATION_DELAY_MILLIS = 1;
 
     /**
-     * Maximum time from setting the timer, before the read, to the action. Data that arrives this shortly before a connection
-     * closes counts as having crossed with the close.
+     * Maximum time from setting the timer, which precedes the read, to running the action; a later action waits for another
+     * read. Data that arrives within this time before a connection closes counts as having crossed with the close in transit.
      */
     private static final long MAX_READ_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
--- a/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
@@ -84,12 +84,15 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // The codec reports the end of an unframed response whenever its connection ends, even after a reset.
+        // The codec reports the end of an unframed response whenever its connection ends, even after a reset. This flag
+        // keeps
+        // a response that a reset truncated from counting as complete.
         failed = true;
         failExchange(String.valueOf(cause));
         context.close();
     }
 
+    /** Handles the head of a response; returns false if the exchange failed because of it. */
     private boolean handleHead(HttpResponse response) {
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             skippingResponse = true;
--- a/src/main/java/org/gooseberryhill/http/ClientExchange.java
+++ b/src/main/java/org/gooseberryhill/http/ClientExchange.java
@@ -15,7 +15,8 @@
 import org.gooseberryhill.contract.Outcome;
 
 /**
- * One exchange on one connection. Thread-safe: all access to the connection runs on its event loop.
+ * The client side of one exchange, which uses one connection at a time. Thread-safe: all access to the connection runs on
+ * its event loop.
  *
  * <p>Invariants: the outcome becomes may-have-run before the first byte is handed to the connection, so not-run is never
  * reported for a request of which any byte has reached the endpoint. After its end, the exchange does not touch its
@@ -70,10 +71,10 @@
                 connection -> AfterRead.run(connection.eventLoop(), () -> failIfStillSilent(connection, sinceNanos)));
     }
 
-    /** Sends the request on a connection; {@code kept} tells whether it was used before. */
-    void begin(Channel connection, boolean kept) {
+    /** Sends the request on a connection; {@code pooled} tells whether it was taken from the pool of idle connections. */
+    void begin(Channel connection, boolean pooled) {
         channel = connection;
-        connection.eventLoop().execute(() -> send(connection, kept));
+        connection.eventLoop().execute(() -> send(connection, pooled));
     }
 
     /** Returns whether a response with these headers belongs to this exchange. */
@@ -133,12 +134,12 @@
         }
     }
 
-    private void send(Channel connection, boolean kept) {
+    private void send(Channel connection, boolean pooled) {
         if (cancelled) {
             connection.close();
             return;
         }
-        if (kept && !connection.isActive()) {
+        if (pooled && !connection.isActive()) {
             // The other side closed the idle connection. No byte was sent, so a new connection is safe.
             client.connect(this, request);
             return;
--- a/src/main/java/org/gooseberryhill/http/ExchangeOptions.java
+++ b/src/main/java/org/gooseberryhill/http/ExchangeOptions.java
@@ -18,7 +18,7 @@
         int maxIdleMillis,
         boolean acceptsUnframed,
         ResponseMatcher responseMatcher) {
-    /** Connecting within a region takes milliseconds; one lost packet adds a second. */
+    /** Default connect timeout. Connecting within a region takes milliseconds; one lost packet adds a second. */
     public static final int DEFAULT_CONNECT_MILLIS = 1000;
 
     /** Returns options that reuse connections of any idle time and accept framed responses only. */
--- a/src/main/java/org/gooseberryhill/http/HttpClient.java
+++ b/src/main/java/org/gooseberryhill/http/HttpClient.java
@@ -108,7 +108,7 @@
         idleConnections.close();
     }
 
-    /** Closes the idle connections to an address, for an address that another process has taken over. */
+    /** Closes the idle connections to an address; called when another process has taken over the address. */
     public void closeIdleConnections(Address address) {
         idleConnections.closeAll(address);
     }
--- a/src/main/java/org/gooseberryhill/http/HttpServer.java
+++ b/src/main/java/org/gooseberryhill/http/HttpServer.java
@@ -32,8 +32,8 @@
     private static final int EMPTY_ACCEPT_ITERATIONS = 20;
 
     /**
-     * Maximum number of iterations, since callers may keep connecting. By then every connection that was in the backlog at the
-     * beginning has been accepted.
+     * Maximum number of event loop iterations before the listening socket closes, since callers may keep connecting. By then
+     * every connection that was in the backlog at the beginning has been accepted.
      */
     private static final int MAX_ACCEPT_ITERATIONS = EMPTY_ACCEPT_ITERATIONS + ListeningSocket.BACKLOG;
 
@@ -155,7 +155,10 @@
                         acceptedCount == acceptedBefore ? emptyIterations + 1 : 0, iterationsLeft - 1));
     }
 
-    /** Registers each connection as soon as it is accepted, hence before the listening socket can be seen as closed. */
+    /**
+     * Registers each connection as soon as it is accepted, so that {@link #isDrained} can't see the listening socket as closed
+     * and miss a connection that was accepted before.
+     */
     private final class ConnectionRegistrar extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object connection) {
--- a/src/main/java/org/gooseberryhill/http/IdleConnectionPool.java
+++ b/src/main/java/org/gooseberryhill/http/IdleConnectionPool.java
@@ -80,7 +80,7 @@
         return latest != null && latest.isActive();
     }
 
-    /** Closes all idle connections to an address, for an address that another process has taken over. */
+    /** Closes all idle connections to an address; called when another process has taken over the address. */
     void closeAll(Address address) {
         ConcurrentLinkedDeque<Channel> channels = byAddress.remove(address);
         if (channels != null) {
--- a/src/main/java/org/gooseberryhill/http/ListeningSocket.java
+++ b/src/main/java/org/gooseberryhill/http/ListeningSocket.java
@@ -10,9 +10,9 @@
 /**
  * A listening socket that is opened before the server that accepts its connections. Immutable; its channel is thread-safe.
  *
- * <p>Guards against refused connections when all processes of a system fail at once and restart: callers that connect
- * before the server exists would be refused, twice in the time that a start takes. With a socket that is opened first, they
- * wait in its backlog instead.
+ * <p>Guards against refused connections when all processes of a system fail at once and restart: a caller that connects
+ * before the server exists would be refused, and may be refused twice while a process starts. With a socket that is opened
+ * first, callers wait in its backlog instead.
  *
  * @param address the address it is bound to
  * @param channel the socket
--- a/src/main/java/org/gooseberryhill/http/MessageHeaders.java
+++ b/src/main/java/org/gooseberryhill/http/MessageHeaders.java
@@ -8,7 +8,8 @@
     private MessageHeaders() {}
 
     /**
-     * Adds all headers. Headers that are already Netty's are not validated again, since that costs more than copying them.
+     * Adds all headers. Those in a Netty {@link HttpHeaders} object are not validated again, since that costs more than
+     * copying them.
      */
     static void addAll(HttpHeaders target, Iterable<Map.Entry<String, String>> headers) {
         if (headers instanceof HttpHeaders checked) {
--- a/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
@@ -195,8 +195,8 @@
     }
 
     /**
-     * Closes a connection whose caller does not expect it. It closes at once after the flush, since requests that arrive before
-     * the close would be read and discarded.
+     * Closes an idle connection without having announced the close to the caller. The close follows the flush at once,
+     * since requests that arrive before the close would be read and discarded.
      */
     private void closeIdleConnection(Channel connection) {
         if (discardingInput) {
@@ -308,7 +308,10 @@
         runAfterIdlePeriod(connection, () -> closeUnlessRequestArrives(connection, requestCount));
     }
 
-    /** Reads first: a delayed event loop thread may not have read a request that arrived before the end of the idle period. */
+    /**
+     * Closes the connection as idle unless a request is read before that: a delayed event loop thread may not have read a
+     * request that arrived before the end of the idle period.
+     */
     private void closeUnlessRequestArrives(Channel connection, long requestCountBefore) {
         AfterRead.run(connection.eventLoop(), () -> {
             if (requestCount == requestCountBefore) {
--- a/src/main/java/org/gooseberryhill/link/Json.java
+++ b/src/main/java/org/gooseberryhill/link/Json.java
@@ -63,12 +63,12 @@
         }
     }
 
-    /** Reads a value; the failure holds the parser's location and reason. */
+    /** Reads a value; a failure tells where parsing failed and why. */
     public static <T> Try<T> read(byte[] json, Class<T> type) {
         return Try.of(() -> mapper().readValue(json, type));
     }
 
-    /** Reads a tree; the failure holds the parser's location and reason. */
+    /** Reads a tree; a failure tells where parsing failed and why. */
     public static Try<JsonNode> tree(byte[] json) {
         return Try.of(() -> JsonTrees.read(json));
     }
--- a/src/main/java/org/gooseberryhill/peer/GatewayMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/GatewayMessage.java
@@ -107,7 +107,7 @@
     /**
      * Tells whether a batch was ended or, in reply to {@link BatchHandOver}, taken over.
      *
-     * @param ended false if the host does not own the batch
+     * @param ended false if the host does not own the batch or, in reply to {@link BatchHandOver}, did not take it over
      */
     record BatchEnded(boolean ended) implements GatewayMessage {}
 
--- a/src/main/java/org/gooseberryhill/peer/PeerMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerMessage.java
@@ -89,7 +89,8 @@
     record Failed(String reason) implements PeerMessage {}
 
     /**
-     * Signals that the sender is alive and carries its recent news; the reply is another heartbeat.
+     * Signals that the sender is alive, and reports its own state and recent states of other hosts; the reply is another
+     * heartbeat.
      *
      * @param incarnation increased when the host refutes a suspicion against itself
      * @param leaving whether the host is in a planned stop
@@ -164,7 +165,8 @@
     record LeavingNotice(String endpoint, boolean leaving) implements PeerMessage {}
 
     /**
-     * Reports that an endpoint broke off requests, whose fingerprints become suspects on all hosts.
+     * Reports that an endpoint aborted requests. All hosts then treat their fingerprints as suspects: requests that may have
+     * crashed the endpoint.
      *
      * @param endpoint the endpoint
      * @param fingerprints the fingerprints of the requests in flight
--- a/src/main/java/org/gooseberryhill/peer/PeerTraffic.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerTraffic.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts the bytes that a process exchanges with others, including frame headers. Thread-safe. */
+/** Counts the bytes that a process exchanges with others, including the length field of each frame. Thread-safe. */
 public final class PeerTraffic {
     private final LongAdder sent = new LongAdder();
     private final LongAdder received = new LongAdder();
--- a/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
@@ -26,9 +26,9 @@
 /**
  * Distributes the accepted configuration and activates it on this host. Used by the control thread only.
  *
- * <p>Two stewards per availability zone watch the key and push each change to the hosts of their zone. A host that
- * misses a push sees a greater revision in a heartbeat and requests the text. A host that starts while the key-value
- * service is unavailable gets the text from its peers in the same way.
+ * <p>Two stewards per availability zone watch the configuration's key and push each change to the hosts of their zone. A
+ * host that misses a push sees a greater revision in a heartbeat and requests the text. A host that starts while the
+ * key-value service is unavailable gets the text from its peers in the same way.
  */
 public final class ConfigurationDriver {
     private static final Logger LOG = LogManager.getLogger(ConfigurationDriver.class);
@@ -209,7 +209,7 @@
         }
     }
 
-    /** Pushes a change, not the full text, which would use up most of what a watcher may send. */
+    /** Pushes a change to the hosts of this zone; the full text would use up most of a watcher's bandwidth budget. */
     private void pushToZone(PeerMessage push) {
         process.membership().presentHosts().stream()
                 .filter(host -> host.zone().equals(process.settings().self().zone()))
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -45,9 +45,11 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * The part that all processes of the system share. Methods are called on the control thread unless stated otherwise.
+ * The services that all processes of the system have in common, such as the control loop, peer messages, membership and
+ * configuration. Methods are called on the control thread unless stated otherwise.
  *
- * <p>Invariant: only the control thread accesses control state; traffic threads submit tasks to {@link #loop()}.
+ * <p>Invariant: only the control thread accesses control state; traffic threads, which run the event loops for network
+ * I/O, submit tasks to {@link #loop()}.
  */
 public final class HostProcess implements Closeable {
     /** Time-out of replies on the control lane. */
@@ -152,12 +154,14 @@
     /**
      * Sets the exchange of waiting work in heartbeats; must be called before {@link #start()}.
      *
-     * @param own supplies the waiting work of this host by service
-     * @param others receives the waiting work that other hosts report
+     * @param ownWork supplies the earliest due time of the waiting items that this host owns, by service, in epoch
+     *     milliseconds
+     * @param workListener receives the same from the heartbeats of other hosts
      */
-    public void setHeartbeatWork(Supplier<Map<String, Long>> own, BiConsumer<HostId, Map<String, Long>> others) {
-        membershipDriver.setOwnWork(own);
-        membershipDriver.addWorkListener(others);
+    public void setHeartbeatWork(
+            Supplier<Map<String, Long>> ownWork, BiConsumer<HostId, Map<String, Long>> workListener) {
+        membershipDriver.setOwnWork(ownWork);
+        membershipDriver.addWorkListener(workListener);
     }
 
     /** Requests the planned stop, whose time limits count from now. Thread-safe; repeated calls have no effect. */
@@ -217,7 +221,7 @@
         });
     }
 
-    /** Returns the present hosts of a role, including this one if it has the role. */
+    /** Returns the hosts of a role that are not considered dead, including this one if it has the role. */
     public List<Host> presentHosts(Role role) {
         List<Host> hosts = new ArrayList<>(membership.presentHosts(role));
         if (settings.self().role() == role) {
--- a/src/main/java/org/gooseberryhill/process/LeaseManager.java
+++ b/src/main/java/org/gooseberryhill/process/LeaseManager.java
@@ -11,8 +11,8 @@
 /**
  * Obtains and renews this host's single lease in the key-value service. Used by the control thread only.
  *
- * <p>Claims are written under the lease {@code usable().get()}; when the {@code onLost} listeners run, all of them are
- * gone.
+ * <p>Claims are written under the lease that {@link #usableLease} returns; when the loss listeners run, the service has
+ * deleted all of these claims.
  */
 public final class LeaseManager {
     private static final Logger LOG = LogManager.getLogger(LeaseManager.class);
--- a/src/main/java/org/gooseberryhill/process/MembershipDriver.java
+++ b/src/main/java/org/gooseberryhill/process/MembershipDriver.java
@@ -29,7 +29,10 @@
         this.process = process;
     }
 
-    /** Sets the supplier of the waiting work that this host's heartbeats report. */
+    /**
+     * Sets the supplier of the waiting work that this host's heartbeats report: the earliest due time of its waiting items,
+     * by service, in epoch milliseconds.
+     */
     void setOwnWork(Supplier<Map<String, Long>> supplier) {
         ownWork = supplier;
     }
--- a/src/test/java/org/gooseberryhill/http/BlockedEventLoopTest.java
+++ b/src/test/java/org/gooseberryhill/http/BlockedEventLoopTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests closing idle connections while the only event loop thread of the server is delayed. All delays are lower bounds, so
- * load on the machine can't invalidate a test.
+ * Tests closing idle connections and the listening socket while the server's only event loop thread is delayed. All delays
+ * are lower bounds, so load on the machine can't invalidate a test.
  */
 class BlockedEventLoopTest {
     private static final HttpLimits LIMITS = new HttpLimits(512, 256, 600_000, 1024 * 1024, 600_000);
--- a/src/test/java/org/gooseberryhill/http/EventSplitterProperties.java
+++ b/src/test/java/org/gooseberryhill/http/EventSplitterProperties.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 class EventSplitterProperties {
-    /** The bytes of an endpoint may be split anywhere, even inside an event or its id, without changing the events. */
+    /** A stream may be received in pieces cut anywhere, even inside an event or its id; its events must not change. */
     @Property
     void eventsDoNotDependOnHowTheBytesAreSplit(
             @ForAll("streams") String stream, @ForAll @IntRange(min = 1, max = 40) int pieceBytes) {
