--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -23,7 +23,7 @@
 /** A client of an etcd v3 service over its published HTTP/JSON mapping. Thread-safe. */
 public final class EtcdKeyValueStore implements StreamingKeyValueStore {
     private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
-    private static final int WATCH_IDLE_TIMEOUT_MILLIS = 600_000;
+    private static final int WATCH_SILENCE_TIMEOUT_MILLIS = 600_000;
     private static final long MILLIS_PER_SECOND = 1000;
     private static final int KEYS_PER_PAGE = 500;
     private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
@@ -115,7 +115,8 @@
                 .put("start_revision", Long.toString(fromRevision));
         calls.increment();
         Exchange exchange = client.start(
-                request("/v3/watch", Json.bytes(body), WATCH_IDLE_TIMEOUT_MILLIS), new WatchResponseListener(listener));
+                request("/v3/watch", Json.bytes(body), WATCH_SILENCE_TIMEOUT_MILLIS),
+                new WatchResponseListener(listener));
         return exchange::cancel;
     }
 
@@ -125,18 +126,18 @@
     }
 
     private CompletableFuture<Listing> listPage(
-            String prefix, String fromKey, List<KeyChange> found, long oldestRevision) {
+            String prefix, String fromKey, List<KeyChange> changes, long oldestRevision) {
         return readPrefix(prefix, fromKey, KEYS_PER_PAGE).thenCompose(page -> {
             page.entries()
-                    .forEach(entry -> found.add(KeyChange.written(entry.key(), entry.value(), entry.modRevision())));
+                    .forEach(entry -> changes.add(KeyChange.written(entry.key(), entry.value(), entry.modRevision())));
             // The pages together are not a snapshot. The listing gets the oldest of their revisions, so that changes
             // made
             // after the first page was read are read again as later changes.
             long revision = Math.min(oldestRevision, page.revision());
             if (!page.more() || page.entries().isEmpty()) {
-                return CompletableFuture.completedFuture(new Listing(revision, found));
+                return CompletableFuture.completedFuture(new Listing(revision, changes));
             }
-            return listPage(prefix, found.get(found.size() - 1).key() + "\0", found, revision);
+            return listPage(prefix, changes.get(changes.size() - 1).key() + "\0", changes, revision);
         });
     }
 
@@ -151,8 +152,8 @@
                 });
     }
 
-    private ExchangeRequest request(String path, byte[] body, int idleTimeoutMillis) {
-        return new ExchangeRequest(address, "POST", path, JSON_HEADERS, body, idleTimeoutMillis, false);
+    private ExchangeRequest request(String path, byte[] body, int silenceTimeoutMillis) {
+        return new ExchangeRequest(address, "POST", path, JSON_HEADERS, body, silenceTimeoutMillis, false);
     }
 
     private static JsonNode requireSuccess(HttpResult result) {
--- a/src/main/java/org/gooseberryhill/external/Keys.java
+++ b/src/main/java/org/gooseberryhill/external/Keys.java
@@ -58,7 +58,7 @@
     }
 
     /** Returns the key of one of the slots that limit concurrent model loads. */
-    public static String loadSlot(int place) {
-        return LOADS + place;
+    public static String loadSlot(int index) {
+        return LOADS + index;
     }
 }
--- a/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
@@ -19,7 +19,7 @@
     private boolean closedLocally;
     private boolean keepAlive;
     private boolean skippingResponse;
-    private boolean failed;
+    private boolean connectionFailed;
 
     void attach(ClientExchange newExchange) {
         exchange = newExchange;
@@ -68,7 +68,7 @@
             if (content.content().isReadable()) {
                 exchange.onBytes(ByteBufUtil.getBytes(content.content()));
             }
-            if (content instanceof LastHttpContent && exchange != null && !failed) {
+            if (content instanceof LastHttpContent && exchange != null && !connectionFailed) {
                 exchange.onEnd(keepAlive);
             }
         }
@@ -87,7 +87,7 @@
         // The codec reports the end of an unframed response whenever its connection ends, even after a reset. This flag
         // keeps
         // a response that a reset truncated from counting as complete.
-        failed = true;
+        connectionFailed = true;
         failExchange(String.valueOf(cause));
         context.close();
     }
--- a/src/main/java/org/gooseberryhill/http/ClientExchange.java
+++ b/src/main/java/org/gooseberryhill/http/ClientExchange.java
@@ -201,8 +201,8 @@
 
     private void failIfStillSilent(Channel connection, long sinceNanos) {
         silenceCheckPending = false;
-        boolean sentHere = outcome == Outcome.MAY_HAVE_RUN && channel == connection;
-        if (sentHere && !paused && lastActivityNanos == sinceNanos) {
+        boolean sentOnConnection = outcome == Outcome.MAY_HAVE_RUN && channel == connection;
+        if (sentOnConnection && !paused && lastActivityNanos == sinceNanos) {
             long silentMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
             failWith(ExchangeFailure.Kind.SILENT, "no byte for " + silentMillis + " ms");
         }
--- a/src/main/java/org/gooseberryhill/http/EventSplitter.java
+++ b/src/main/java/org/gooseberryhill/http/EventSplitter.java
@@ -11,31 +11,31 @@
  * events and the remainder together contain all bytes of the stream, unchanged.
  */
 public final class EventSplitter {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] NO_BYTES = new byte[0];
 
-    private byte[] partial = NOTHING;
+    private byte[] partial = NO_BYTES;
     private boolean lineIsEmpty = true;
 
     /** Appends bytes of the stream and returns the events that they complete. */
     public List<StreamEvent> read(byte[] bytes) {
         List<StreamEvent> events = new ArrayList<>(1);
-        int begin = 0;
-        for (int at = 0; at < bytes.length; at++) {
-            byte next = bytes[at];
+        int eventStart = 0;
+        for (int index = 0; index < bytes.length; index++) {
+            byte next = bytes[index];
             if (next == '\n') {
-                boolean blankLine = lineIsEmpty && partial.length + at - begin > 0;
+                boolean blankLine = lineIsEmpty && partial.length + index - eventStart > 0;
                 lineIsEmpty = true;
                 if (blankLine) {
-                    events.add(new StreamEvent(withPartial(bytes, begin, at + 1)));
-                    partial = NOTHING;
-                    begin = at + 1;
+                    events.add(new StreamEvent(prependPartial(bytes, eventStart, index + 1)));
+                    partial = NO_BYTES;
+                    eventStart = index + 1;
                 }
             } else if (next != '\r') {
                 lineIsEmpty = false;
             }
         }
-        if (begin < bytes.length) {
-            partial = withPartial(bytes, begin, bytes.length);
+        if (eventStart < bytes.length) {
+            partial = prependPartial(bytes, eventStart, bytes.length);
         }
         return events;
     }
@@ -45,7 +45,7 @@
         return partial.clone();
     }
 
-    private byte[] withPartial(byte[] bytes, int from, int to) {
+    private byte[] prependPartial(byte[] bytes, int from, int to) {
         if (partial.length == 0) {
             return from == 0 && to == bytes.length ? bytes : Arrays.copyOfRange(bytes, from, to);
         }
--- a/src/main/java/org/gooseberryhill/http/EventStreamReader.java
+++ b/src/main/java/org/gooseberryhill/http/EventStreamReader.java
@@ -15,7 +15,7 @@
     private static final String DONE_DATA = "[DONE]";
 
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
-    private byte last;
+    private byte previousByte;
 
     /** Appends bytes of the stream and passes each event that they complete to the consumer. */
     public void read(byte[] bytes, EventConsumer consumer) {
@@ -24,11 +24,11 @@
                 continue;
             }
             partial.write(next);
-            if (next == '\n' && last == '\n') {
+            if (next == '\n' && previousByte == '\n') {
                 emit(consumer);
-                last = 0;
+                previousByte = 0;
             } else {
-                last = next;
+                previousByte = next;
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/http/HttpClient.java
+++ b/src/main/java/org/gooseberryhill/http/HttpClient.java
@@ -67,10 +67,10 @@
     public CompletableFuture<Void> probe(Address address, int connectTimeoutMillis) {
         connectionAttempts.increment();
         CompletableFuture<Void> reached = new CompletableFuture<>();
-        ChannelFuture connecting = openConnection(address, connectTimeoutMillis);
-        connecting.addListener(done -> {
+        ChannelFuture connectFuture = openConnection(address, connectTimeoutMillis);
+        connectFuture.addListener(done -> {
             if (done.isSuccess()) {
-                keepForReuse(address, connecting.channel());
+                keepForReuse(address, connectFuture.channel());
                 reached.complete(null);
             } else {
                 reached.completeExceptionally(done.cause());
@@ -82,11 +82,11 @@
     /** Opens a new connection and begins an exchange on it. */
     void connect(ClientExchange exchange, ExchangeRequest request) {
         connectionAttempts.increment();
-        ChannelFuture connecting =
+        ChannelFuture connectFuture =
                 openConnection(request.address(), request.options().connectTimeoutMillis());
-        connecting.addListener(done -> {
+        connectFuture.addListener(done -> {
             if (done.isSuccess()) {
-                exchange.begin(connecting.channel(), false);
+                exchange.begin(connectFuture.channel(), false);
             } else {
                 exchange.fail(new ExchangeFailure(
                         ExchangeFailure.Kind.CONNECT_FAILED,
--- a/src/main/java/org/gooseberryhill/http/HttpResult.java
+++ b/src/main/java/org/gooseberryhill/http/HttpResult.java
@@ -10,11 +10,11 @@
  * @param body the complete body
  */
 public record HttpResult(int status, HttpHeaders headers, byte[] body) {
-    private static final int FIRST_SUCCESS = 200;
-    private static final int AFTER_SUCCESS = 300;
+    private static final int FIRST_SUCCESS_STATUS = 200;
+    private static final int FIRST_REDIRECTION_STATUS = 300;
 
     /** Returns whether the status code is in the range 200 to 299. */
     public boolean isSuccess() {
-        return status >= FIRST_SUCCESS && status < AFTER_SUCCESS;
+        return status >= FIRST_SUCCESS_STATUS && status < FIRST_REDIRECTION_STATUS;
     }
 }
--- a/src/main/java/org/gooseberryhill/http/HttpServer.java
+++ b/src/main/java/org/gooseberryhill/http/HttpServer.java
@@ -37,7 +37,7 @@
      */
     private static final int MAX_ACCEPT_ITERATIONS = EMPTY_ACCEPT_ITERATIONS + ListeningSocket.BACKLOG;
 
-    private final Channel listener;
+    private final Channel serverChannel;
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final AtomicInteger requestsInProgress = new AtomicInteger();
     private final AtomicBoolean stopListeningRequested = new AtomicBoolean();
@@ -47,7 +47,7 @@
     private long acceptedCount;
 
     private HttpServer(EventLoopGroup group, ListeningSocket socket, Supplier<HttpLimits> limits, HttpHandler handler) {
-        listener = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(group)
                 .channelFactory(() -> new NioServerSocketChannel(socket.channel()))
                 .handler(new ConnectionRegistrar())
@@ -126,31 +126,31 @@
     /** Starts closing the listening socket; pending connections are still accepted, and open ones stay open. */
     public void stopListening() {
         if (stopListeningRequested.compareAndSet(false, true)) {
-            listener.eventLoop().execute(() -> closeWhenBacklogIsEmpty(0, MAX_ACCEPT_ITERATIONS));
+            serverChannel.eventLoop().execute(() -> closeWhenBacklogIsEmpty(0, MAX_ACCEPT_ITERATIONS));
         }
     }
 
     /** Returns whether the listening socket and all connections are closed and no request is in progress. */
     public boolean isDrained() {
-        return !listener.isOpen() && connections.isEmpty() && requestsInProgress.get() == 0;
+        return !serverChannel.isOpen() && connections.isEmpty() && requestsInProgress.get() == 0;
     }
 
     /** Closes the listening socket and all connections immediately. */
     @Override
     public void close() {
-        listener.close().syncUninterruptibly();
+        serverChannel.close().syncUninterruptibly();
         connections.close().awaitUninterruptibly();
     }
 
     /** Closes the listening socket after enough consecutive event loop iterations without an accepted connection. */
     private void closeWhenBacklogIsEmpty(int emptyIterations, int iterationsLeft) {
         if (emptyIterations >= EMPTY_ACCEPT_ITERATIONS || iterationsLeft == 0) {
-            listener.close();
+            serverChannel.close();
             return;
         }
         long acceptedBefore = acceptedCount;
         AfterRead.run(
-                listener.eventLoop(),
+                serverChannel.eventLoop(),
                 () -> closeWhenBacklogIsEmpty(
                         acceptedCount == acceptedBefore ? emptyIterations + 1 : 0, iterationsLeft - 1));
     }
--- a/src/main/java/org/gooseberryhill/http/IdleConnectionPool.java
+++ b/src/main/java/org/gooseberryhill/http/IdleConnectionPool.java
@@ -94,12 +94,12 @@
     }
 
     private static boolean isExpired(Channel channel, long nowNanos) {
-        Long limit = channel.attr(IDLE_LIMIT_NANOS).get();
-        return limit != null && idleNanos(channel, nowNanos) > limit;
+        Long idleLimitNanos = channel.attr(IDLE_LIMIT_NANOS).get();
+        return idleLimitNanos != null && idleNanos(channel, nowNanos) > idleLimitNanos;
     }
 
     private static long idleNanos(Channel channel, long nowNanos) {
-        Long since = channel.attr(IDLE_SINCE_NANOS).get();
-        return since == null ? 0 : nowNanos - since;
+        Long idleSinceNanos = channel.attr(IDLE_SINCE_NANOS).get();
+        return idleSinceNanos == null ? 0 : nowNanos - idleSinceNanos;
     }
 }
--- a/src/main/java/org/gooseberryhill/http/KeepAliveTimeout.java
+++ b/src/main/java/org/gooseberryhill/http/KeepAliveTimeout.java
@@ -19,8 +19,9 @@
     static OptionalLong seconds(String header) {
         for (String parameter : header.split(",")) {
             int equals = parameter.indexOf('=');
-            boolean named = equals > 0 && parameter.substring(0, equals).strip().equalsIgnoreCase(TIMEOUT);
-            if (named) {
+            boolean isTimeout =
+                    equals > 0 && parameter.substring(0, equals).strip().equalsIgnoreCase(TIMEOUT);
+            if (isTimeout) {
                 return parseNumber(parameter.substring(equals + 1).strip());
             }
         }
--- a/src/main/java/org/gooseberryhill/http/MessageHeaders.java
+++ b/src/main/java/org/gooseberryhill/http/MessageHeaders.java
@@ -12,8 +12,8 @@
      * copying them.
      */
     static void addAll(HttpHeaders target, Iterable<Map.Entry<String, String>> headers) {
-        if (headers instanceof HttpHeaders checked) {
-            target.add(checked);
+        if (headers instanceof HttpHeaders nettyHeaders) {
+            target.add(nettyHeaders);
             return;
         }
         headers.forEach(header -> target.add(header.getKey(), header.getValue()));
--- a/src/main/java/org/gooseberryhill/http/ServerCall.java
+++ b/src/main/java/org/gooseberryhill/http/ServerCall.java
@@ -171,7 +171,7 @@
     }
 
     /** Handles the end of the connection; called on the event loop. */
-    void disconnected() {
+    void handleDisconnect() {
         disconnected = true;
         if (!ended && disconnectCallback != null) {
             disconnectCallback.run();
--- a/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ServerConnectionHandler.java
@@ -100,8 +100,8 @@
             ReferenceCountUtil.release(object);
             return;
         }
-        boolean belongsToNext = call != null && bodyComplete;
-        if (belongsToNext || !queuedMessages.isEmpty()) {
+        boolean belongsToNextRequest = call != null && bodyComplete;
+        if (belongsToNextRequest || !queuedMessages.isEmpty()) {
             queuedMessages.add(object);
             updateAutoRead(context.channel());
             return;
@@ -125,7 +125,7 @@
             if (bodyHandler != null && !bodyComplete) {
                 bodyHandler.onAborted();
             }
-            call.disconnected();
+            call.handleDisconnect();
             requestsInProgress.decrementAndGet();
         }
     }
@@ -218,8 +218,8 @@
         }
         boolean hasUnread = !connection.config().isAutoRead();
         discardFurtherInput(connection);
-        Runnable close = hasUnread && connection instanceof DuplexChannel caller
-                ? caller::shutdownOutput
+        Runnable close = hasUnread && connection instanceof DuplexChannel duplexConnection
+                ? duplexConnection::shutdownOutput
                 : () -> AfterRead.run(connection.eventLoop(), connection::close);
         connection.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(flushed -> close.run());
         closeIfWriteStalls(connection);
--- a/src/main/java/org/gooseberryhill/http/StreamEvent.java
+++ b/src/main/java/org/gooseberryhill/http/StreamEvent.java
@@ -11,7 +11,7 @@
 public record StreamEvent(byte[] raw) {
     private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] DATA = "data:".getBytes(StandardCharsets.US_ASCII);
-    private static final int DECIMAL = 10;
+    private static final int RADIX = 10;
 
     /** Any number of this many decimal digits fits into a {@code long}. */
     private static final int MAX_ID_DIGITS = 18;
@@ -63,11 +63,11 @@
 
     /** Returns the start of the line that follows the line starting at {@code from}. */
     private int nextLine(int from) {
-        int at = from;
-        while (at < raw.length && raw[at] != '\n') {
-            at++;
+        int index = from;
+        while (index < raw.length && raw[index] != '\n') {
+            index++;
         }
-        return at + 1;
+        return index + 1;
     }
 
     /** Returns the end of the line starting at {@code from}, without its line terminator. */
@@ -89,11 +89,11 @@
             return Optional.empty();
         }
         long value = 0;
-        for (int at = start; at < end; at++) {
-            if (raw[at] < '0' || raw[at] > '9') {
+        for (int index = start; index < end; index++) {
+            if (raw[index] < '0' || raw[index] > '9') {
                 return Optional.empty();
             }
-            value = value * DECIMAL + (raw[at] - '0');
+            value = value * RADIX + (raw[index] - '0');
         }
         return Optional.of(value);
     }
--- a/src/main/java/org/gooseberryhill/link/JsonTrees.java
+++ b/src/main/java/org/gooseberryhill/link/JsonTrees.java
@@ -38,13 +38,13 @@
 
     /** Writes a tree as UTF-8 JSON. */
     static byte[] write(JsonNode node) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+        try (JsonGenerator generator = FACTORY.createGenerator(buffer)) {
             write(node, generator);
         } catch (IOException e) {
             throw new IllegalArgumentException("cannot be written as JSON: " + node.getNodeType(), e);
         }
-        return out.toByteArray();
+        return buffer.toByteArray();
     }
 
     private static JsonNode readValue(JsonParser parser, JsonToken token) throws IOException {
--- a/src/main/java/org/gooseberryhill/peer/BatchCodecs.java
+++ b/src/main/java/org/gooseberryhill/peer/BatchCodecs.java
@@ -58,7 +58,7 @@
                 new CompactCodec<>(
                         12,
                         GatewayMessage.BatchEnded.class,
-                        (answer, packer) -> packer.packBoolean(answer.ended()),
+                        (reply, packer) -> packer.packBoolean(reply.ended()),
                         unpacker -> new GatewayMessage.BatchEnded(unpacker.unpackBoolean())),
                 new CompactCodec<>(
                         15, GatewayMessage.BatchHandOver.class, BatchCodecs::writeHandOver, BatchCodecs::readHandOver));
--- a/src/main/java/org/gooseberryhill/peer/CompactCodecs.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactCodecs.java
@@ -120,7 +120,7 @@
 
     private static void writeChanges(GatewayMessage.ViewChanges changes, MessagePacker packer) throws IOException {
         packer.packString(changes.prefix()).packLong(changes.fromRevision()).packLong(changes.toRevision());
-        CompactFields.writeList(packer, changes.changes(), CompactFields::writeKey);
+        CompactFields.writeList(packer, changes.changes(), CompactFields::writeKeyChange);
         packer.packLong(changes.ageMillis());
     }
 
@@ -129,13 +129,13 @@
                 unpacker.unpackString(),
                 unpacker.unpackLong(),
                 unpacker.unpackLong(),
-                CompactFields.readList(unpacker, CompactFields::readKey),
+                CompactFields.readList(unpacker, CompactFields::readKeyChange),
                 unpacker.unpackLong());
     }
 
     private static void writeListing(GatewayMessage.ViewListing listing, MessagePacker packer) throws IOException {
         packer.packString(listing.prefix()).packLong(listing.revision());
-        CompactFields.writeList(packer, listing.entries(), CompactFields::writeKey);
+        CompactFields.writeList(packer, listing.entries(), CompactFields::writeKeyChange);
         packer.packLong(listing.ageMillis());
     }
 
@@ -143,7 +143,7 @@
         return new GatewayMessage.ViewListing(
                 unpacker.unpackString(),
                 unpacker.unpackLong(),
-                CompactFields.readList(unpacker, CompactFields::readKey),
+                CompactFields.readList(unpacker, CompactFields::readKeyChange),
                 unpacker.unpackLong());
     }
 }
--- a/src/main/java/org/gooseberryhill/peer/CompactFields.java
+++ b/src/main/java/org/gooseberryhill/peer/CompactFields.java
@@ -50,12 +50,12 @@
         return values;
     }
 
-    static void writeKey(MessagePacker packer, KeyChange key) throws IOException {
-        packer.packString(key.key()).packLong(key.revision());
-        writeOptional(packer, key.value(), CompactFields::writeBytes);
+    static void writeKeyChange(MessagePacker packer, KeyChange change) throws IOException {
+        packer.packString(change.key()).packLong(change.revision());
+        writeOptional(packer, change.value(), CompactFields::writeBytes);
     }
 
-    static KeyChange readKey(MessageUnpacker unpacker) throws IOException {
+    static KeyChange readKeyChange(MessageUnpacker unpacker) throws IOException {
         String key = unpacker.unpackString();
         long revision = unpacker.unpackLong();
         return new KeyChange(key, readOptional(unpacker, CompactFields::readBytes), revision);
--- a/src/main/java/org/gooseberryhill/peer/StoreCallCodecs.java
+++ b/src/main/java/org/gooseberryhill/peer/StoreCallCodecs.java
@@ -119,12 +119,12 @@
 
     private static void writeListing(MessagePacker packer, KeyValueStore.Listing listing) throws IOException {
         packer.packLong(listing.revision());
-        CompactFields.writeList(packer, listing.entries(), CompactFields::writeKey);
+        CompactFields.writeList(packer, listing.entries(), CompactFields::writeKeyChange);
     }
 
     private static KeyValueStore.Listing readListing(MessageUnpacker unpacker) throws IOException {
         return new KeyValueStore.Listing(
-                unpacker.unpackLong(), CompactFields.readList(unpacker, CompactFields::readKey));
+                unpacker.unpackLong(), CompactFields.readList(unpacker, CompactFields::readKeyChange));
     }
 
     private static void writeWriteResult(MessagePacker packer, KeyValueStore.WriteResult written) throws IOException {
--- a/src/main/java/org/gooseberryhill/peer/SubmissionCodecs.java
+++ b/src/main/java/org/gooseberryhill/peer/SubmissionCodecs.java
@@ -15,7 +15,7 @@
                 new CompactCodec<>(
                         17,
                         OutboxMessage.Stored.class,
-                        (answer, packer) -> packer.packBoolean(answer.stored()),
+                        (reply, packer) -> packer.packBoolean(reply.stored()),
                         unpacker -> new OutboxMessage.Stored(unpacker.unpackBoolean())),
                 new CompactCodec<>(
                         18,
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -355,9 +355,9 @@
     }
 
     private CompletableFuture<PeerMessage> dispatch(HostId from, PeerMessage message) {
-        Optional<CompletableFuture<PeerMessage>> common =
+        Optional<CompletableFuture<PeerMessage>> commonReply =
                 membershipDriver.handle(from, message).or(() -> configuration.handle(from, message));
-        return common.orElseGet(() -> roleHandler.handle(from, message));
+        return commonReply.orElseGet(() -> roleHandler.handle(from, message));
     }
 
     /** Receives the listings of the host list. */
