--- a/src/test/java/org/gooseberryhill/control/ControlLoopTest.java
+++ b/src/test/java/org/gooseberryhill/control/ControlLoopTest.java
@@ -70,15 +70,15 @@
     /** A task of the loop adds more tasks than the ring holds: blocking until slots are free would be a deadlock. */
     @Test
     void aTaskOfTheLoopMayAddAnyNumberOfTasks() throws InterruptedException {
-        int number = 100_000;
-        CountDownLatch left = new CountDownLatch(number);
+        int count = 100_000;
+        CountDownLatch remainingTasks = new CountDownLatch(count);
         loop.execute(() -> {
-            for (int i = 0; i < number; i++) {
-                loop.execute(left::countDown);
+            for (int i = 0; i < count; i++) {
+                loop.execute(remainingTasks::countDown);
             }
         });
 
-        assertThat(left.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(remainingTasks.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
 
     /** Several threads submit tasks while the loop's thread parks and wakes up repeatedly: no wake-up may be lost. */
@@ -86,18 +86,18 @@
     void noTaskIsLeftWaitingWhileTheLoopIsParked() throws InterruptedException {
         int threads = 4;
         int tasks = 2000;
-        CountDownLatch left = new CountDownLatch(threads * tasks);
+        CountDownLatch remainingTasks = new CountDownLatch(threads * tasks);
         for (int thread = 0; thread < threads; thread++) {
             new Thread(() -> {
                         for (int i = 0; i < tasks; i++) {
-                            loop.execute(left::countDown);
+                            loop.execute(remainingTasks::countDown);
                             Thread.yield();
                         }
                     })
                     .start();
         }
 
-        assertThat(left.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(remainingTasks.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
@@ -108,11 +108,11 @@
         assertThat(executed).isEmpty();
     }
 
-    private List<String> take(int number) throws InterruptedException {
-        List<String> taken = new ArrayList<>();
-        for (int i = 0; i < number; i++) {
-            taken.add(executed.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    private List<String> take(int count) throws InterruptedException {
+        List<String> names = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            names.add(executed.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
-        return taken;
+        return names;
     }
 }
--- a/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
@@ -81,10 +81,10 @@
     @Test
     void writesOfOneTransactionTakeEffectTogetherOrNotAtAll() {
         create("guard", "x");
-        Transaction.Builder refused =
+        Transaction.Builder rejected =
                 Transaction.builder().ifAbsent("guard").put("a", bytes("1")).delete("guard");
 
-        assertThat(write(refused)).isFalse();
+        assertThat(write(rejected)).isFalse();
         assertThat(value("a")).isEmpty();
         assertThat(value("guard")).isPresent();
     }
--- a/src/test/java/org/gooseberryhill/http/EndedExchangeTest.java
+++ b/src/test/java/org/gooseberryhill/http/EndedExchangeTest.java
@@ -63,8 +63,8 @@
     @Test
     void pausingAnExchangeAsItsAnswerCompletesLeavesItsConnectionReadable() throws InterruptedException {
         EndListener listener = new EndListener();
-        Exchange held = client.start(request(), listener);
-        listener.onHead = () -> held.setAnswerReading(false);
+        Exchange exchange = client.start(request(), listener);
+        listener.onHead = () -> exchange.setAnswerReading(false);
         answer("first");
         listener.ended.join();
 
--- a/src/test/java/org/gooseberryhill/http/EventSplitterProperties.java
+++ b/src/test/java/org/gooseberryhill/http/EventSplitterProperties.java
@@ -20,30 +20,30 @@
     void eventsDoNotDependOnHowTheBytesAreSplit(
             @ForAll("streams") String stream, @ForAll @IntRange(min = 1, max = 40) int pieceBytes) {
         byte[] bytes = stream.getBytes(StandardCharsets.UTF_8);
-        EventSplitter whole = new EventSplitter();
-        EventSplitter cut = new EventSplitter();
+        EventSplitter wholeSplitter = new EventSplitter();
+        EventSplitter pieceSplitter = new EventSplitter();
 
-        List<String> expected = texts(whole.read(bytes));
+        List<String> expected = texts(wholeSplitter.read(bytes));
         List<StreamEvent> events = new ArrayList<>();
         for (int from = 0; from < bytes.length; from += pieceBytes) {
             int to = Math.min(bytes.length, from + pieceBytes);
-            events.addAll(cut.read(Arrays.copyOfRange(bytes, from, to)));
+            events.addAll(pieceSplitter.read(Arrays.copyOfRange(bytes, from, to)));
         }
 
         assertThat(texts(events)).isEqualTo(expected);
-        assertThat(cut.remainder()).isEqualTo(whole.remainder());
+        assertThat(pieceSplitter.remainder()).isEqualTo(wholeSplitter.remainder());
     }
 
     /** No byte may be changed, dropped or duplicated. */
     @Property
     void theEventsAndTheRemainderContainAllBytes(@ForAll("streams") String stream) {
         EventSplitter splitter = new EventSplitter();
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream joined = new ByteArrayOutputStream();
 
-        splitter.read(stream.getBytes(StandardCharsets.UTF_8)).forEach(event -> out.writeBytes(event.raw()));
-        out.writeBytes(splitter.remainder());
+        splitter.read(stream.getBytes(StandardCharsets.UTF_8)).forEach(event -> joined.writeBytes(event.raw()));
+        joined.writeBytes(splitter.remainder());
 
-        assertThat(out.toString(StandardCharsets.UTF_8)).isEqualTo(stream);
+        assertThat(joined.toString(StandardCharsets.UTF_8)).isEqualTo(stream);
     }
 
     @Property
--- a/src/test/java/org/gooseberryhill/http/HttpClientTest.java
+++ b/src/test/java/org/gooseberryhill/http/HttpClientTest.java
@@ -41,7 +41,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {LENGTH_ANSWER, CHUNKED_ANSWER})
-    void anAnswerTruncatedAtAnyByteIsAFailureThatMayHaveRun(String answer) throws IOException {
+    void anAnswerTruncatedAtAnyByteFailsWithTheOutcomeMayHaveRun(String answer) throws IOException {
         for (int length = 0; length < answer.length(); length++) {
             byte[] part = Arrays.copyOf(ascii(answer), length);
             try (RawEndpoint endpoint = new RawEndpoint(part, length % 2 == 0)) {
@@ -56,7 +56,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {LENGTH_ANSWER, CHUNKED_ANSWER})
-    void aCompleteAnswerIsReturnedWhole(String answer) throws IOException {
+    void aCompleteAnswerIsReturned(String answer) throws IOException {
         try (RawEndpoint endpoint = new RawEndpoint(ascii(answer), false)) {
             assertThat(client.call(request(endpoint.address(), LONG_SILENCE_MILLIS), 100)
                             .join()
--- a/src/test/java/org/gooseberryhill/http/HttpServerTest.java
+++ b/src/test/java/org/gooseberryhill/http/HttpServerTest.java
@@ -38,7 +38,7 @@
     private final EventLoopGroup group = Loopback.newEventLoopGroup();
     private final Address address = Loopback.freeAddress();
     private final AtomicInteger disconnects = new AtomicInteger();
-    private final AtomicInteger answered = new AtomicInteger();
+    private final AtomicInteger largeAnswers = new AtomicInteger();
     private final Queue<HttpCall> heldCalls = new ConcurrentLinkedQueue<>();
     private final HttpServer server = HttpServer.start(group, address, LIMITS, this::handle);
 
@@ -104,7 +104,7 @@
 
             server.stopListening();
             server.closeIdle();
-            Loopback.await("the end of listening", () -> !accepts());
+            Loopback.await("the end of listening", () -> !acceptsConnections());
 
             assertThat(server.isDrained()).isFalse();
             assertThat(server.requestsInProgress()).isEqualTo(1);
@@ -126,7 +126,7 @@
 
     /** Guards against a stop that waits for requests that are already answered. */
     @Test
-    void aRequestIsNoLongerUnansweredOnceItsAnswerIsWhole() throws IOException {
+    void aRequestIsNoLongerInProgressOnceItsAnswerIsComplete() throws IOException {
         try (Socket caller = new Socket(address.ip(), address.port())) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
             Loopback.await("the request", () -> server.requestsInProgress() == 1 && !heldCalls.isEmpty());
@@ -144,12 +144,12 @@
         try (Socket caller = new Socket(address.ip(), address.port())) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
             Loopback.await("the request", () -> !heldCalls.isEmpty());
-            HttpCall answered = heldCalls.remove();
-            answered.reply(200, Map.of(), RawEndpoint.ascii("whole"));
+            HttpCall answeredCall = heldCalls.remove();
+            answeredCall.reply(200, Map.of(), RawEndpoint.ascii("whole"));
             assertThat(caller.getInputStream().read(new byte[SMALL_ANSWER_BYTES]))
                     .isPositive();
 
-            answered.setBodyReading(false);
+            answeredCall.setBodyReading(false);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
 
             Loopback.await("the next request", () -> !heldCalls.isEmpty());
@@ -159,16 +159,16 @@
     /** Guards against a stop that waits for idle connections until their idle timeout. */
     @Test
     void closingIdleConnectionsClosesOneWhoseRequestIsAnswered() throws IOException {
-        Address patientAddress = Loopback.freeAddress();
-        HttpServer patient = HttpServer.start(group, patientAddress, HttpLimits.DEFAULT, this::handle);
-        try (patient;
-                Socket caller = new Socket(patientAddress.ip(), patientAddress.port())) {
+        Address defaultServerAddress = Loopback.freeAddress();
+        HttpServer defaultServer = HttpServer.start(group, defaultServerAddress, HttpLimits.DEFAULT, this::handle);
+        try (defaultServer;
+                Socket caller = new Socket(defaultServerAddress.ip(), defaultServerAddress.port())) {
             caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /one HTTP/1.1\r\n\r\n"));
             assertThat(caller.getInputStream().read()).isPositive();
-            Loopback.await("the answer", () -> patient.requestsInProgress() == 0);
+            Loopback.await("the answer", () -> defaultServer.requestsInProgress() == 0);
 
-            patient.closeIdle();
+            defaultServer.closeIdle();
 
             assertThat(caller.getInputStream().readAllBytes()).isNotEmpty();
         }
@@ -179,7 +179,7 @@
     void closingIdleConnectionsDoesNotCutOffAnAnswerInTransit() throws IOException {
         try (Socket caller = slowReader()) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /large HTTP/1.1\r\n\r\n"));
-            Loopback.await("the answer", () -> answered.get() == 1 && server.requestsInProgress() == 0);
+            Loopback.await("the answer", () -> largeAnswers.get() == 1 && server.requestsInProgress() == 0);
 
             server.closeIdle();
 
@@ -214,7 +214,7 @@
         server.closeAfterResponses();
         try (Socket caller = slowReader()) {
             caller.getOutputStream().write(RawEndpoint.ascii("GET /large HTTP/1.1\r\n\r\n"));
-            Loopback.await("the answer", () -> answered.get() == 1 && server.requestsInProgress() == 0);
+            Loopback.await("the answer", () -> largeAnswers.get() == 1 && server.requestsInProgress() == 0);
 
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
 
@@ -226,10 +226,10 @@
     /** Guards against a caller that waits until the idle timeout because an error reply follows the start of its response. */
     @Test
     void aReplyAfterTheAnswerHasBegunAbortsIt() throws IOException {
-        Address patientAddress = Loopback.freeAddress();
-        HttpServer patient = HttpServer.start(group, patientAddress, HttpLimits.DEFAULT, this::handle);
-        try (patient;
-                Socket caller = new Socket(patientAddress.ip(), patientAddress.port())) {
+        Address defaultServerAddress = Loopback.freeAddress();
+        HttpServer defaultServer = HttpServer.start(group, defaultServerAddress, HttpLimits.DEFAULT, this::handle);
+        try (defaultServer;
+                Socket caller = new Socket(defaultServerAddress.ip(), defaultServerAddress.port())) {
             caller.setSoTimeout(READ_TIMEOUT_MILLIS);
             caller.getOutputStream().write(RawEndpoint.ascii("GET /held HTTP/1.1\r\n\r\n"));
             Loopback.await("the request", () -> !heldCalls.isEmpty());
@@ -246,10 +246,11 @@
 
     @Test
     void anIdleConnectionIsClosed() throws IOException {
-        Address impatientAddress = Loopback.freeAddress();
-        HttpServer impatient = HttpServer.start(group, impatientAddress, limits(SHORT_IDLE_MILLIS), this::handle);
-        try (impatient;
-                Socket caller = new Socket(impatientAddress.ip(), impatientAddress.port())) {
+        Address shortIdleServerAddress = Loopback.freeAddress();
+        HttpServer shortIdleServer =
+                HttpServer.start(group, shortIdleServerAddress, limits(SHORT_IDLE_MILLIS), this::handle);
+        try (shortIdleServer;
+                Socket caller = new Socket(shortIdleServerAddress.ip(), shortIdleServerAddress.port())) {
             caller.setSoTimeout(READ_TIMEOUT_MILLIS);
 
             assertThat(caller.getInputStream().readAllBytes()).isEmpty();
@@ -288,7 +289,7 @@
         }
         if (call.path().equals("/large")) {
             call.reply(200, Map.of(), new byte[LARGE_ANSWER_BYTES]);
-            answered.incrementAndGet();
+            largeAnswers.incrementAndGet();
             return new BodyCollector(100, body -> {}, () -> {});
         }
         if (call.path().equals("/upload")) {
@@ -313,10 +314,10 @@
 
     private static void upload(Socket caller) {
         try {
-            OutputStream sending = caller.getOutputStream();
-            sending.write(RawEndpoint.ascii(
+            OutputStream output = caller.getOutputStream();
+            output.write(RawEndpoint.ascii(
                     "POST /upload HTTP/1.1\r\nconnection: close\r\ncontent-length: " + UPLOAD_BYTES + "\r\n\r\n"));
-            sending.write(new byte[UPLOAD_BYTES]);
+            output.write(new byte[UPLOAD_BYTES]);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -330,7 +331,7 @@
         return socket;
     }
 
-    private boolean accepts() {
+    private boolean acceptsConnections() {
         try (Socket socket = new Socket(address.ip(), address.port())) {
             return socket.isConnected();
         } catch (IOException e) {
--- a/src/test/java/org/gooseberryhill/http/ServerConnectionHandlerTest.java
+++ b/src/test/java/org/gooseberryhill/http/ServerConnectionHandlerTest.java
@@ -50,12 +50,12 @@
     @Test
     void aPipelinedRequestAfterTheLastAnswerIsNotStarted() {
         receive("GET /held HTTP/1.1\r\n\r\nGET /one HTTP/1.1\r\n\r\nGET /held HTTP/1.1\r\n\r\n");
-        HttpCall first = heldCalls.remove(0);
-        first.beginStream(200, Map.of());
+        HttpCall heldCall = heldCalls.remove(0);
+        heldCall.beginStream(200, Map.of());
         closesAfterResponse.set(true);
         connection.readUpTo(0);
 
-        first.endStream();
+        heldCall.endStream();
         connection.readUpTo(Long.MAX_VALUE);
 
         runIteration();
@@ -376,14 +376,14 @@
         }
 
         @Override
-        protected void doWrite(ChannelOutboundBuffer written) {
-            ByteBuf next = (ByteBuf) written.current();
+        protected void doWrite(ChannelOutboundBuffer outboundBuffer) {
+            ByteBuf next = (ByteBuf) outboundBuffer.current();
             while (next != null && (readLimitBytes > 0 || !next.isReadable())) {
                 int bytes = (int) Math.min(readLimitBytes, next.readableBytes());
                 readText.append(next.toString(next.readerIndex(), bytes, StandardCharsets.ISO_8859_1));
                 readLimitBytes -= bytes;
-                written.removeBytes(bytes);
-                next = (ByteBuf) written.current();
+                outboundBuffer.removeBytes(bytes);
+                next = (ByteBuf) outboundBuffer.current();
             }
         }
     }
--- a/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerClientTest.java
@@ -32,8 +32,8 @@
     private final CompletableFuture<PeerMessage> slowReply = new CompletableFuture<>();
     private final PeerServer server =
             new PeerServer(group, new HostId("server"), address, clock, new PeerTraffic(), this::answer);
-    private final Queue<Runnable> overdueProbes = new ConcurrentLinkedQueue<>();
-    private final PeerClient client = new PeerClient(clientGroup, new HostId("client"), clock, overdueProbes::add);
+    private final Queue<Runnable> probeTimeoutTasks = new ConcurrentLinkedQueue<>();
+    private final PeerClient client = new PeerClient(clientGroup, new HostId("client"), clock, probeTimeoutTasks::add);
 
     @AfterEach
     void close() {
@@ -111,8 +111,8 @@
     }
 
     private void expireProbe() {
-        Loopback.await("a probe", () -> !overdueProbes.isEmpty());
-        overdueProbes.remove().run();
+        Loopback.await("a probe", () -> !probeTimeoutTasks.isEmpty());
+        probeTimeoutTasks.remove().run();
     }
 
     private static void assertTimesOut(CompletableFuture<PeerMessage> request) {
