--- a/src/main/java/org/gooseberryhill/dialect/BatchApiCall.java
+++ b/src/main/java/org/gooseberryhill/dialect/BatchApiCall.java
@@ -1,12 +1,12 @@
 package org.gooseberryhill.dialect;
 
-/** A call of the system's own interface, which is served besides the routes. Immutable. */
+/** A call of the batch API, which gateways answer themselves instead of routing it to an endpoint. Immutable. */
 public sealed interface BatchApiCall {
     /**
      * Reads the results of a request batch.
      *
      * @param batch id of the batch
-     * @param after first position requested, from 0
+     * @param after position of the first result requested, counted from 0
      * @param waitMillis maximum time that the call waits for a result
      */
     record ReadResults(String batch, int after, long waitMillis) implements BatchApiCall {}
--- a/src/main/java/org/gooseberryhill/dialect/BatchDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/BatchDialect.java
@@ -7,9 +7,11 @@
 import org.gooseberryhill.decision.requestbatch.BatchPage;
 import org.gooseberryhill.http.HttpCall;
 
-/** Translates the HTTP interface for submitting, reading and ending request batches. Thread-safe; decides nothing. */
+/**
+ * Translates the HTTP interface for submitting, reading and ending request batches. Thread-safe; makes no decisions.
+ */
 public interface BatchDialect {
-    /** Returns the call of the system's own interface that a request makes; empty if a route may handle the request. */
+    /** Returns the batch API call that a request makes; empty if a route may handle the request. */
     Optional<BatchApiCall> parseCall(HttpCall call);
 
     /** Returns the items of a submitted body, or all errors found in it. */
--- a/src/main/java/org/gooseberryhill/dialect/DirectoryDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/DirectoryDialect.java
@@ -4,7 +4,7 @@
 import org.gooseberryhill.directory.EndpointEntry;
 import org.gooseberryhill.external.KeyChange;
 
-/** Translates the registrations of endpoints in the key-value store. Thread-safe; decides nothing. */
+/** Translates the registrations of endpoints in the key-value store. Thread-safe; makes no decisions. */
 public interface DirectoryDialect {
     /** Returns the key prefix of all registrations. */
     String prefix();
--- a/src/main/java/org/gooseberryhill/dialect/OperatorDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/OperatorDialect.java
@@ -5,7 +5,7 @@
 import org.gooseberryhill.external.KeyChange;
 import org.gooseberryhill.route.RouteConfiguration;
 
-/** Translates the entries that operators write into the key-value store. Thread-safe; decides nothing. */
+/** Translates the entries that operators write into the key-value store. Thread-safe; makes no decisions. */
 public interface OperatorDialect {
     /** Returns the key prefix of all entries that operators write. */
     String prefix();
--- a/src/main/java/org/gooseberryhill/dialect/RequestMetadata.java
+++ b/src/main/java/org/gooseberryhill/dialect/RequestMetadata.java
@@ -6,9 +6,9 @@
 /**
  * Metadata of a caller's request. Immutable.
  *
- * @param id id of this client attempt; echoed by endpoints
+ * @param id id of this attempt of the client; endpoints return it in their answers
  * @param deadlineMillis how long the caller will wait, from the request's arrival
- * @param prompt prompt; present for a request for tokens
+ * @param prompt description of the prompt; present if the request asks a model to generate tokens
  * @param lastEventId id of the last event that the caller has received, if it resumes a stream
  */
 public record RequestMetadata(
--- a/src/main/java/org/gooseberryhill/dialect/TrafficDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/TrafficDialect.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.gooseberryhill.contract.Refusal;
 
-/** Translates the metadata that requests and answers carry for the system. Thread-safe; decides nothing. */
+/** Translates the metadata that requests and answers carry for the system. Thread-safe; makes no decisions. */
 public interface TrafficDialect {
     /** Returns the metadata of a request; values that cannot be parsed count as absent. */
     RequestMetadata parseRequest(HttpHeaders request);
@@ -16,8 +16,8 @@
     boolean isNotRun(int status, HttpHeaders answer);
 
     /**
-     * Returns whether an endpoint itself produced an answer. Failure: an endpoint crashes while it writes the head of its
-     * answer, and the part that arrived looks like a success without a body.
+     * Returns whether an endpoint itself produced an answer. This check guards against an endpoint that crashes while
+     * it writes the head of its answer: the part that arrived looks like a success without a body.
      */
     boolean isGenuine(int status, HttpHeaders answer);
 
@@ -27,6 +27,9 @@
     /** Returns the id of the endpoint that gave an answer, if the answer states it. */
     Optional<String> endpointId(HttpHeaders answer);
 
-    /** Returns the status code for a refusal: one that promises not-run only if the refusal does. */
+    /**
+     * Returns the status code for a refusal. A code which promises that the request was not run is returned only if the
+     * refusal promises this.
+     */
     int statusOf(Refusal refusal);
 }
--- a/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
+++ b/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
@@ -27,7 +27,10 @@
     private static final int FIRST_SERVER_ERROR = 500;
     private static final int MISDIRECTED = 421;
 
-    /** Larger answers are relayed as they arrive, since memory is limited; they cannot be sent again. */
+    /**
+     * Larger answers are relayed as they arrive, since memory is limited. After that the caller can't be sent the
+     * answer of another attempt.
+     */
     private static final int MAX_BUFFERED_BYTES = 1024 * 1024;
 
     private final HttpCall call;
@@ -41,7 +44,7 @@
         this.lastEventId = lastEventId;
     }
 
-    /** Returns whether the caller has received a part of the answer. May be called from any thread. */
+    /** Returns whether a part of the answer has been sent to the caller. May be called from any thread. */
     boolean isStarted() {
         return started;
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
@@ -15,7 +15,8 @@
 import org.gooseberryhill.peer.PeerMessage;
 
 /**
- * Handles API calls that read or end request batches. Entered from traffic threads, decides on the control thread.
+ * Handles API calls that read or end request batches. Calls arrive on traffic threads and are processed on the control
+ * thread.
  *
  * <p>Invariant: a page contains only committed results, whichever host answers the call.
  */
--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -84,7 +84,7 @@
         writeEndedRecord(batch);
     }
 
-    /** Handles the creation of the record of a batch that was accepted by copies on disks. */
+    /** Handles the creation of the record of a batch that was accepted before, on the strength of copies on disks. */
     void onRecordCreated(OwnedBatch batch, BatchRecord record, long revision) {
         batch.recordChanged(record, revision);
         if (endReceivers.containsKey(batch.id())) {
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Handles the loss of a batch that this host accepted by copies on disks: its record names another process, or
-     * there is no record.
+     * Handles the loss of a batch that this host accepted on the strength of copies on disks: its record names another
+     * process, or there is no record.
      */
     void onRecordedElsewhere(String id, Optional<BatchStore.StoredRecord> found) {
         onOwnershipLost(id, found);
@@ -141,8 +141,8 @@
 
     /**
      * Reads the record of a batch whose progress write was refused. Another process may have ended the batch or taken
-     * it over without notifying this host; as long as no result is to be committed, its items would go on running in
-     * vain.
+     * it over without notifying this host. Without this check, the items would keep running for nothing until the next
+     * commit of a result.
      */
     private void checkRecord(String id) {
         if (writesInFlight.contains(id)) {
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
@@ -18,16 +18,16 @@
  * Ends batches on request of their callers. Confined to the control thread.
  *
  * <p>Invariant: the end of a batch is confirmed only once its record is marked as ended. The owner is asked first
- * whenever it can be found: an owner that learns of the end later than the caller starts items in between whose results
- * nobody reads.
+ * whenever it can be found: if it learned of the end later than the caller, it would meanwhile start items whose
+ * results nobody reads.
  */
 final class BatchEnder {
     private static final int OK = 200;
     private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
     /**
-     * Time limit for ending an owned batch. Its record can't be written during an outage of the key-value store; the
-     * caller then has to try again.
+     * Time limit for ending an owned batch. The record of the batch can't be written during an outage of the key-value
+     * store; the caller then has to try again.
      */
     private static final long END_TIMEOUT_MILLIS = 2500;
 
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Finds the owner among the known hosts, otherwise by its key in the store: a host that has just started may not
-     * have the owner on its list yet.
+     * Finds the owner of a batch in this host's list of live hosts, otherwise by the owner's key in the store: a host
+     * that has just started may not have the owner on its list yet.
      */
     private void findOwner(BatchStore.StoredRecord found, Consumer<Optional<Host>> receiver) {
         HostId owner = new HostId(found.record().owner());
@@ -161,8 +161,8 @@
     }
 
     /**
-     * Notifies the owner that the record is ended. It would otherwise notice only at its next write, and start further
-     * items until then.
+     * Notifies the owner that the record is marked as ended. Otherwise the owner would notice only at its next write,
+     * and start further items until then.
      */
     private void notifyOwner(BatchStore.StoredRecord found, int attempts) {
         if (attempts == 0) {
--- a/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
@@ -21,7 +21,7 @@
  * taken over like a batch of a lost host.
  */
 final class BatchHandOver {
-    /** Delay before a batch that was not taken is offered again. */
+    /** Delay before a batch that the chosen host did not accept is offered again. */
     private static final long OFFER_RETRY_MILLIS = 100;
 
     private final GatewayContext context;
@@ -75,7 +75,8 @@
                     .with("taken", taken)
                     .write();
             if (!taken) {
-                // That host may be stopping too, or not know this host yet: the retry picks one of those that stay.
+                // The chosen host may be stopping as well, or may not know this host yet. The retry chooses among the
+                // hosts that are not stopping by then.
                 context.loop().after(OFFER_RETRY_MILLIS, () -> offered.remove(batch.id()));
             }
             if (taken) {
--- a/src/main/java/org/gooseberryhill/gateway/BatchRegistry.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRegistry.java
@@ -16,13 +16,13 @@
  * Registry of the batches that this host owns, of the callers that wait for their results, and of the known owners of
  * other batches. Confined to the control thread.
  *
- * <p>Invariant: an owned batch has exactly one entry from {@link #add} to {@link #remove}. A second copy would list
- * again the results that the first copy has committed.
+ * <p>Invariant: an owned batch has exactly one entry from {@link #add} to {@link #remove}. A second copy would commit
+ * again the results that the first copy has already committed.
  */
 final class BatchRegistry {
     /**
-     * How long a finished batch stays in memory. Callers poll twice a second until they have all results; a result
-     * takes several kilobytes, and a host owns many batches a day.
+     * How long a finished batch stays in memory: long enough for its callers, which poll twice a second until they have
+     * all results, but not longer, since a result takes several kilobytes and a host owns many batches a day.
      */
     private static final long EVICT_FINISHED_AFTER_NANOS = TimeUnit.SECONDS.toNanos(60);
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Forgets the owners of batches that no longer exist, and the finish times of batches that are no longer owned. */
+    /** Removes the owners of batches that no longer exist, and the finish times of batches that are no longer owned. */
     void retainKnown(Set<String> known) {
         owners.keySet().retainAll(known);
         finishedSinceNanos.keySet().retainAll(owned.keySet());
--- a/src/main/java/org/gooseberryhill/gateway/BatchSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchSubmissionHandler.java
@@ -22,17 +22,19 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Accepts submissions of request batches. Entered from traffic threads, decides on the control thread.
+ * Accepts submissions of request batches. Calls arrive on traffic threads and are processed on the control thread.
  *
  * <p>Invariant: a submission is confirmed only after its record and items are in the key-value store or on enough
- * disks; a refusal that promises not-run is given only if they are certainly stored nowhere and never will be.
+ * disks; a refusal with outcome {@code NOT_RUN} is sent only if they are certainly stored nowhere and
+ * never will be.
  */
 final class BatchSubmissionHandler {
     private static final int ACCEPTED = 202;
     private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
     /**
-     * How long a submission is tried while its caller waits; outages of the store are either longer or much shorter.
+     * How long the storing of a submission is attempted while its caller waits; outages of the store are either longer
+     * or much shorter.
      */
     private static final long SUBMIT_TIMEOUT_MILLIS = 2500;
 
@@ -135,7 +137,7 @@
         runner.schedule();
     }
 
-    /** Requests copies on the disks of other hosts, which replace the record until the key-value store answers. */
+    /** Requests copies on the disks of other hosts, which make the batch durable until its record is written. */
     private void requestCopies(Submission submission) {
         if (submission.acceptance.requestCopies(copies.hostCount())) {
             copies.requestCopies(submission.id, submission.record, submission.body, () -> onCopyStored(submission));
@@ -199,8 +201,8 @@
     }
 
     /**
-     * Handles a record that a host with a copy created, for this process or for another one that accepted the same
-     * batch.
+     * Handles a record that was created by a host with a copy, for this process or for another one that accepted the
+     * same batch.
      */
     private void onRecordedByAnother(OwnedBatch accepted, Optional<BatchStore.StoredRecord> found) {
         if (found.isPresent() && isOwnedByThisProcess(found.get().record())) {
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -62,7 +62,7 @@
         this.onListed = onListed;
     }
 
-    /** Updates the set of live hosts, and scans the records as soon as one of them is lost. Called often. */
+    /** Updates the set of live hosts, and scans the records as soon as a host is lost. Called often. */
     void tick() {
         if (failureDetector.updateLiveProcesses(links.liveProcessStarts(), context.nowNanos())) {
             scanRecords(true);
@@ -86,8 +86,9 @@
 
     /**
      * Takes over a batch that its owner hands to this host. An owner that gets no reply in time offers the batch again,
-     * so a batch that was already taken is confirmed once more. A copy older than the offer does not show that the
-     * batch was taken: this host may have been suspended while another host took the batch from it.
+     * so a batch that was already taken is confirmed once more. If this host has the batch at a revision that is not
+     * later than the offered one, this does not show that it took the batch: it may have been suspended while another
+     * host took the batch over from it.
      *
      * @param then gets whether this host has taken the batch
      */
@@ -158,8 +159,9 @@
     }
 
     /**
-     * Loads a batch that this process does not have although the record names it as the owner: a write whose answer was
-     * lost took effect later. The listing may be older than a hand-over by this process, so the record is read again.
+     * Loads a batch that this process does not have although the record names this process as the owner: a write whose
+     * answer was lost took effect later. The listing may be older than a hand-over by this process, so the record is
+     * read again.
      */
     private void loadIfOwned(String id) {
         takeoversInProgress.add(id);
@@ -206,7 +208,8 @@
     /**
      * Loads a batch that this host now owns.
      *
-     * @param handedOver the progress of its items if the last owner passed it on; otherwise the stored progress is read
+     * @param handedOver the checkpoints of its items if the last owner passed them on; otherwise the stored ones are
+     *     read
      */
     private void load(BatchStore.StoredRecord taken, Optional<List<ItemCheckpoint>> handedOver) {
         CompletableFuture<List<ItemCheckpoint>> progress =
--- a/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
+++ b/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
@@ -10,7 +10,7 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Tracks requests whose endpoints crashed, as observed by this and the other gateways. For the control thread.
+ * Tracks requests whose endpoints crashed, as observed by this and the other gateways. Confined to the control thread.
  *
  * <p>Failure: one request crashes each endpoint that runs it, and its caller sends it again through other hosts. Each host
  * notifies the others of requests that were cut off, so that the second crash is enough to quarantine the request,
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Records an attempt that ended before any part of its answer arrived. A silent endpoint may merely be full, so it does
-     * not count as crashed.
+     * Records an attempt that ended before any part of its answer arrived. A silent endpoint may merely have no free
+     * slot, so it does not count as crashed.
      */
     void attemptEnded(Fingerprint request, String endpoint, AttemptEnd end) {
         if (end != AttemptEnd.CUT) {
--- a/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
+++ b/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
@@ -4,7 +4,7 @@
 import org.gooseberryhill.decision.dispatch.HealthChange;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Probes endpoints that could not be reached, and logs changes of endpoint health. For the control thread. */
+/** Probes endpoints that could not be reached, and logs changes of endpoint health. Confined to the control thread. */
 final class EndpointProbes {
     /** Same as the connect timeout of a request. */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
--- a/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
+++ b/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
@@ -12,21 +12,24 @@
 /**
  * Reports to operators when a host with a disk can be removed. Confined to the control thread.
  *
- * <p>Such a host keeps submissions only while the key-value store lacks them. Asking for their number makes the host
- * create their records at once and accept no more; it can be removed when none are left. A host that can't be reached
- * for a while is reported as removable too: waiting would not save what it keeps, and other hosts have copies. The
- * first two gateways by rank do this, the second in case the first is lost in the meantime; reporting twice changes
- * nothing.
+ * <p>Such a host stores submissions only until the key-value store has recorded them. A request for the number of its
+ * submissions makes the host create their records at once and accept no further ones; it can be removed when none are
+ * left. A host that can't be reached for a while is reported as removable too: waiting would not save the submissions
+ * that it stores, and other hosts have copies of them. The first two gateways by rank report, the second in case the
+ * first is lost in the meantime; reporting twice changes nothing.
  */
 final class EvacuationReporter {
     private static final int REPORTING_GATEWAYS = 2;
 
-    /** Delay of the second gateway: by then the first one has reported, or is lost. */
+    /** Delay of the second gateway: by then the first one has reported or is lost. */
     private static final long REPORT_DELAY_MILLIS = 1000;
 
     private static final long RETRY_MILLIS = 500;
 
-    /** Allows for several attempts to ask the host, and is a fraction of the time that operators allow. */
+    /**
+     * Time after which a host that can't be reached is reported as removable. Allows for several requests to the host,
+     * and is a fraction of the time that operators allow.
+     */
     private static final long UNREACHABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(3000);
 
     private final GatewayContext context;
--- a/src/main/java/org/gooseberryhill/gateway/GatewayContext.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayContext.java
@@ -22,8 +22,8 @@
  * @param peers client for calls to other hosts
  * @param store key-value store
  * @param dialects translations of external formats
- * @param fleet endpoints; for the control thread
- * @param core decisions about routed requests; for the control thread
+ * @param fleet endpoints; confined to the control thread
+ * @param core decisions about routed requests; confined to the control thread
  * @param stop planned stop
  * @param timeline log of events
  * @param metrics metrics
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
@@ -6,7 +6,7 @@
 import org.gooseberryhill.peer.GatewayMessage;
 import org.gooseberryhill.peer.PeerMessage;
 
-/** Handles messages of other gateways. Called on traffic threads, decides on the control thread. */
+/** Handles messages of other gateways. They arrive on traffic threads and are processed on the control thread. */
 final class GatewayMessageHandler {
     private final GatewayContext context;
     private final LoadExchange load;
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -43,7 +43,7 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * The program {@code gooseberry-gateway}. Thread-safe.
+ * Process of the program {@code gooseberry-gateway}: creates, starts and stops all parts of a gateway. Thread-safe.
  *
  * <p>Invariant: control state is confined to the control thread; one traffic thread serves all connections, since the
  * hosts have one core.
@@ -64,8 +64,9 @@
     private static final long RECORD_SCAN_PERIOD_MILLIS = 4000;
 
     /**
-     * Time after a stop request during which all requests are accepted and idle connections are kept: the balancer polls
-     * each second and removes a host after two answers. Half of the stop's time limit if that is shorter.
+     * Time after a stop request during which all requests are accepted and idle connections are kept: the load balancer
+     * checks readiness each second and removes a host after two negative answers. The time is half of the stop's time
+     * limit if that is shorter.
      */
     private static final long STOP_GRACE_MILLIS = 2600;
 
@@ -182,7 +183,7 @@
         start(ListeningSocket.open(settings.callersAddress()));
     }
 
-    /** Starts serving, with callers at a socket that is already listening. */
+    /** Starts serving; callers are served at a socket that is already listening. */
     public void start(ListeningSocket callers) {
         // The store is queried first, so that its answers arrive during the rest of the start.
         context.loop().execute(this::startOnControlThread);
--- a/src/main/java/org/gooseberryhill/gateway/GatewaySettings.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewaySettings.java
@@ -10,7 +10,7 @@
  *
  * @param self identity, role, availability zone and peer address of this host
  * @param callersAddress address at which callers are served
- * @param readinessAddress address at which the balancer checks whether this host accepts new connections
+ * @param readinessAddress address at which the load balancer checks whether this host accepts new connections
  * @param metricsAddress address at which metrics are served, if any
  * @param seeds peer addresses of some hosts, which may include this host and lost ones
  * @param stopBoundMillis time after which a planned stop ends even with requests in progress
--- a/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
@@ -10,7 +10,10 @@
 import org.gooseberryhill.http.HttpCall;
 import org.gooseberryhill.link.Json;
 
-/** State that all requests of this host share, and the format of refusals. For the control thread unless stated otherwise. */
+/**
+ * State that all requests of this host share, and the format of refusals. Confined to the control thread unless stated
+ * otherwise.
+ */
 final class GatewayTraffic {
     /** Short, since another host accepts the request at once. */
     private static final long STOPPING_RETRY_AFTER_MILLIS = 10;
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -23,7 +23,7 @@
 import org.gooseberryhill.stored.StoredValueCodec;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Follows endpoints, operator entries and live hosts in the key-value store. Used by the control thread only. */
+/** Follows endpoints, operator entries and live hosts in the key-value store. Confined to the control thread. */
 final class GatewayViews {
     /** The store answers in milliseconds; a starting host without an answer after this time queries the seeds as well. */
     private static final long SEED_QUERY_DELAY_MILLIS = 400;
--- a/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
+++ b/src/main/java/org/gooseberryhill/gateway/LoadExchange.java
@@ -7,13 +7,13 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Exchanges reports of the requests in flight at endpoints with the other gateways. For the control thread.
+ * Exchanges reports of the requests in flight at endpoints with the other gateways. Confined to the control thread.
  *
  * <p>Changes are reported within some tens of milliseconds, several of them together; the report is repeated each second,
  * which also shows that the host is alive.
  */
 final class LoadExchange {
-    /** Changes within this time are sent together; a service with some hundred requests per second gets a few meanwhile. */
+    /** Changes within this time are sent together; a service with some hundred requests per second gets a few in it. */
     private static final long COALESCING_MILLIS = 25;
 
     private final GatewayContext context;
--- a/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
+++ b/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
@@ -17,7 +17,7 @@
 import org.gooseberryhill.peer.PeerLane;
 import org.gooseberryhill.peer.PeerMessage;
 
-/** Keeps the roster of live hosts and sends messages to them. Used by the control thread only. */
+/** Keeps the roster of live hosts and sends messages to them. Confined to the control thread. */
 final class PeerLinks {
     /** Timeout of a reply: many round trips between availability zones, but less than any time limit that depends on it. */
     private static final long ASK_TIMEOUT_MILLIS = 700;
@@ -98,7 +98,9 @@
         return context.peers().ask(host.address(), PeerLane.CONTROL, message, timeoutMillis);
     }
 
-    /** Posts a message to all other gateways; one that does not receive it learns of its content in another way. */
+    /**
+     * Posts a message to all other gateways. A gateway that does not receive it learns of its content in another way.
+     */
     void broadcast(PeerMessage message) {
         List<Address> addresses = new ArrayList<>();
         gateways().forEach(host -> addresses.add(host.address()));
--- a/src/main/java/org/gooseberryhill/gateway/ProcessDelayDetector.java
+++ b/src/main/java/org/gooseberryhill/gateway/ProcessDelayDetector.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Detects that the process was not running for a while: its requests waited although nothing that they used was slow.
- * Not thread-safe.
+ * Detects that the process was not running for a while. Such a delay explains why requests waited although nothing that
+ * they used was slow. Not thread-safe.
  *
  * <p>Two clocks are compared, since the monotonic clock of a suspended host stops with it. A step of the wall clock is
  * reported as well, because it cannot be distinguished from a suspension.
@@ -28,7 +28,7 @@
         this.periodMillis = periodMillis;
     }
 
-    /** Takes the current time of both clocks; returns the delay of this tick if it is long enough to be reported. */
+    /** Records the current time of both clocks; returns the delay of this tick if it is long enough to be reported. */
     Optional<Delay> tick(long nowNanos, long nowEpochMillis) {
         OptionalLong before = lastNanos;
         long epochMillis = nowEpochMillis - lastEpochMillis;
--- a/src/main/java/org/gooseberryhill/gateway/Readiness.java
+++ b/src/main/java/org/gooseberryhill/gateway/Readiness.java
@@ -7,7 +7,8 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Tracks whether the balancer may send new connections to this host. For the control thread unless stated otherwise.
+ * Tracks whether the load balancer may send new connections to this host. Confined to the control thread unless stated
+ * otherwise.
  *
  * <p>Invariant: a host that is stopping never becomes ready again.
  */
@@ -29,7 +30,7 @@
     /**
      * Updates the readiness; called periodically.
      *
-     * @param canRoute whether the host knows enough to route requests
+     * @param canRoute whether the host has loaded what it needs to route requests
      * @param stopping whether a stop was requested
      */
     void update(boolean canRoute, boolean stopping) {
@@ -49,7 +50,7 @@
                 .write();
     }
 
-    /** Answers a readiness check of the balancer; may be called from any thread. */
+    /** Answers a readiness check of the load balancer; may be called from any thread. */
     RequestBodyHandler answer(HttpCall call) {
         return new BodyCollector(
                 MAX_BODY_BYTES,
--- a/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
@@ -11,7 +11,7 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Executes a {@link RecordWrite} against the key-value store. Confined to the control thread.
+ * Writes the record of a batch to the key-value store, as {@link RecordWrite} decides. Confined to the control thread.
  *
  * <p>Failure: the store performs a write but its answer is lost, and the caller of a batch waits for the full timeout
  * of a store call. A write that is not answered soon is therefore sent a second time while the first is still pending;
--- a/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
+++ b/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
@@ -12,7 +12,7 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * Endpoints that are registered in the key-value store. For the control thread.
+ * Endpoints that are registered in the key-value store. Confined to the control thread.
  *
  * <p>Endpoints write their registration about once a second just to show that they are alive: each write is parsed once,
  * and most of them change nothing. An invalid registration names no endpoint, and is logged once.
--- a/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
@@ -16,8 +16,8 @@
  * another host that reaches the store. Thread-safe.
  *
  * <p>Invariant: every acknowledgement comes from the store itself, whichever host relayed the call. A write whose
- * answer was lost may be repeated through another host, because it takes effect only at the revisions that it names; a
- * write without conditions is repeated with the same content.
+ * answer was lost may be repeated through another host, because it takes effect only if the keys still have the
+ * revisions that it names; a write without conditions is repeated with the same content.
  */
 final class RelayingKeyValueStore implements PollingKeyValueStore {
     private static final long RELAY_TIMEOUT_MILLIS = 900;
@@ -59,7 +59,7 @@
                 GatewayMessage.StoreAnswer::listing);
     }
 
-    /** Not relayed: the hosts that reach the store pass on all changes anyway. */
+    /** Not relayed: the hosts that reach the store forward all changes anyway. */
     @Override
     public CompletableFuture<Changes> changesAfter(String prefix, long revision, long waitMillis) {
         if (!storeReachability.mayCallDirectly(System.nanoTime())) {
@@ -186,8 +186,8 @@
     }
 
     /**
-     * Relays a call whose direct attempt failed or was skipped. If the direct attempt may have done a write, the failure
-     * says so whatever the failure of the relayed call is.
+     * Relays a call whose direct attempt failed or was skipped. If the write of the direct attempt may have taken
+     * effect, the resulting failure says so, whatever the failure of the relayed call is.
      */
     private <T> CompletableFuture<T> callThroughRelay(
             GatewayMessage.StoreCall call,
--- a/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
@@ -21,7 +21,7 @@
 import org.gooseberryhill.route.RouteTarget;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Dispatches the calls of callers to their routes or to the system's own interface. Thread-safe. */
+/** Dispatches the calls of callers to their routes or to the batch API. Thread-safe. */
 final class RequestRouter {
     private static final long NO_CONFIGURATION_RETRY_AFTER_MILLIS = 500;
 
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -29,11 +29,11 @@
 /**
  * Handles one routed request. Decisions run on the control thread, answers on traffic threads.
  *
- * <p>Invariant: the caller gets one final answer; a disconnect of the caller or the end of the request's time cancels the
+ * <p>Invariant: the caller gets one final answer; a disconnect of the caller or the request's deadline cancels the
  * attempt at once, so that no endpoint works for a caller that no longer waits.
  */
 final class RoutedCall {
-    /** End of a request in logs and metrics if the caller got an endpoint's answer. */
+    /** Value that logs and metrics give as the end of a request whose caller got an endpoint's answer. */
     private static final String ANSWERED = "answered";
 
     /** A connection that has been idle for longer may be closing: a request that is not repeatable takes a new one. */
--- a/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
+++ b/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
@@ -21,7 +21,10 @@
     private static final int MAX_ENTRIES = 32;
 
     private static final int MAX_CHARACTERS = 700_000;
+    /** The condition, the record, the results, and the deletion of the checkpoints. */
     private static final int ENTRIES_PER_COMMIT = 4;
+
+    /** The condition and the checkpoints. */
     private static final int ENTRIES_PER_PROGRESS = 2;
 
     private final List<BatchStore.Commit> commits = new ArrayList<>();
--- a/src/main/java/org/gooseberryhill/gateway/StartGate.java
+++ b/src/main/java/org/gooseberryhill/gateway/StartGate.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Holds requests that arrive while a starting host does not know its configuration yet. For the control thread unless
- * stated otherwise.
+ * Holds requests that arrive while a starting host does not know its configuration yet. Confined to the control thread
+ * unless stated otherwise.
  *
  * <p>Failure: all hosts restart at once after a power failure, and the first requests reach hosts that read their
- * configuration some hundred milliseconds later; refused requests were retried too early and were lost. If the
- * configuration is still unknown after the hold time, the store is unavailable: requests are then refused at once, since
- * the duration of the outage is unknown.
+ * configuration some hundred milliseconds later; requests that are refused until then are retried too early and lost.
+ * If the configuration is still unknown after the hold time, the store is unavailable: requests are then refused at
+ * once, since the duration of the outage is unknown.
  */
 final class StartGate {
     /** Several times the time that a starting host takes to read the store. */
@@ -25,12 +25,12 @@
         this.startNanos = startNanos;
     }
 
-    /** Returns whether the host knows enough to serve; may be called from any thread. */
+    /** Returns whether the gate was opened; may be called from any thread. */
     boolean isOpen() {
         return open;
     }
 
-    /** Runs an action now or holds it until the host knows enough; returns false if the hold time is over. */
+    /** Runs an action now or holds it until the gate opens; returns false if the hold time is over. */
     boolean runOrHold(Runnable action, long nowNanos) {
         if (open) {
             action.run();
@@ -43,7 +43,7 @@
         return true;
     }
 
-    /** Opens the gate and runs the held actions, when the host knows enough to serve. */
+    /** Opens the gate, once the host can route requests, and runs the held actions. */
     void open() {
         if (!open) {
             open = true;
--- a/src/main/java/org/gooseberryhill/gateway/StopSequence.java
+++ b/src/main/java/org/gooseberryhill/gateway/StopSequence.java
@@ -9,11 +9,11 @@
 import org.gooseberryhill.registration.HostRegistration;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Carries out the planned stop of a gateway. For the control thread. */
+/** Carries out the planned stop of a gateway. Confined to the control thread. */
 final class StopSequence {
     private static final long CHECK_PERIOD_MILLIS = 25;
 
-    /** Maximum time that the stop waits for the removal of the host's key; without it, the lease of the key expires. */
+    /** Maximum time that the stop waits for the removal of the host's key, which otherwise expires with its lease. */
     private static final long RELEASE_TIMEOUT_MILLIS = 500;
 
     private final GatewayContext context;
@@ -29,7 +29,7 @@
      * Creates the stop sequence of a gateway.
      *
      * @param callers supplies the server for callers, once the process has started
-     * @param onRequested notifies the balancer and the other hosts
+     * @param onRequested notifies the load balancer and the other hosts
      */
     StopSequence(
             GatewayContext context,
--- a/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
@@ -13,7 +13,7 @@
 import org.gooseberryhill.stored.BatchStore;
 
 /**
- * Reads batches whose owner can't be asked from the key-value store. Called on the control thread; the futures may
+ * Reads batches from the key-value store if their owner can't be asked. Called on the control thread; the futures may
  * complete on other threads.
  *
  * <p>Committed results never change, so they are cached: callers poll twice a second, and each call to the store has a
--- a/src/main/java/org/gooseberryhill/gateway/ViewRefreshPolicy.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewRefreshPolicy.java
@@ -3,15 +3,15 @@
 /**
  * Determines when each host queries the store for the changes of a key prefix. Immutable.
  *
- * @param firstMaxAgeMillis age of the view at which the first host in turn queries the store
- * @param secondMaxAgeMillis age of the view at which the second host queries the store
- * @param maxAgeStepMillis amount by which this age grows for each further host
+ * @param firstMaxAgeMillis age of the view at which the host of rank 0 queries the store
+ * @param secondMaxAgeMillis age of the view at which the host of rank 1 queries the store
+ * @param maxAgeStepMillis amount by which this age grows for each further rank
  * @param waitMillis maximum time that the store waits for a change before it answers
  */
 record ViewRefreshPolicy(long firstMaxAgeMillis, long secondMaxAgeMillis, long maxAgeStepMillis, long waitMillis) {
     /**
      * Registrations change constantly, since each heartbeat is a change: a query each half second collects the changes, and
-     * an endpoint that leaves is known within a second, even when the first host in turn is lost.
+     * an endpoint that leaves is known within a second, even when the host of rank 0 is lost.
      */
     static final ViewRefreshPolicy REGISTRATIONS = new ViewRefreshPolicy(500, 900, 100, 1000);
 
--- a/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
@@ -13,8 +13,8 @@
 import org.gooseberryhill.view.KeyView;
 
 /**
- * Keeps the view of one key prefix up to date, from the store and from what other hosts read there. Used by the control
- * thread only.
+ * Keeps the view of one key prefix up to date, from the store and from what other hosts read there. Confined to the
+ * control thread.
  *
  * <p>Each store call has a cost, and all hosts need the same changes: the host whose turn it is queries the store and
  * forwards the changes; the others query only when their view exceeds their own, larger maximum age. No host is elected
--- a/src/main/java/org/gooseberryhill/outbox/OutboxService.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxService.java
@@ -20,8 +20,8 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * Stores submissions for gateways, and creates the batch records that no gateway has created. Used by the control
- * thread only, unless a method says otherwise.
+ * Stores submissions for gateways, and creates the batch records that no gateway has created. Confined to the control
+ * thread unless stated otherwise.
  *
  * <p>Invariant: a submission is deleted from the disk only when the key-value store has a record of its batch, when its
  * gateway says that it was not accepted ({@link OutboxMessage.Drop}), or when it is so old that its batch may have been
--- a/src/main/java/org/gooseberryhill/registration/HostRegistration.java
+++ b/src/main/java/org/gooseberryhill/registration/HostRegistration.java
@@ -15,15 +15,17 @@
 import org.gooseberryhill.timeline.Timeline;
 
 /**
- * Keeps this host's key among those of the live hosts, under a lease. Used by the control thread only.
+ * Registers this host in the list of live hosts: writes its key in the key-value store under a lease and renews the
+ * lease. Confined to the control thread.
  *
  * <p>The key of a lost host disappears when its lease expires; a host whose lease expired during an outage of the store is
  * listed again with its next renewal.
  */
 public final class HostRegistration {
     /**
-     * Long enough to outlast a lost renewal and its retry; the batches of a lost host wait for as long. A host whose lease
-     * expires nevertheless is known to be alive by its reports, and requests a new lease.
+     * Outlasts a lost renewal and its retry. The key of a lost host stays listed for this time, and its batches wait
+     * meanwhile. A host whose lease expires although it is running is known to be alive by its reports, and requests a
+     * new lease.
      */
     private static final long LEASE_MILLIS = 4000;
 
@@ -49,7 +51,7 @@
         this.self = self;
     }
 
-    /** Starts to keep the key. */
+    /** Requests a lease and writes the key under it; from then on, renews the lease periodically. */
     public void start() {
         grantLease();
     }
--- a/src/main/java/org/gooseberryhill/route/Route.java
+++ b/src/main/java/org/gooseberryhill/route/Route.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * Route for the requests to one host whose path begins with a prefix, with the targets promised to callers. Immutable.
+ * Route for the requests to one host whose path begins with a prefix, with the service levels promised to callers.
+ * Immutable.
  *
  * @param name name of the route in logs and metrics
  * @param host value of the Host header of the requests
--- a/src/main/java/org/gooseberryhill/route/RouteConfiguration.java
+++ b/src/main/java/org/gooseberryhill/route/RouteConfiguration.java
@@ -6,7 +6,8 @@
 /**
  * All routes and services of one configuration version. Immutable.
  *
- * @param version version; increases with each configuration, by varying steps; 0 for the empty configuration
+ * @param version version number, which increases with each configuration, not always by one; 0 for the empty
+ *     configuration
  * @param routes routes
  * @param services services by name
  * @param limits limits for client requests
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -68,7 +68,7 @@
                 .thenApply(result -> result.first().map(entry -> decodeRecord(id, entry.value(), entry.modRevision())));
     }
 
-    /** Reads the entry of a live host; empty if it has none or if it is unreadable. */
+    /** Reads the entry of a live host; empty if there is no entry or it can't be decoded. */
     public CompletableFuture<Optional<Host>> readHost(HostId id) {
         return store.read(StoredKeys.host(id.value()))
                 .thenApply(result -> result.first()
--- a/src/main/java/org/gooseberryhill/view/KeyView.java
+++ b/src/main/java/org/gooseberryhill/view/KeyView.java
@@ -17,7 +17,9 @@
  */
 public final class KeyView {
     private final Map<String, KeyChange> entriesByKey = new TreeMap<>();
+    /** Revisions at which keys were deleted, so that an older listing or write does not restore them. */
     private final Map<String, Long> deletionRevisions = new HashMap<>();
+
     private long revision;
 
     /** Returns the revision up to which all changes are known; 0 before the first listing. */
@@ -37,8 +39,8 @@
 
     /**
      * Applies the changes between two revisions and returns those that changed the view. Returns empty and applies
-     * nothing before the first listing, or if {@code fromRevision} is beyond the known revision: the changes in between
-     * are missing.
+     * nothing before the first listing, or if {@code fromRevision} is later than the revision of the view: the changes
+     * in between are missing.
      */
     public Optional<List<KeyChange>> applyChanges(long fromRevision, long toRevision, List<KeyChange> changes) {
         if (revision == 0 || fromRevision > revision) {
@@ -46,8 +48,8 @@
         }
         List<KeyChange> effective = new ArrayList<>();
         for (KeyChange change : changes) {
-            // All changes up to the known revision are included, also deletions: an older write must not restore a
-            // deleted key.
+            // The view already contains all changes up to its revision, including deletions. An older write must not
+            // restore a deleted key.
             if (change.revision() > revision && apply(change)) {
                 effective.add(change);
             }
@@ -58,8 +60,8 @@
 
     /**
      * Applies a listing of all keys as of a revision and returns what changed in the view. A key that is absent from
-     * the listing is removed, unless it was written after the listing. Listings older than the known revision are
-     * ignored.
+     * the listing is removed, unless it was written after the listing. Listings older than the revision of the view
+     * are ignored.
      */
     public List<KeyChange> applyListing(long listedRevision, List<KeyChange> listing) {
         if (listedRevision < revision) {
--- a/src/test/java/org/gooseberryhill/gateway/BatchRegistryTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/BatchRegistryTest.java
@@ -14,7 +14,8 @@
     private final BatchRegistry registry = new BatchRegistry();
 
     /**
-     * Guards against results that are listed twice because a batch is submitted again while its host is taking it over.
+     * Guards against results that are committed twice because a batch is submitted again while its host is taking it
+     * over.
      */
     @Test
     void addingAnOwnedBatchAgainKeepsTheFirstCopy() {
--- a/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
+++ b/src/test/java/org/gooseberryhill/view/KeyViewProperties.java
@@ -45,7 +45,9 @@
         assertThat(view.entries()).containsExactlyElementsOf(listing(history, 29));
     }
 
-    /** Another host forwards changes that begin after the known revision: applying them would hide the missing ones. */
+    /**
+     * Another host forwards changes that begin after the view's revision: applying them would hide the missing ones.
+     */
     @Test
     void changesAfterAGapAreRejected() {
         KeyView view = new KeyView();
