--- a/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
@@ -70,19 +70,19 @@
      *
      * @param receiver gets the page, or empty if this host does not own the batch
      */
-    void readOwnedResults(String id, int after, long waitMillis, PageReceiver receiver) {
+    void readOwnedResults(String id, int firstPosition, long waitMillis, PageReceiver receiver) {
         Optional<OwnedBatch> batch = registry.find(id);
         if (batch.isEmpty()) {
             receiver.receive(Optional.empty());
             return;
         }
-        BatchPage page = batch.get().page(after, MAX_PAGE_CHARACTERS);
+        BatchPage page = batch.get().page(firstPosition, MAX_PAGE_CHARACTERS);
         if (!page.results().isEmpty() || waitMillis <= 0 || batch.get().isFinished()) {
             receiver.receive(Optional.of(page));
             return;
         }
         RunOnce answerOnce = new RunOnce(
-                () -> receiver.receive(registry.find(id).map(found -> found.page(after, MAX_PAGE_CHARACTERS))));
+                () -> receiver.receive(registry.find(id).map(found -> found.page(firstPosition, MAX_PAGE_CHARACTERS))));
         registry.addWaiter(id, answerOnce);
         context.loop().after(waitMillis, answerOnce);
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCleanup.java
@@ -38,7 +38,8 @@
                 .filter(found -> found.record().isFinished())
                 .collect(Collectors.toMap(BatchStore.StoredRecord::id, Function.identity()));
         registry.evictFinished(context.nowNanos());
-        registry.retainKnown(records.stream().map(BatchStore.StoredRecord::id).collect(Collectors.toSet()));
+        registry.retainExisting(
+                records.stream().map(BatchStore.StoredRecord::id).collect(Collectors.toSet()));
         for (String id : expiry.observe(finished.keySet(), context.nowNanos())) {
             if (links.isResponsibleFor("batch/" + id) && deleting.add(id)) {
                 delete(finished.get(id));
@@ -46,15 +47,15 @@
         }
     }
 
-    private void delete(BatchStore.StoredRecord found) {
-        context.onLoop(store.delete(found), (deleted, failure) -> {
-            deleting.remove(found.id());
+    private void delete(BatchStore.StoredRecord stored) {
+        context.onLoop(store.delete(stored), (deleted, failure) -> {
+            deleting.remove(stored.id());
             if (failure == null && deleted) {
-                registry.remove(found.id());
+                registry.remove(stored.id());
                 context.timeline()
                         .event(EventKind.BATCH_DELETED)
-                        .job(found.id())
-                        .with("items", found.record().items())
+                        .job(stored.id())
+                        .with("items", stored.record().items())
                         .write();
             }
         });
--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -51,17 +51,17 @@
 
     /** Writes results and progress that are due. Called often. */
     void tick(boolean stopping) {
-        List<OwnedBatch> idle = new ArrayList<>();
+        List<OwnedBatch> batchesToSave = new ArrayList<>();
         boolean due = false;
         for (OwnedBatch batch : registry.batches()) {
             if (writesInFlight.contains(batch.id()) || batch.isFinished() || !batch.isRecorded()) {
                 continue;
             }
-            idle.add(batch);
+            batchesToSave.add(batch);
             due |= saveTiming.isDue(batch, stopping, leftMillis(batch), context.nowNanos());
         }
         if (due) {
-            save(SaveBundle.of(idle, !stopping));
+            save(SaveBundle.of(batchesToSave, !stopping));
         }
     }
 
@@ -120,8 +120,8 @@
     private void save(SaveBundle bundle) {
         bundle.commits().forEach(commit -> writesInFlight.add(commit.id()));
         bundle.commits().forEach(commit -> saveTiming.resetDelays(commit.id()));
-        bundle.progress().forEach(progress -> saveTiming.resetDelays(progress.id()));
-        context.onLoop(store.save(bundle.commits(), bundle.progress()), (result, failure) -> {
+        bundle.checkpoints().forEach(checkpoints -> saveTiming.resetDelays(checkpoints.id()));
+        context.onLoop(store.save(bundle.commits(), bundle.checkpoints()), (result, failure) -> {
             boolean done = failure == null && result.succeeded();
             if (done) {
                 bundle.markProgressSaved();
@@ -134,7 +134,7 @@
                 }
             }
             if (failure == null && !result.succeeded()) {
-                bundle.progress().forEach(progress -> checkRecord(progress.id()));
+                bundle.checkpoints().forEach(checkpoints -> checkRecord(checkpoints.id()));
             }
         });
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
@@ -88,7 +88,7 @@
             return;
         }
         batch.get().markEnding();
-        runner.stop(id);
+        runner.cancelRunsOfBatch(id);
         committer.end(batch.get(), receiver);
     }
 
@@ -121,12 +121,12 @@
         });
     }
 
-    private void endRecord(HttpCall call, BatchStore.StoredRecord found, Optional<Host> asked) {
-        findOwner(found, owner -> {
+    private void endRecord(HttpCall call, BatchStore.StoredRecord stored, Optional<Host> asked) {
+        findOwner(stored, owner -> {
             if (owner.isPresent() && !owner.equals(asked)) {
-                endAtOwner(found.id(), owner.get(), () -> confirm(call), () -> writeEndedRecord(call, found));
+                endAtOwner(stored.id(), owner.get(), () -> confirm(call), () -> writeEndedRecord(call, stored));
             } else {
-                writeEndedRecord(call, found);
+                writeEndedRecord(call, stored);
             }
         });
     }
@@ -135,27 +135,27 @@
      * Finds the owner of a batch in this host's list of live hosts, otherwise by the owner's key in the store: a host
      * that has just started may not have the owner on its list yet.
      */
-    private void findOwner(BatchStore.StoredRecord found, Consumer<Optional<Host>> receiver) {
-        HostId owner = new HostId(found.record().owner());
-        Optional<Host> known = links.find(owner);
-        if (known.isPresent()) {
-            receiver.accept(known);
+    private void findOwner(BatchStore.StoredRecord stored, Consumer<Optional<Host>> receiver) {
+        HostId owner = new HostId(stored.record().owner());
+        Optional<Host> liveOwner = links.find(owner);
+        if (liveOwner.isPresent()) {
+            receiver.accept(liveOwner);
             return;
         }
         context.onLoop(
                 store.readHost(owner), (host, failure) -> receiver.accept(failure == null ? host : Optional.empty()));
     }
 
-    private void writeEndedRecord(HttpCall call, BatchStore.StoredRecord found) {
-        BatchRecord ended = found.record().asEnded();
-        context.onLoop(store.replaceRecord(found.id(), found.revision(), ended), (result, failure) -> {
+    private void writeEndedRecord(HttpCall call, BatchStore.StoredRecord stored) {
+        BatchRecord ended = stored.record().asEnded();
+        context.onLoop(store.replaceRecord(stored.id(), stored.revision(), ended), (result, failure) -> {
             if (failure == null && result.succeeded()) {
-                storedBatchReader.evict(found.id());
+                storedBatchReader.evict(stored.id());
                 confirm(call);
-                notifyOwner(found, NOTIFY_OWNER_ATTEMPTS);
+                notifyOwner(stored, NOTIFY_OWNER_ATTEMPTS);
             } else {
                 // The owner committed in the meantime, or the answer was lost: the caller has to try again.
-                refusals.unavailable(call, found.id(), true);
+                refusals.unavailable(call, stored.id(), true);
             }
         });
     }
@@ -164,18 +164,18 @@
      * Notifies the owner that the record is marked as ended. Otherwise the owner would notice only at its next write,
      * and start further items until then.
      */
-    private void notifyOwner(BatchStore.StoredRecord found, int attempts) {
+    private void notifyOwner(BatchStore.StoredRecord stored, int attempts) {
         if (attempts == 0) {
             return;
         }
         Runnable retry =
-                () -> context.loop().after(NOTIFY_OWNER_INTERVAL_MILLIS, () -> notifyOwner(found, attempts - 1));
-        Optional<Host> host = links.find(new HostId(found.record().owner()));
+                () -> context.loop().after(NOTIFY_OWNER_INTERVAL_MILLIS, () -> notifyOwner(stored, attempts - 1));
+        Optional<Host> host = links.find(new HostId(stored.record().owner()));
         if (host.isEmpty()) {
             retry.run();
             return;
         }
-        context.onLoop(links.ask(host.get(), new GatewayMessage.BatchEndRequest(found.id())), (reply, failure) -> {
+        context.onLoop(links.ask(host.get(), new GatewayMessage.BatchEndRequest(stored.id())), (reply, failure) -> {
             if (failure != null) {
                 retry.run();
             }
--- a/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
@@ -67,19 +67,19 @@
         PeerMessage handOver = new GatewayMessage.BatchHandOver(
                 batch.id(), batch.recordRevision(), batch.record(), batch.checkpoints());
         context.onLoop(links.ask(chosen.get(), handOver), (reply, failure) -> {
-            boolean taken = reply instanceof GatewayMessage.BatchEnded answer && answer.ended();
+            boolean accepted = reply instanceof GatewayMessage.BatchEnded answer && answer.ended();
             context.timeline()
                     .event(EventKind.BATCH_HANDED_OVER)
                     .job(batch.id())
                     .with("to", chosen.get().id().value())
-                    .with("taken", taken)
+                    .with("taken", accepted)
                     .write();
-            if (!taken) {
+            if (!accepted) {
                 // The chosen host may be stopping as well, or may not know this host yet. The retry chooses among the
                 // hosts that are not stopping by then.
                 context.loop().after(OFFER_RETRY_MILLIS, () -> offered.remove(batch.id()));
             }
-            if (taken) {
+            if (accepted) {
                 registry.remove(batch.id());
                 registry.setOwner(batch.id(), chosen.get().id());
             }
--- a/src/main/java/org/gooseberryhill/gateway/BatchRegistry.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRegistry.java
@@ -80,8 +80,8 @@
     }
 
     /** Removes the owners of batches that no longer exist, and the finish times of batches that are no longer owned. */
-    void retainKnown(Set<String> known) {
-        owners.keySet().retainAll(known);
+    void retainExisting(Set<String> existingIds) {
+        owners.keySet().retainAll(existingIds);
         finishedSinceNanos.keySet().retainAll(owned.keySet());
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRunner.java
@@ -71,7 +71,7 @@
     }
 
     /** Cancels all runs of a batch. */
-    void stop(String batchId) {
+    void cancelRunsOfBatch(String batchId) {
         cancelRuns(dispatch.runsOf(batchId));
     }
 
@@ -143,7 +143,7 @@
                         .with("ageMillis", ageMillis)
                         .with("routeKnown", route.isPresent())
                         .write();
-                stop(batch.id());
+                cancelRunsOfBatch(batch.id());
                 batch.giveUpAll();
             }
         }
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -35,7 +35,7 @@
     private final BatchStore store;
     private final RecordWriter writer;
     private final OwnerFailureDetector failureDetector;
-    private final Runnable onTaken;
+    private final Runnable onTakenOver;
     private final Consumer<BatchStore.StoredRecord> onRecordChanged;
     private final Consumer<List<BatchStore.StoredRecord>> onListed;
     private final Set<String> takeoversInProgress = new HashSet<>();
@@ -47,7 +47,7 @@
             PeerLinks links,
             BatchRegistry registry,
             BatchStore store,
-            Runnable onTaken,
+            Runnable onTakenOver,
             Consumer<BatchStore.StoredRecord> onRecordChanged,
             Consumer<List<BatchStore.StoredRecord>> onListed) {
         this.context = context;
@@ -57,7 +57,7 @@
         this.writer = new RecordWriter(context, store);
         this.failureDetector =
                 new OwnerFailureDetector(context.settings().self().id().value());
-        this.onTaken = onTaken;
+        this.onTakenOver = onTakenOver;
         this.onRecordChanged = onRecordChanged;
         this.onListed = onListed;
     }
@@ -90,55 +90,57 @@
      * later than the offered one, this does not show that it took the batch: it may have been suspended while another
      * host took the batch over from it.
      *
-     * @param then gets whether this host has taken the batch
+     * @param receiver gets whether this host has taken the batch
      */
-    void takeOver(GatewayMessage.BatchHandOver handOver, Consumer<Boolean> then) {
+    void takeOver(GatewayMessage.BatchHandOver handOver, Consumer<Boolean> receiver) {
         BatchStore.StoredRecord offered =
                 new BatchStore.StoredRecord(handOver.batch(), handOver.record(), handOver.revision());
         if (registry.hasWrittenAfter(offered.id(), offered.revision())) {
-            then.accept(true);
+            receiver.accept(true);
             return;
         }
         dropIfChangedElsewhere(offered);
         boolean mayTake = context.stop().phase() == PlannedStop.Phase.SERVING
                 && registry.find(offered.id()).isEmpty();
         if (!mayTake || !takeoversInProgress.add(offered.id())) {
-            then.accept(false);
+            receiver.accept(false);
             return;
         }
-        claim(offered, Optional.of(handOver.progress()), then);
+        claim(offered, Optional.of(handOver.progress()), receiver);
     }
 
     /**
      * Drops an owned batch whose record another process has changed. A batch without a record is left alone: its
      * creation by this host is still in progress and detects the change itself.
      */
-    private void dropIfChangedElsewhere(BatchStore.StoredRecord found) {
-        registry.find(found.id())
-                .filter(owned -> owned.isRecorded() && found.revision() > owned.recordRevision())
-                .ifPresent(owned -> onRecordChanged.accept(found));
+    private void dropIfChangedElsewhere(BatchStore.StoredRecord stored) {
+        registry.find(stored.id())
+                .filter(owned -> owned.isRecorded() && stored.revision() > owned.recordRevision())
+                .ifPresent(owned -> onRecordChanged.accept(stored));
     }
 
-    private void checkOwner(BatchStore.StoredRecord found) {
-        BatchRecord record = found.record();
-        dropIfChangedElsewhere(found);
-        if (record.isFinished() || registry.find(found.id()).isPresent() || takeoversInProgress.contains(found.id())) {
+    private void checkOwner(BatchStore.StoredRecord stored) {
+        BatchRecord record = stored.record();
+        dropIfChangedElsewhere(stored);
+        if (record.isFinished()
+                || registry.find(stored.id()).isPresent()
+                || takeoversInProgress.contains(stored.id())) {
             return;
         }
         if (isOwnedByThisProcess(record)) {
-            loadIfOwned(found.id());
+            loadIfOwned(stored.id());
             return;
         }
         if (!failureDetector.isLost(record.owner(), record.ownerStart(), context.nowNanos())) {
-            registry.setOwner(found.id(), new HostId(record.owner()));
+            registry.setOwner(stored.id(), new HostId(record.owner()));
             rescanIfOwnerMissing(record);
             return;
         }
         boolean ownedByEarlierProcess =
                 record.owner().equals(context.settings().self().id().value());
-        if (ownedByEarlierProcess || links.isResponsibleFor("batch/" + found.id())) {
-            takeoversInProgress.add(found.id());
-            claim(found, Optional.empty(), taken -> {});
+        if (ownedByEarlierProcess || links.isResponsibleFor("batch/" + stored.id())) {
+            takeoversInProgress.add(stored.id());
+            claim(stored, Optional.empty(), taken -> {});
         }
     }
 
@@ -166,12 +168,12 @@
     private void loadIfOwned(String id) {
         takeoversInProgress.add(id);
         context.onLoop(store.readRecord(id), (found, failure) -> {
-            boolean own = failure == null
+            boolean stillOwned = failure == null
                     && found.isPresent()
                     && isOwnedByThisProcess(found.get().record())
                     && !found.get().record().isFinished()
                     && registry.find(id).isEmpty();
-            if (own) {
+            if (stillOwned) {
                 load(found.get(), Optional.empty());
             } else {
                 takeoversInProgress.remove(id);
@@ -183,24 +185,25 @@
      * Makes this process the owner of a batch. The listed record may be stale; the write is conditional on its revision
      * and fails in that case.
      */
-    private void claim(BatchStore.StoredRecord found, Optional<List<ItemCheckpoint>> progress, Consumer<Boolean> then) {
+    private void claim(
+            BatchStore.StoredRecord stored, Optional<List<ItemCheckpoint>> checkpoints, Consumer<Boolean> receiver) {
         BatchRecord claimed =
-                found.record().withOwner(context.settings().self().id().value(), context.processStart());
+                stored.record().withOwner(context.settings().self().id().value(), context.processStart());
         writer.write(
-                found.id(),
+                stored.id(),
                 claimed,
-                () -> store.replaceRecord(found.id(), found.revision(), claimed),
+                () -> store.replaceRecord(stored.id(), stored.revision(), claimed),
                 new RecordWriter.WriteListener() {
                     @Override
                     public void onWritten(long revision) {
-                        then.accept(true);
-                        load(new BatchStore.StoredRecord(found.id(), claimed, revision), progress);
+                        receiver.accept(true);
+                        load(new BatchStore.StoredRecord(stored.id(), claimed, revision), checkpoints);
                     }
 
                     @Override
                     public void onSuperseded(Optional<BatchStore.StoredRecord> other) {
-                        takeoversInProgress.remove(found.id());
-                        then.accept(false);
+                        takeoversInProgress.remove(stored.id());
+                        receiver.accept(false);
                     }
                 });
     }
@@ -208,42 +211,43 @@
     /**
      * Loads a batch that this host now owns.
      *
-     * @param handedOver the checkpoints of its items if the last owner passed them on; otherwise the stored ones are
-     *     read
+     * @param handedOverCheckpoints the checkpoints of its items if the last owner passed them on; otherwise the stored
+     *     ones are read
      */
-    private void load(BatchStore.StoredRecord taken, Optional<List<ItemCheckpoint>> handedOver) {
-        CompletableFuture<List<ItemCheckpoint>> progress =
-                handedOver.map(CompletableFuture::completedFuture).orElseGet(() -> store.readCheckpoints(taken.id()));
-        context.onLoop(store.load(taken).thenCombine(progress, LoadedBatch::new), (loaded, failure) -> {
+    private void load(BatchStore.StoredRecord ownedRecord, Optional<List<ItemCheckpoint>> handedOverCheckpoints) {
+        CompletableFuture<List<ItemCheckpoint>> checkpoints = handedOverCheckpoints
+                .map(CompletableFuture::completedFuture)
+                .orElseGet(() -> store.readCheckpoints(ownedRecord.id()));
+        context.onLoop(store.load(ownedRecord).thenCombine(checkpoints, LoadedBatch::new), (loaded, failure) -> {
             if (failure != null) {
                 context.timeline()
                         .event(EventKind.BATCH_LOAD_FAILED)
-                        .job(taken.id())
+                        .job(ownedRecord.id())
                         .with("reason", String.valueOf(failure.getMessage()))
                         .write();
-                context.loop().after(LOAD_RETRY_MILLIS, () -> load(taken, handedOver));
+                context.loop().after(LOAD_RETRY_MILLIS, () -> load(ownedRecord, handedOverCheckpoints));
                 return;
             }
             loaded.batch.restore(loaded.progress);
-            onLoaded(taken, loaded);
+            onLoaded(ownedRecord, loaded);
         });
     }
 
-    private void onLoaded(BatchStore.StoredRecord taken, LoadedBatch loaded) {
-        takeoversInProgress.remove(taken.id());
+    private void onLoaded(BatchStore.StoredRecord ownedRecord, LoadedBatch loaded) {
+        takeoversInProgress.remove(ownedRecord.id());
         if (!registry.add(loaded.batch)) {
             // The caller has submitted the batch again in the meantime.
             return;
         }
         context.timeline()
                 .event(EventKind.BATCH_TAKEN_OVER)
-                .job(taken.id())
-                .with("listed", taken.record().listed())
-                .with("items", taken.record().items())
+                .job(ownedRecord.id())
+                .with("listed", ownedRecord.record().listed())
+                .with("items", ownedRecord.record().items())
                 .with("begun", loaded.progress.size())
                 .write();
-        links.broadcast(new GatewayMessage.BatchNotice(taken.id()));
-        onTaken.run();
+        links.broadcast(new GatewayMessage.BatchNotice(ownedRecord.id()));
+        onTakenOver.run();
     }
 
     /** A loaded batch and the progress of its open items. */
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -156,7 +156,7 @@
         BatchStore batchStore = new BatchStore(context.store(), dialects.batches());
         ItemDispatch items = new ItemDispatch(self, fleet, batchRoutes, new FeasibleFirstOrder(), policies.items());
         this.runner = new BatchRunner(context, registry, batchRoutes, items, this::loadChanged);
-        this.committer = new BatchCommitter(context, batchStore, registry, batchRoutes, runner::stop);
+        this.committer = new BatchCommitter(context, batchStore, registry, batchRoutes, runner::cancelRunsOfBatch);
         BatchRefusals refusals = new BatchRefusals(context, traffic);
         StoredBatchReader storedBatchReader = new StoredBatchReader(context, batchStore);
         BatchEnder ender =
--- a/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
+++ b/src/main/java/org/gooseberryhill/gateway/SaveBundle.java
@@ -25,11 +25,11 @@
     private static final int ENTRIES_PER_COMMIT = 4;
 
     /** The condition and the checkpoints. */
-    private static final int ENTRIES_PER_PROGRESS = 2;
+    private static final int ENTRIES_PER_CHECKPOINTS = 2;
 
     private final List<BatchStore.Commit> commits = new ArrayList<>();
-    private final List<BatchStore.Checkpoints> progress = new ArrayList<>();
-    private final Map<OwnedBatch, Long> bundledEventsByBatch = new LinkedHashMap<>();
+    private final List<BatchStore.Checkpoints> checkpoints = new ArrayList<>();
+    private final Map<OwnedBatch, Long> eventCountsByBatch = new LinkedHashMap<>();
     private int entries;
     private int characters;
 
@@ -38,7 +38,7 @@
         SaveBundle bundle = new SaveBundle();
         batches.stream().filter(OwnedBatch::hasUncommitted).forEach(bundle::addResults);
         if (withProgress) {
-            batches.stream().filter(OwnedBatch::hasUnsavedProgress).forEach(bundle::addProgress);
+            batches.stream().filter(OwnedBatch::hasUnsavedProgress).forEach(bundle::addCheckpoints);
         }
         return bundle;
     }
@@ -55,13 +55,13 @@
         return commits;
     }
 
-    List<BatchStore.Checkpoints> progress() {
-        return progress;
+    List<BatchStore.Checkpoints> checkpoints() {
+        return checkpoints;
     }
 
     /** Marks the progress in this bundle as saved. */
     void markProgressSaved() {
-        bundledEventsByBatch.forEach(OwnedBatch::progressSaved);
+        eventCountsByBatch.forEach(OwnedBatch::progressSaved);
     }
 
     private void addResults(OwnedBatch batch) {
@@ -76,14 +76,14 @@
                 .sum();
     }
 
-    private void addProgress(OwnedBatch batch) {
+    private void addCheckpoints(OwnedBatch batch) {
         List<ItemCheckpoint> items = batch.checkpoints();
-        if (items.isEmpty() || !hasRoom(ENTRIES_PER_PROGRESS)) {
+        if (items.isEmpty() || !hasRoom(ENTRIES_PER_CHECKPOINTS)) {
             return;
         }
-        progress.add(new BatchStore.Checkpoints(batch.id(), batch.recordRevision(), items));
-        bundledEventsByBatch.put(batch, batch.eventCount());
-        entries += ENTRIES_PER_PROGRESS;
+        checkpoints.add(new BatchStore.Checkpoints(batch.id(), batch.recordRevision(), items));
+        eventCountsByBatch.put(batch, batch.eventCount());
+        entries += ENTRIES_PER_CHECKPOINTS;
         characters += items.stream().mapToInt(item -> item.text().length()).sum();
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/StopSequence.java
+++ b/src/main/java/org/gooseberryhill/gateway/StopSequence.java
@@ -14,7 +14,7 @@
     private static final long CHECK_PERIOD_MILLIS = 25;
 
     /** Maximum time that the stop waits for the removal of the host's key, which otherwise expires with its lease. */
-    private static final long RELEASE_TIMEOUT_MILLIS = 500;
+    private static final long REMOVAL_TIMEOUT_MILLIS = 500;
 
     private final GatewayContext context;
     private final GatewayTraffic traffic;
@@ -85,7 +85,7 @@
         if (phase == PlannedStop.Phase.ENDED) {
             runner.cancelAllRuns();
             registration.remove(() -> complete(inProgress));
-            context.loop().after(RELEASE_TIMEOUT_MILLIS, () -> complete(inProgress));
+            context.loop().after(REMOVAL_TIMEOUT_MILLIS, () -> complete(inProgress));
         }
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
@@ -33,10 +33,10 @@
     }
 
     /** Reads the committed results from a position on; empty if there is no such batch. */
-    CompletableFuture<Optional<BatchPage>> readPage(String id, int after) {
+    CompletableFuture<Optional<BatchPage>> readPage(String id, int firstPosition) {
         CachedResults cached = cache.get(id);
-        if (cached != null && (cached.record.isFinished() || cached.results.size() > after)) {
-            return CompletableFuture.completedFuture(Optional.of(cached.page(after)));
+        if (cached != null && (cached.record.isFinished() || cached.results.size() > firstPosition)) {
+            return CompletableFuture.completedFuture(Optional.of(cached.page(firstPosition)));
         }
         return store.readRecord(id).thenCompose(found -> {
             if (found.isEmpty()) {
@@ -46,7 +46,7 @@
             return store.readResults(id, record, 0, record.chunks().size()).thenApply(results -> {
                 CachedResults fresh = new CachedResults(record, List.copyOf(results));
                 context.loop().execute(() -> addToCache(id, fresh));
-                return Optional.of(fresh.page(after));
+                return Optional.of(fresh.page(firstPosition));
             });
         });
     }
@@ -80,8 +80,8 @@
 
     private static Optional<byte[]> uncommittedItemBody(
             String itemId, List<ItemResult> results, List<BatchItem> items) {
-        boolean listed = results.stream().anyMatch(result -> result.id().equals(itemId));
-        if (listed) {
+        boolean committed = results.stream().anyMatch(result -> result.id().equals(itemId));
+        if (committed) {
             return Optional.empty();
         }
         return items.stream()
@@ -92,17 +92,17 @@
 
     /** The cached record and results of a batch. */
     private record CachedResults(BatchRecord record, List<ItemResult> results) {
-        BatchPage page(int after) {
+        BatchPage page(int firstPosition) {
             List<ItemResult> found = new ArrayList<>();
             int characters = 0;
-            for (int position = after; position < results.size(); position++) {
+            for (int position = firstPosition; position < results.size(); position++) {
                 characters += results.get(position).text().length();
                 if (!found.isEmpty() && characters > BatchApiHandler.MAX_PAGE_CHARACTERS) {
                     break;
                 }
                 found.add(results.get(position));
             }
-            return new BatchPage(record.items(), after, found);
+            return new BatchPage(record.items(), firstPosition, found);
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/outbox/Outbox.java
+++ b/src/main/java/org/gooseberryhill/outbox/Outbox.java
@@ -74,10 +74,10 @@
                 .flatMap(content -> OutboxEntryCodec.read(content).toJavaOptional());
     }
 
-    private <T> CompletableFuture<T> onDisk(DiskOperation<T> call) {
+    private <T> CompletableFuture<T> onDisk(DiskOperation<T> operation) {
         Supplier<T> supplier = () -> {
             try {
-                return call.run();
+                return operation.run();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -36,10 +36,10 @@
     private static final int TRAFFIC_THREADS = 1;
     private static final long TICK_PERIOD_MILLIS = 250;
     private static final long LOG_FLUSH_PERIOD_MILLIS = 250;
-    private static final long GROUP_SHUTDOWN_MILLIS = 100;
+    private static final long GROUP_SHUTDOWN_TIMEOUT_MILLIS = 100;
 
     /** Maximum time that a planned stop waits for the removal of the host's registration. */
-    private static final long RELEASE_TIMEOUT_MILLIS = 1000;
+    private static final long REMOVAL_TIMEOUT_MILLIS = 1000;
 
     private final OutboxSettings settings;
     private final String processStart = ProcessStartIds.next();
@@ -98,7 +98,7 @@
                     .with("submissions", service.submissionCount())
                     .write();
             registration.remove(this::completeStop);
-            loop.after(RELEASE_TIMEOUT_MILLIS, this::completeStop);
+            loop.after(REMOVAL_TIMEOUT_MILLIS, this::completeStop);
         });
     }
 
@@ -108,8 +108,8 @@
     }
 
     /** Writes the buffered log lines, within a time-out in milliseconds. */
-    public void flushLog(long millis) {
-        log.flushAndAwait(millis);
+    public void flushLog(long timeoutMillis) {
+        log.flushAndAwait(timeoutMillis);
     }
 
     @Override
@@ -121,8 +121,8 @@
         peerServer.ifPresent(PeerServer::close);
         outbox.close();
         http.close();
-        group.shutdownGracefully(0, GROUP_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
-                .awaitUninterruptibly(2 * GROUP_SHUTDOWN_MILLIS);
+        group.shutdownGracefully(0, GROUP_SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly(2 * GROUP_SHUTDOWN_TIMEOUT_MILLIS);
     }
 
     private void completeStop() {
--- a/src/main/java/org/gooseberryhill/registration/HostRegistration.java
+++ b/src/main/java/org/gooseberryhill/registration/HostRegistration.java
@@ -37,7 +37,7 @@
     private final Timeline timeline;
     private final Supplier<ListedHost> self;
     private Optional<Long> lease = Optional.empty();
-    private boolean released;
+    private boolean removalRequested;
 
     /**
      * Creates the registration of a host.
@@ -57,17 +57,17 @@
     }
 
     /** Removes the key at a planned stop by revoking its lease, then runs the action. */
-    public void remove(Runnable then) {
-        released = true;
+    public void remove(Runnable onRemoved) {
+        removalRequested = true;
         if (lease.isEmpty()) {
-            then.run();
+            onRemoved.run();
             return;
         }
-        onLoop(store.revokeLease(lease.get()), (done, failure) -> then.run());
+        onLoop(store.revokeLease(lease.get()), (done, failure) -> onRemoved.run());
     }
 
     private void grantLease() {
-        if (released) {
+        if (removalRequested) {
             return;
         }
         onLoop(store.grantLease(LEASE_MILLIS), (id, failure) -> {
@@ -81,7 +81,7 @@
     }
 
     private void writeKey() {
-        if (released || lease.isEmpty()) {
+        if (removalRequested || lease.isEmpty()) {
             return;
         }
         ListedHost value = self.get();
@@ -104,7 +104,7 @@
     }
 
     private void renewLease() {
-        if (released || lease.isEmpty()) {
+        if (removalRequested || lease.isEmpty()) {
             return;
         }
         onLoop(store.renewLease(lease.get()), (leftMillis, failure) -> {
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -102,7 +102,7 @@
                 .ifWrittenAt(StoredKeys.batch(id), revision)
                 .put(StoredKeys.batch(id), StoredValueCodec.write(record));
         if (record.isFinished()) {
-            transaction.delete(StoredKeys.progress(id));
+            transaction.delete(StoredKeys.checkpoints(id));
         }
         return store.write(transaction.build());
     }
@@ -111,7 +111,7 @@
      * Saves the results and checkpoints of several batches in one transaction, on condition that the record of each
      * batch still has its revision.
      */
-    public CompletableFuture<KeyValueStore.WriteResult> save(List<Commit> commits, List<Checkpoints> progress) {
+    public CompletableFuture<KeyValueStore.WriteResult> save(List<Commit> commits, List<Checkpoints> allCheckpoints) {
         Transaction.Builder transaction = Transaction.builder();
         for (Commit commit : commits) {
             transaction
@@ -121,14 +121,15 @@
                             StoredKeys.results(commit.id, commit.firstPosition),
                             StoredValueCodec.writeResults(commit.results));
             if (commit.record.isFinished()) {
-                transaction.delete(StoredKeys.progress(commit.id));
+                transaction.delete(StoredKeys.checkpoints(commit.id));
             }
         }
-        for (Checkpoints checkpoints : progress) {
+        for (Checkpoints checkpoints : allCheckpoints) {
             if (commits.stream().noneMatch(commit -> commit.id.equals(checkpoints.id))) {
                 transaction.ifWrittenAt(StoredKeys.batch(checkpoints.id), checkpoints.revision);
             }
-            transaction.put(StoredKeys.progress(checkpoints.id), StoredValueCodec.writeCheckpoints(checkpoints.items));
+            transaction.put(
+                    StoredKeys.checkpoints(checkpoints.id), StoredValueCodec.writeCheckpoints(checkpoints.items));
         }
         return store.write(transaction.build());
     }
@@ -137,33 +138,33 @@
      * Deletes all keys of a batch if its record still has its revision, else returns false. Deletes results first and
      * the record last, since all transactions depend on the record's revision.
      */
-    public CompletableFuture<Boolean> delete(StoredRecord found) {
+    public CompletableFuture<Boolean> delete(StoredRecord stored) {
         List<String> keys = new ArrayList<>();
-        found.record().chunks().forEach(position -> keys.add(StoredKeys.results(found.id(), position)));
-        keys.add(StoredKeys.progress(found.id()));
-        for (int part = 0; part < found.record().bodyParts(); part++) {
-            keys.add(StoredKeys.body(found.id(), part));
+        stored.record().chunks().forEach(position -> keys.add(StoredKeys.results(stored.id(), position)));
+        keys.add(StoredKeys.checkpoints(stored.id()));
+        for (int part = 0; part < stored.record().bodyParts(); part++) {
+            keys.add(StoredKeys.body(stored.id(), part));
         }
-        keys.add(StoredKeys.batch(found.id()));
-        return delete(found, keys, 0);
+        keys.add(StoredKeys.batch(stored.id()));
+        return delete(stored, keys, 0);
     }
 
-    private CompletableFuture<Boolean> delete(StoredRecord found, List<String> keys, int from) {
+    private CompletableFuture<Boolean> delete(StoredRecord stored, List<String> keys, int from) {
         if (from >= keys.size()) {
             return CompletableFuture.completedFuture(true);
         }
         int to = Math.min(keys.size(), from + MAX_DELETIONS_PER_TRANSACTION);
         Transaction.Builder transaction =
-                Transaction.builder().ifWrittenAt(StoredKeys.batch(found.id()), found.revision());
+                Transaction.builder().ifWrittenAt(StoredKeys.batch(stored.id()), stored.revision());
         keys.subList(from, to).forEach(transaction::delete);
         return store.write(transaction.build())
                 .thenCompose(result ->
-                        result.succeeded() ? delete(found, keys, to) : CompletableFuture.completedFuture(false));
+                        result.succeeded() ? delete(stored, keys, to) : CompletableFuture.completedFuture(false));
     }
 
     /** Reads the latest saved checkpoints of a batch's open items; empty if none are saved. */
     public CompletableFuture<List<ItemCheckpoint>> readCheckpoints(String id) {
-        String key = StoredKeys.progress(id);
+        String key = StoredKeys.checkpoints(id);
         return store.read(key)
                 .thenApply(result -> result.first()
                         .map(entry -> requireDecoded(key, StoredValueCodec.readCheckpoints(entry.value())))
@@ -171,12 +172,12 @@
     }
 
     /** Loads a batch for its owner: its items and all its committed results. */
-    public CompletableFuture<OwnedBatch> load(StoredRecord found) {
-        BatchRecord record = found.record();
-        return readItems(found.id(), record)
+    public CompletableFuture<OwnedBatch> load(StoredRecord stored) {
+        BatchRecord record = stored.record();
+        return readItems(stored.id(), record)
                 .thenCombine(
-                        readResults(found.id(), record, 0, record.chunks().size()),
-                        (items, results) -> new OwnedBatch(found.id(), record, found.revision(), items, results));
+                        readResults(stored.id(), record, 0, record.chunks().size()),
+                        (items, results) -> new OwnedBatch(stored.id(), record, stored.revision(), items, results));
     }
 
     /** Reads all items of a batch. */
@@ -194,32 +195,32 @@
      * @param chunks the maximum number of chunks to read
      */
     public CompletableFuture<List<ItemResult>> readResults(String id, BatchRecord record, int firstChunk, int chunks) {
-        int last = Math.min(record.chunks().size(), firstChunk + chunks);
-        return readChunks(id, record, firstChunk, last, new ArrayList<>());
+        int endChunk = Math.min(record.chunks().size(), firstChunk + chunks);
+        return readChunks(id, record, firstChunk, endChunk, new ArrayList<>());
     }
 
     private CompletableFuture<List<ItemResult>> readChunks(
-            String id, BatchRecord record, int chunk, int last, List<ItemResult> found) {
-        if (chunk >= last) {
-            return CompletableFuture.completedFuture(found);
+            String id, BatchRecord record, int chunk, int endChunk, List<ItemResult> results) {
+        if (chunk >= endChunk) {
+            return CompletableFuture.completedFuture(results);
         }
         String key = StoredKeys.results(id, record.chunks().get(chunk));
         return store.read(key).thenCompose(result -> {
-            found.addAll(decodeResults(key, result.first()));
-            return readChunks(id, record, chunk + 1, last, found);
+            results.addAll(decodeResults(key, result.first()));
+            return readChunks(id, record, chunk + 1, endChunk, results);
         });
     }
 
-    private CompletableFuture<byte[]> readParts(String id, BatchRecord record, int part, ByteArrayOutputStream found) {
+    private CompletableFuture<byte[]> readParts(String id, BatchRecord record, int part, ByteArrayOutputStream body) {
         if (part >= record.bodyParts()) {
-            return CompletableFuture.completedFuture(found.toByteArray());
+            return CompletableFuture.completedFuture(body.toByteArray());
         }
         String key = StoredKeys.body(id, part);
         return store.read(key).thenCompose(result -> {
-            found.writeBytes(result.first()
+            body.writeBytes(result.first()
                     .orElseThrow(() -> new ExternalServiceException(key + " is missing"))
                     .value());
-            return readParts(id, record, part + 1, found);
+            return readParts(id, record, part + 1, body);
         });
     }
 
--- a/src/main/java/org/gooseberryhill/stored/StoredKeys.java
+++ b/src/main/java/org/gooseberryhill/stored/StoredKeys.java
@@ -10,7 +10,7 @@
 
     private static final String BODIES = "/gooseberry/batch-bodies/";
     private static final String RESULTS = "/gooseberry/batch-results/";
-    private static final String PROGRESS = "/gooseberry/batch-progress/";
+    private static final String CHECKPOINTS = "/gooseberry/batch-progress/";
 
     private StoredKeys() {}
 
@@ -30,8 +30,8 @@
     }
 
     /** Returns the key of the checkpoints of a batch's open items. */
-    public static String progress(String batch) {
-        return PROGRESS + batch;
+    public static String checkpoints(String batch) {
+        return CHECKPOINTS + batch;
     }
 
     /** Returns the key of the committed chunk of results that begins at a position. */
--- a/src/main/java/org/gooseberryhill/view/KeyView.java
+++ b/src/main/java/org/gooseberryhill/view/KeyView.java
@@ -83,15 +83,15 @@
             apply(deletion);
             effective.add(deletion);
         }
-        deletionRevisions.values().removeIf(at -> at < listedRevision);
+        deletionRevisions.values().removeIf(deletionRevision -> deletionRevision < listedRevision);
         revision = listedRevision;
         return effective;
     }
 
     private boolean apply(KeyChange change) {
-        KeyChange known = entriesByKey.get(change.key());
-        long knownRevision = known != null ? known.revision() : deletionRevisions.getOrDefault(change.key(), 0L);
-        if (change.revision() <= knownRevision) {
+        KeyChange current = entriesByKey.get(change.key());
+        long currentRevision = current != null ? current.revision() : deletionRevisions.getOrDefault(change.key(), 0L);
+        if (change.revision() <= currentRevision) {
             return false;
         }
         if (change.value().isPresent()) {
@@ -101,6 +101,6 @@
         }
         entriesByKey.remove(change.key());
         deletionRevisions.put(change.key(), change.revision());
-        return known != null;
+        return current != null;
     }
 }
--- a/src/test/java/org/gooseberryhill/gateway/BatchRegistryTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/BatchRegistryTest.java
@@ -19,22 +19,22 @@
      */
     @Test
     void addingAnOwnedBatchAgainKeepsTheFirstCopy() {
-        OwnedBatch first = batch();
+        OwnedBatch firstCopy = batch();
 
-        assertThat(registry.add(first)).isTrue();
+        assertThat(registry.add(firstCopy)).isTrue();
         assertThat(registry.add(batch())).isFalse();
 
-        assertThat(registry.find("b")).containsSame(first);
+        assertThat(registry.find("b")).containsSame(firstCopy);
     }
 
     @Test
     void aRemovedBatchCanBeAddedAgain() {
         registry.add(batch());
         registry.remove("b");
-        OwnedBatch later = batch();
+        OwnedBatch newCopy = batch();
 
-        assertThat(registry.add(later)).isTrue();
-        assertThat(registry.find("b")).containsSame(later);
+        assertThat(registry.add(newCopy)).isTrue();
+        assertThat(registry.find("b")).containsSame(newCopy);
     }
 
     @Test
--- a/src/test/java/org/gooseberryhill/stored/StoredValueCodecTest.java
+++ b/src/test/java/org/gooseberryhill/stored/StoredValueCodecTest.java
@@ -45,9 +45,9 @@
     @Test
     void anUnknownFieldIsIgnored() {
         String json = new String(StoredValueCodec.write(RECORD), StandardCharsets.UTF_8);
-        String more = json.replaceFirst("\\{", "{\"later\":[1],");
+        String withUnknownField = json.replaceFirst("\\{", "{\"later\":[1],");
 
-        assertThat(StoredValueCodec.readRecord(more.getBytes(StandardCharsets.UTF_8))
+        assertThat(StoredValueCodec.readRecord(withUnknownField.getBytes(StandardCharsets.UTF_8))
                         .get())
                 .isEqualTo(RECORD);
     }
@@ -55,9 +55,9 @@
     @Test
     void aValueThatLacksAFieldOrIsNoJsonIsRejected() {
         String json = new String(StoredValueCodec.write(RECORD), StandardCharsets.UTF_8);
-        String less = json.replace("\"owner\"", "\"other\"");
+        String withoutOwner = json.replace("\"owner\"", "\"other\"");
 
-        assertThat(StoredValueCodec.readRecord(less.getBytes(StandardCharsets.UTF_8))
+        assertThat(StoredValueCodec.readRecord(withoutOwner.getBytes(StandardCharsets.UTF_8))
                         .isFailure())
                 .isTrue();
         assertThat(StoredValueCodec.readRecord(new byte[] {1, 2}).isFailure()).isTrue();
