--- a/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
+++ b/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
@@ -55,15 +55,15 @@
     }
 
     /** Creates a listener for the answer of an attempt. */
-    AttemptListener newAttemptListener(RoutedCall routedCall, long number) {
-        return new AttemptListener(routedCall, number);
+    AttemptListener newAttemptListener(RoutedCall routedCall, long attemptNumber) {
+        return new AttemptListener(routedCall, attemptNumber);
     }
 
     /** Relays the answer of one attempt. */
     final class AttemptListener implements ExchangeListener {
         private final RoutedCall routedCall;
-        private final long number;
-        private final EventSplitter events = new EventSplitter();
+        private final long attemptNumber;
+        private final EventSplitter eventSplitter = new EventSplitter();
         private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         private int status;
         private HttpHeaders headers;
@@ -71,9 +71,9 @@
         private boolean passedThrough;
         private boolean genuine;
 
-        AttemptListener(RoutedCall routedCall, long number) {
+        AttemptListener(RoutedCall routedCall, long attemptNumber) {
             this.routedCall = routedCall;
-            this.number = number;
+            this.attemptNumber = attemptNumber;
         }
 
         @Override
@@ -87,7 +87,7 @@
         @Override
         public void onBytes(byte[] bytes) {
             if (streamed) {
-                relayEvents(events.read(bytes));
+                relayEvents(eventSplitter.read(bytes));
             } else if (passedThrough) {
                 call.write(bytes);
             } else {
@@ -106,7 +106,7 @@
                 endStream();
             } else if (passedThrough) {
                 call.endStream();
-                routedCall.attemptSucceeded(number, status);
+                routedCall.attemptSucceeded(attemptNumber, status);
             } else {
                 endBuffered();
             }
@@ -114,17 +114,17 @@
 
         @Override
         public void onFailure(ExchangeFailure failure) {
-            routedCall.attemptFailed(number, attemptEnd(failure), failure.detail(), Optional.empty());
+            routedCall.attemptFailed(attemptNumber, attemptEnd(failure), failure.detail(), Optional.empty());
         }
 
         private void endStream() {
-            byte[] rest = events.remainder();
+            byte[] rest = eventSplitter.remainder();
             startAnswer();
             if (rest.length > 0) {
                 call.write(rest);
             }
             call.endStream();
-            routedCall.attemptSucceeded(number, status);
+            routedCall.attemptSucceeded(attemptNumber, status);
         }
 
         private void endBuffered() {
@@ -132,18 +132,19 @@
                     new RoutedCall.CompleteAnswer(status, ForwardedHeaders.ofAnswer(headers), buffer.toByteArray());
             if (routedCall.isNotRun(status, headers)) {
                 AttemptEnd end = status == MISDIRECTED ? AttemptEnd.OTHER_ENDPOINT : AttemptEnd.BUSY;
-                routedCall.attemptFailed(number, end, "status " + status, Optional.empty());
+                routedCall.attemptFailed(attemptNumber, end, "status " + status, Optional.empty());
             } else if (!genuine) {
                 routedCall.attemptFailed(
-                        number, AttemptEnd.MALFORMED, "not signed, status " + status, Optional.empty());
+                        attemptNumber, AttemptEnd.MALFORMED, "not signed, status " + status, Optional.empty());
             } else if (started) {
                 // The caller has received a part of a stream that this endpoint did not continue.
-                routedCall.attemptFailed(number, AttemptEnd.MALFORMED, "status " + status, Optional.empty());
+                routedCall.attemptFailed(attemptNumber, AttemptEnd.MALFORMED, "status " + status, Optional.empty());
             } else if (status >= FIRST_SERVER_ERROR) {
-                routedCall.attemptFailed(number, AttemptEnd.ERROR_ANSWER, "status " + status, Optional.of(answer));
+                routedCall.attemptFailed(
+                        attemptNumber, AttemptEnd.ERROR_ANSWER, "status " + status, Optional.of(answer));
             } else {
                 call.reply(answer.status(), answer.headers(), answer.body());
-                routedCall.attemptSucceeded(number, status);
+                routedCall.attemptSucceeded(attemptNumber, status);
             }
         }
 
--- a/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
+++ b/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
@@ -56,8 +56,8 @@
     }
 
     private void checkSubmissions(Evacuation evacuation) {
-        Optional<Host> host = links.stores().stream()
-                .filter(store -> store.id().value().equals(evacuation.host))
+        Optional<Host> host = links.diskHosts().stream()
+                .filter(candidate -> candidate.id().value().equals(evacuation.host))
                 .findFirst();
         if (host.isEmpty()) {
             onUnreachable(evacuation);
@@ -69,14 +69,14 @@
             } else if (state.submissions() == 0) {
                 writeStatus(evacuation.host, true);
             } else {
-                reportRunningOnce(evacuation);
+                reportInProgressOnce(evacuation);
                 scheduleCheck(evacuation);
             }
         });
     }
 
     private void onUnreachable(Evacuation evacuation) {
-        if (context.nowNanos() - evacuation.sinceNanos >= UNREACHABLE_NANOS) {
+        if (context.nowNanos() - evacuation.startedNanos >= UNREACHABLE_NANOS) {
             writeStatus(evacuation.host, true);
         } else {
             scheduleCheck(evacuation);
@@ -87,9 +87,9 @@
         context.loop().after(RETRY_MILLIS, () -> checkSubmissions(evacuation));
     }
 
-    private void reportRunningOnce(Evacuation evacuation) {
-        if (!evacuation.runningReported) {
-            evacuation.runningReported = true;
+    private void reportInProgressOnce(Evacuation evacuation) {
+        if (!evacuation.inProgressReported) {
+            evacuation.inProgressReported = true;
             writeStatus(evacuation.host, false);
         }
     }
@@ -117,12 +117,12 @@
     /** The evacuation of one host. */
     private static final class Evacuation {
         private final String host;
-        private final long sinceNanos;
-        private boolean runningReported;
+        private final long startedNanos;
+        private boolean inProgressReported;
 
-        Evacuation(String host, long sinceNanos) {
+        Evacuation(String host, long startedNanos) {
             this.host = host;
-            this.sinceNanos = sinceNanos;
+            this.startedNanos = startedNanos;
         }
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMessageHandler.java
@@ -9,9 +9,9 @@
 /** Handles messages of other gateways. They arrive on traffic threads and are processed on the control thread. */
 final class GatewayMessageHandler {
     private final GatewayContext context;
-    private final LoadExchange load;
+    private final LoadExchange loadExchange;
     private final GatewayViews views;
-    private final CrashTracking crashes;
+    private final CrashTracking crashTracking;
     private final BatchRegistry registry;
     private final BatchApiHandler batchApiHandler;
     private final BatchEnder ender;
@@ -21,18 +21,18 @@
     /** Creates a handler that dispatches messages to the given objects. */
     GatewayMessageHandler(
             GatewayContext context,
-            LoadExchange load,
+            LoadExchange loadExchange,
             GatewayViews views,
-            CrashTracking crashes,
+            CrashTracking crashTracking,
             BatchRegistry registry,
             BatchApiHandler batchApiHandler,
             BatchEnder ender,
             BatchTakeover takeover,
             RelayingKeyValueStore store) {
         this.context = context;
-        this.load = load;
+        this.loadExchange = loadExchange;
         this.views = views;
-        this.crashes = crashes;
+        this.crashTracking = crashTracking;
         this.registry = registry;
         this.batchApiHandler = batchApiHandler;
         this.ender = ender;
@@ -49,13 +49,13 @@
 
     private void dispatch(HostId from, PeerMessage message, CompletableFuture<PeerMessage> reply) {
         if (message instanceof GatewayMessage.InFlightReport report) {
-            load.onReport(from, report);
+            loadExchange.onReport(from, report);
         } else if (message instanceof GatewayMessage.ViewChanges changes) {
             views.onForwardedChanges(from, changes);
         } else if (message instanceof PeerMessage.CrashNotice notice) {
-            crashes.onCrashNotice(notice);
+            crashTracking.onCrashNotice(notice);
         } else if (message instanceof PeerMessage.SuspectRelease release) {
-            crashes.onSuspectRelease(release);
+            crashTracking.onSuspectRelease(release);
         } else if (message instanceof GatewayMessage.BatchNotice notice) {
             registry.setOwner(notice.batch(), from);
         } else if (message instanceof GatewayMessage.ResultsRequest request) {
--- a/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayMetrics.java
@@ -49,7 +49,7 @@
         requests.increment(boundedLabel(routes, route), end);
     }
 
-    void firstByte(String route, double seconds) {
+    void firstByteSent(String route, double seconds) {
         latency.observe(seconds, boundedLabel(routes, route));
     }
 
@@ -63,14 +63,14 @@
         items.increment(end.name());
     }
 
-    private static String boundedLabel(Set<String> known, String value) {
-        if (known.contains(value)) {
+    private static String boundedLabel(Set<String> labelValues, String value) {
+        if (labelValues.contains(value)) {
             return value;
         }
-        if (known.size() >= MAX_LABEL_VALUES) {
+        if (labelValues.size() >= MAX_LABEL_VALUES) {
             return OTHER_LABEL;
         }
-        known.add(value);
+        labelValues.add(value);
         return value;
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -90,8 +90,8 @@
     private final GatewayContext context;
     private final PeerLinks links;
     private final StoreRelayClient relayClient;
-    private final LoadExchange load;
-    private final CrashTracking crashes;
+    private final LoadExchange loadExchange;
+    private final CrashTracking crashTracking;
     private final GatewayTraffic traffic;
     private final RequestRouter requestRouter;
     private final HostRegistration registration;
@@ -104,7 +104,7 @@
     private final BatchApiHandler batchApiHandler;
     private final BatchTakeover takeover;
     private final BatchHandOver handOver;
-    private final GatewayMessageHandler messages;
+    private final GatewayMessageHandler messageHandler;
     private final StandardOutputSink log = new StandardOutputSink();
     private final ProcessDelayDetector processDelayDetector = new ProcessDelayDetector(TICK_PERIOD_MILLIS);
     private final TrafficDelayDetector trafficDelayDetector =
@@ -144,9 +144,9 @@
                 new GatewayMetrics());
         this.links = new PeerLinks(context);
         this.relayClient = new StoreRelayClient(context, links, random);
-        this.load = new LoadExchange(context, links, storeReachability);
-        this.crashes = new CrashTracking(context, links, suspects);
-        this.traffic = new GatewayTraffic(context, crashes, this::loadChanged, this::directoryAgeMillis);
+        this.loadExchange = new LoadExchange(context, links, storeReachability);
+        this.crashTracking = new CrashTracking(context, links, suspects);
+        this.traffic = new GatewayTraffic(context, crashTracking, this::loadChanged, this::directoryAgeMillis);
         this.registration = new HostRegistration(
                 context.loop(),
                 context.store(),
@@ -173,8 +173,8 @@
         this.readiness = new Readiness(context, gate);
         this.stop = new StopSequence(
                 context, traffic, runner, handOver, registration, this::callersServer, this::stopRequested);
-        this.messages = new GatewayMessageHandler(
-                context, load, views, crashes, registry, batchApiHandler, ender, takeover, store);
+        this.messageHandler = new GatewayMessageHandler(
+                context, loadExchange, views, crashTracking, registry, batchApiHandler, ender, takeover, store);
         this.requestRouter = new RequestRouter(context, traffic, submissionHandler, batchApiHandler, gate, random);
     }
 
@@ -193,7 +193,7 @@
                 settings.self().address(),
                 clock,
                 context.peers().traffic(),
-                messages::handle));
+                messageHandler::handle));
         callersServer = Optional.of(HttpServer.start(group, callers, this::limits, requestRouter::route));
         readinessServer = Optional.of(
                 HttpServer.start(group, settings.readinessAddress(), HttpLimits.DEFAULT, readiness::answer));
@@ -233,8 +233,8 @@
 
     /** Requests the planned stop, whose time limit starts now; may be called from any thread and repeatedly. */
     public void requestStop() {
-        long askedNanos = context.nowNanos();
-        context.loop().execute(() -> stop.requestStop(askedNanos));
+        long requestedNanos = context.nowNanos();
+        context.loop().execute(() -> stop.requestStop(requestedNanos));
     }
 
     /** Returns a future that completes when the planned stop is over. */
@@ -284,7 +284,7 @@
         views.start();
         context.loop().every(TICK_PERIOD_MILLIS, this::tick);
         context.loop().every(SLOW_TICK_PERIOD_MILLIS, this::slowTick);
-        context.loop().every(HEARTBEAT_PERIOD_MILLIS, load::sendHeartbeat);
+        context.loop().every(HEARTBEAT_PERIOD_MILLIS, loadExchange::sendHeartbeat);
         context.loop().every(HEARTBEAT_PERIOD_MILLIS, trafficDelayDetector::measure);
         context.loop().every(LOG_FLUSH_PERIOD_MILLIS, log::flush);
         context.loop().every(RECORD_SCAN_PERIOD_MILLIS, () -> takeover.scanRecords(true));
@@ -322,12 +322,12 @@
     }
 
     private void updateReadiness() {
-        boolean canRoute = views.areKnown() && !table.configuration().isEmpty();
+        boolean canRoute = views.areLoaded() && !table.configuration().isEmpty();
         readiness.update(canRoute, context.stop().phase() != PlannedStop.Phase.SERVING);
     }
 
     private void loadChanged() {
-        load.scheduleReport();
+        loadExchange.scheduleReport();
     }
 
     private void endpointsChanged() {
@@ -353,9 +353,9 @@
     }
 
     /** Logs that the store was lost or regained; may be called from any thread. */
-    private void storeReachabilityChanged(boolean reached, String reason) {
+    private void storeReachabilityChanged(boolean reachable, String reason) {
         context.timeline()
-                .event(reached ? EventKind.STORE_REGAINED : EventKind.STORE_LOST)
+                .event(reachable ? EventKind.STORE_REGAINED : EventKind.STORE_LOST)
                 .with("reason", reason)
                 .write();
     }
@@ -375,7 +375,7 @@
 
     private void stopRequested() {
         updateReadiness();
-        load.sendHeartbeat();
+        loadExchange.sendHeartbeat();
     }
 
     private HttpLimits limits() {
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -39,13 +39,13 @@
     private final GatewayContext context;
     private final PeerLinks links;
     private final Consumer<RouteConfiguration> onConfiguration;
-    private final Runnable onEndpoints;
+    private final Runnable onEndpointsChanged;
     private final EvacuationReporter evacuationReporter;
     private final ViewUpdater registrations;
     private final ViewUpdater operators;
     private final ViewUpdater hosts;
     private final RegisteredEndpoints registeredEndpoints;
-    private Map<EndpointKey, Boolean> knownEndpoints = Map.of();
+    private Map<EndpointKey, Boolean> loggedLeavingByKey = Map.of();
     private int rank;
     private long rankUpdatedNanos;
 
@@ -53,11 +53,11 @@
             GatewayContext context,
             PeerLinks links,
             Consumer<RouteConfiguration> onConfiguration,
-            Runnable onEndpoints) {
+            Runnable onEndpointsChanged) {
         this.context = context;
         this.links = links;
         this.onConfiguration = onConfiguration;
-        this.onEndpoints = onEndpoints;
+        this.onEndpointsChanged = onEndpointsChanged;
         this.rankUpdatedNanos = context.nowNanos() - RANK_UPDATE_PERIOD_NANOS;
         this.evacuationReporter = new EvacuationReporter(context, links);
         this.registeredEndpoints = new RegisteredEndpoints(context.dialects().directory(), context.timeline());
@@ -94,9 +94,9 @@
         hosts.tick(rank);
     }
 
-    /** Returns whether the endpoints and the operator entries are known. */
-    boolean areKnown() {
-        return operators.isKnown() && registrations.isKnown();
+    /** Returns whether the endpoints and the operator entries have been loaded. */
+    boolean areLoaded() {
+        return operators.isLoaded() && registrations.isLoaded();
     }
 
     /** Returns the maximum age of the list of endpoints. */
@@ -131,19 +131,19 @@
             logDirectoryChanges(entries);
             context.fleet().updateDirectory(entries);
         }
-        onEndpoints.run();
+        onEndpointsChanged.run();
     }
 
     private void logDirectoryChanges(Collection<EndpointEntry> entries) {
         Map<EndpointKey, Boolean> leavingByKey = new HashMap<>();
         entries.forEach(entry -> leavingByKey.put(entry.key(), entry.leaving()));
-        if (leavingByKey.equals(knownEndpoints)) {
+        if (leavingByKey.equals(loggedLeavingByKey)) {
             return;
         }
         Set<EndpointKey> all = new TreeSet<>(leavingByKey.keySet());
-        all.addAll(knownEndpoints.keySet());
+        all.addAll(loggedLeavingByKey.keySet());
         for (EndpointKey key : all) {
-            String before = state(knownEndpoints.get(key));
+            String before = state(loggedLeavingByKey.get(key));
             String after = state(leavingByKey.get(key));
             if (!before.equals(after)) {
                 context.timeline()
@@ -155,7 +155,7 @@
                         .write();
             }
         }
-        knownEndpoints = leavingByKey;
+        loggedLeavingByKey = leavingByKey;
     }
 
     private static String state(Boolean leaving) {
@@ -191,14 +191,14 @@
         links.updateListedHosts(live);
     }
 
-    /** Queries the seeds for unknown views, so that a host can start while the store is unavailable. */
+    /** Queries the seeds for views that are not loaded yet, so that a host can start while the store is unavailable. */
     private void querySeeds() {
         for (ViewUpdater updater : List.of(hosts, operators, registrations)) {
-            if (!updater.isKnown()) {
+            if (!updater.isLoaded()) {
                 context.settings().seeds().forEach(seed -> requestListing(seed, updater));
             }
         }
-        if (!areKnown() || !hosts.isKnown()) {
+        if (!areLoaded() || !hosts.isLoaded()) {
             context.loop().after(SEED_QUERY_DELAY_MILLIS, this::querySeeds);
         }
     }
--- a/src/main/java/org/gooseberryhill/gateway/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/gateway/ItemRun.java
@@ -48,7 +48,7 @@
     private boolean ended;
     private int status;
     private HttpHeaders headers;
-    private boolean sentByEndpoint;
+    private boolean genuine;
 
     ItemRun(GatewayContext context, BatchRunner runner, PlacedItem placed) {
         this.context = context;
@@ -115,12 +115,12 @@
     public void onHead(int newStatus, HttpHeaders newHeaders) {
         status = newStatus;
         headers = newHeaders;
-        sentByEndpoint = context.dialects().traffic().isGenuine(status, headers);
+        genuine = context.dialects().traffic().isGenuine(status, headers);
     }
 
     @Override
     public void onBytes(byte[] bytes) {
-        if (sentByEndpoint && status == OK) {
+        if (genuine && status == OK) {
             queuedEvents.addAll(eventSplitter.read(bytes));
         }
     }
@@ -134,7 +134,7 @@
                 end(RunEnd.NOT_RUN, AttemptEnd.OTHER_ENDPOINT, "status " + status);
             } else if (notRun) {
                 end(RunEnd.NOT_RUN, AttemptEnd.BUSY, "status " + status);
-            } else if (sentByEndpoint && status == OK && complete) {
+            } else if (genuine && status == OK && complete) {
                 end(RunEnd.COMPLETED, AttemptEnd.ANSWERED, "");
             } else if (status == UNPROCESSABLE) {
                 end(RunEnd.REJECTED, AttemptEnd.ANSWERED, "status " + status);
--- a/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
+++ b/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns the hosts with a disk. */
-    List<Host> stores() {
+    List<Host> diskHosts() {
         return roster.stores();
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/ProcessDelayDetector.java
+++ b/src/main/java/org/gooseberryhill/gateway/ProcessDelayDetector.java
@@ -30,16 +30,16 @@
 
     /** Records the current time of both clocks; returns the delay of this tick if it is long enough to be reported. */
     Optional<Delay> tick(long nowNanos, long nowEpochMillis) {
-        OptionalLong before = lastNanos;
-        long epochMillis = nowEpochMillis - lastEpochMillis;
+        OptionalLong previousNanos = lastNanos;
+        long elapsedEpochMillis = nowEpochMillis - lastEpochMillis;
         lastNanos = OptionalLong.of(nowNanos);
         lastEpochMillis = nowEpochMillis;
-        if (before.isEmpty()) {
+        if (previousNanos.isEmpty()) {
             return Optional.empty();
         }
-        long steadyMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - before.getAsLong());
-        long suspendedMillis = Math.max(0, epochMillis - steadyMillis);
-        long lateMillis = Math.max(steadyMillis, epochMillis) - periodMillis;
+        long elapsedMonotonicMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - previousNanos.getAsLong());
+        long suspendedMillis = Math.max(0, elapsedEpochMillis - elapsedMonotonicMillis);
+        long lateMillis = Math.max(elapsedMonotonicMillis, elapsedEpochMillis) - periodMillis;
         return lateMillis < MIN_REPORTED_MILLIS
                 ? Optional.empty()
                 : Optional.of(new Delay(lateMillis, suspendedMillis));
--- a/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/gateway/RelayingKeyValueStore.java
@@ -25,17 +25,17 @@
     private final PollingKeyValueStore directStore;
     private final StoreReachability storeReachability;
     private final Relay relay;
-    private final ReachListener reachListener;
+    private final ReachabilityListener reachabilityListener;
 
     RelayingKeyValueStore(
             PollingKeyValueStore directStore,
             StoreReachability storeReachability,
             Relay relay,
-            ReachListener reachListener) {
+            ReachabilityListener reachabilityListener) {
         this.directStore = directStore;
         this.storeReachability = storeReachability;
         this.relay = relay;
-        this.reachListener = reachListener;
+        this.reachabilityListener = reachabilityListener;
     }
 
     @Override
@@ -178,9 +178,9 @@
             Kind kind = failure == null ? null : ExternalServiceException.kindOf(failure);
             boolean unanswered = kind == Kind.NOT_DONE || kind == Kind.UNKNOWN;
             if (unanswered && storeReachability.recordFailure(sentNanos, System.nanoTime())) {
-                reachListener.reachChanged(false, String.valueOf(failure.getMessage()));
+                reachabilityListener.reachabilityChanged(false, String.valueOf(failure.getMessage()));
             } else if (!unanswered && storeReachability.recordAnswer(sentNanos)) {
-                reachListener.reachChanged(true, "");
+                reachabilityListener.reachabilityChanged(true, "");
             }
         });
     }
@@ -239,8 +239,8 @@
 
     /** Notified when the store stops or starts answering this host. Called from any thread. */
     @FunctionalInterface
-    interface ReachListener {
-        void reachChanged(boolean reached, String reason);
+    interface ReachabilityListener {
+        void reachabilityChanged(boolean reachable, String reason);
     }
 
     /**
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -232,7 +232,7 @@
     /** Records that the first part of the answer is sent to the caller. May be called from any thread. */
     void answerStarted() {
         context.metrics()
-                .firstByte(
+                .firstByteSent(
                         request.intake().route().name(),
                         seconds(context.nowNanos() - request.intake().arrivedNanos()));
     }
--- a/src/main/java/org/gooseberryhill/gateway/StopSequence.java
+++ b/src/main/java/org/gooseberryhill/gateway/StopSequence.java
@@ -49,7 +49,7 @@
     }
 
     /** Starts the stop that was requested at the given time; a second call changes nothing. */
-    void requestStop(long askedNanos) {
+    void requestStop(long requestedNanos) {
         if (context.stop().phase() != PlannedStop.Phase.SERVING) {
             return;
         }
@@ -58,9 +58,9 @@
                 .with("inProgress", traffic.inProgress())
                 .with("items", runner.runningItems())
                 .with("batches", handOver.openBatchCount())
-                .with("sinceAskedMillis", TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - askedNanos))
+                .with("sinceAskedMillis", TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - requestedNanos))
                 .write();
-        context.stop().request(askedNanos);
+        context.stop().request(requestedNanos);
         onRequested.run();
         runner.stopStarting();
         runner.cancelAllRuns();
--- a/src/main/java/org/gooseberryhill/gateway/StoreReachability.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreReachability.java
@@ -21,7 +21,7 @@
 
     private boolean reachable = true;
     private long lastFailureNanos;
-    private long lastAnsweredSentNanos = Long.MIN_VALUE;
+    private long lastAnsweredCallSentNanos = Long.MIN_VALUE;
 
     /** Returns whether the latest direct call was answered. */
     synchronized boolean isReachable() {
@@ -37,8 +37,8 @@
      * Records that a direct call sent at the given time was answered; returns whether the store counted as lost before.
      */
     synchronized boolean recordAnswer(long sentNanos) {
-        if (lastAnsweredSentNanos == Long.MIN_VALUE || sentNanos - lastAnsweredSentNanos > 0) {
-            lastAnsweredSentNanos = sentNanos;
+        if (lastAnsweredCallSentNanos == Long.MIN_VALUE || sentNanos - lastAnsweredCallSentNanos > 0) {
+            lastAnsweredCallSentNanos = sentNanos;
         }
         boolean regained = !reachable;
         reachable = true;
@@ -49,7 +49,7 @@
      * Records that a direct call sent at the given time failed; returns whether the store counts as lost from now on.
      */
     synchronized boolean recordFailure(long sentNanos, long nowNanos) {
-        if (lastAnsweredSentNanos != Long.MIN_VALUE && sentNanos - lastAnsweredSentNanos < 0) {
+        if (lastAnsweredCallSentNanos != Long.MIN_VALUE && sentNanos - lastAnsweredCallSentNanos < 0) {
             return false;
         }
         boolean lost = reachable;
--- a/src/main/java/org/gooseberryhill/gateway/StoreRelayClient.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreRelayClient.java
@@ -25,14 +25,14 @@
     CompletableFuture<PeerMessage> relay(GatewayMessage.StoreCall call, long timeoutMillis) {
         CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
         context.loop().execute(() -> {
-            List<Host> helpers = links.gatewaysReachingStore();
-            if (helpers.isEmpty()) {
+            List<Host> relayHosts = links.gatewaysReachingStore();
+            if (relayHosts.isEmpty()) {
                 answer.completeExceptionally(
                         new ExternalServiceException(Kind.NOT_DONE, "no other gateway reaches the key-value store"));
                 return;
             }
-            Host helper = helpers.get(random.nextInt(helpers.size()));
-            links.ask(helper, call, timeoutMillis).whenComplete((reply, failure) -> {
+            Host relayHost = relayHosts.get(random.nextInt(relayHosts.size()));
+            links.ask(relayHost, call, timeoutMillis).whenComplete((reply, failure) -> {
                 if (failure == null) {
                     answer.complete(reply);
                 } else {
--- a/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
+++ b/src/main/java/org/gooseberryhill/gateway/SubmissionCopies.java
@@ -28,7 +28,7 @@
 
     /** Returns how many hosts can keep copies. */
     int hostCount() {
-        return links.stores().size();
+        return links.diskHosts().size();
     }
 
     /** Requests copies; the action runs for each copy that is on a disk. */
@@ -54,6 +54,6 @@
 
     private List<Host> copyHosts(String batch) {
         return Ownership.copyHolders(
-                "outbox/" + batch, context.settings().submissionCopies() + SPARE_COPIES, links.stores());
+                "outbox/" + batch, context.settings().submissionCopies() + SPARE_COPIES, links.diskHosts());
     }
 }
--- a/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
@@ -62,7 +62,7 @@
         return TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - currentAsOfNanos);
     }
 
-    boolean isKnown() {
+    boolean isLoaded() {
         return view.revision() > 0;
     }
 
@@ -71,7 +71,7 @@
         if (queryPending || context.nowNanos() - nextQueryNanos < 0) {
             return;
         }
-        if (!isKnown()) {
+        if (!isLoaded()) {
             queryListing();
         } else if (ageMillis() >= refreshPolicy.maxAgeMillis(rank)) {
             queryChanges();
--- a/src/test/java/org/gooseberryhill/gateway/ProcessDelayDetectorTest.java
+++ b/src/test/java/org/gooseberryhill/gateway/ProcessDelayDetectorTest.java
@@ -8,7 +8,7 @@
 
 class ProcessDelayDetectorTest {
     private final ProcessDelayDetector detector = new ProcessDelayDetector(25);
-    private long steadyMillis = 5_000;
+    private long monotonicMillis = 5_000;
     private long epochMillis = 1_000_000;
 
     @Test
@@ -41,9 +41,9 @@
         assertThat(tick(25, -2000)).isEmpty();
     }
 
-    private Optional<ProcessDelayDetector.Delay> tick(long steady, long epoch) {
-        steadyMillis += steady;
-        epochMillis += epoch;
-        return detector.tick(TimeUnit.MILLISECONDS.toNanos(steadyMillis), epochMillis);
+    private Optional<ProcessDelayDetector.Delay> tick(long elapsedMonotonicMillis, long elapsedEpochMillis) {
+        monotonicMillis += elapsedMonotonicMillis;
+        epochMillis += elapsedEpochMillis;
+        return detector.tick(TimeUnit.MILLISECONDS.toNanos(monotonicMillis), epochMillis);
     }
 }
