--- a/src/jmh/java/org/gooseberryhill/benchmark/DispatchBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/DispatchBenchmark.java
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Hands out one item, which then yields and waits again. */
+    /** Hands out one item, which then yields and waits to be handed out again. */
     @Benchmark
     public WorkItem handOutAndYield() {
         WorkItem item = ownedJobs.handOut("s", 1, STEWARD, 0, 0).get(0);
--- a/src/main/java/org/gooseberryhill/configuration/ConfigurationRule.java
+++ b/src/main/java/org/gooseberryhill/configuration/ConfigurationRule.java
@@ -6,7 +6,7 @@
     void check(Configuration configuration, YamlNode.Mapping root, Findings findings);
 
     /**
-     * Returns the position of a property's value; that of the closest enclosing node if the text does not contain it.
+     * Returns the position of a property's value, or of the closest enclosing node if the text does not contain the value.
      */
     static TextPosition positionOf(YamlNode.Mapping root, String section, String name, String property) {
         YamlNode.Mapping current = root;
--- a/src/main/java/org/gooseberryhill/configuration/PropertyReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/PropertyReader.java
@@ -17,11 +17,14 @@
  */
 final class PropertyReader {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,63}");
+    /** The value of an address that is missing or invalid, which is reported as a finding. */
     private static final Address NO_ADDRESS = new Address("0.0.0.0", 1);
 
     private final YamlNode.Mapping mapping;
     private final String path;
     private final Findings findings;
+
+    /** Whether the node is a mapping or blank; any other node is reported itself, and its missing keys are not. */
     private final boolean mappingOrBlank;
 
     PropertyReader(YamlNode node, String path, Findings findings) {
--- a/src/main/java/org/gooseberryhill/contract/Outcome.java
+++ b/src/main/java/org/gooseberryhill/contract/Outcome.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * What is known about the effect of a request that did not complete with an answer. Immutable and thread-safe.
+ * Whether a request that did not complete with an answer may have taken effect. Immutable and thread-safe.
  *
  * <p>Invariant: {@link #NOT_RUN} is used only when no byte of the request reached an endpoint.
  */
--- a/src/main/java/org/gooseberryhill/contract/PromptPart.java
+++ b/src/main/java/org/gooseberryhill/contract/PromptPart.java
@@ -1,9 +1,9 @@
 package org.gooseberryhill.contract;
 
 /**
- * A part of a prompt. Requests with equal leading parts share what an endpoint caches of them. Immutable.
+ * A part of a prompt. Requests whose leading parts are equal share the prefix that an endpoint caches. Immutable.
  *
- * @param id equal for equal parts
+ * @param id the identity of the content; equal for equal parts
  * @param tokens the number of tokens
  */
 public record PromptPart(String id, int tokens) {}
--- a/src/main/java/org/gooseberryhill/load/EaselAndOchreDeployment.java
+++ b/src/main/java/org/gooseberryhill/load/EaselAndOchreDeployment.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Art classes: tutors request critiques and exercises, in bursts when a class begins; students book. Immutable. */
+/**
+ * The workload of Easel &amp; Ochre, which holds art classes: tutors request critiques and exercises, in bursts when a
+ * class begins, and students make bookings. Immutable.
+ */
 public final class EaselAndOchreDeployment implements Deployment {
     private static final List<RequestKind> KINDS = List.of(
             new RequestKind("critique", 5, false, 800, 40),
--- a/src/main/java/org/gooseberryhill/load/Experiment.java
+++ b/src/main/java/org/gooseberryhill/load/Experiment.java
@@ -38,7 +38,7 @@
     private final double seconds;
     private final int basePort;
 
-    /** Creates an experiment whose runs last a number of seconds and use 100 ports from the base port. */
+    /** Creates an experiment whose runs last the given number of seconds and use 100 ports from the base port. */
     public Experiment(Deployment deployment, double seconds, int basePort) {
         this.deployment = deployment;
         this.seconds = seconds;
@@ -151,11 +151,11 @@
      *
      * @param baseline whether the baseline policies are used instead of the product's
      * @param batchPercent the model's batch weight in percent; 0 means that no job is submitted
-     * @param faults whether a runner crashes and the key-value service has an outage during the run
+     * @param faults whether an engine crashes and the key-value service has an outage during the run
      */
     public record Point(boolean baseline, int batchPercent, boolean faults) {}
 
-    /** Injects the faults at fixed shares of the run. Confined to one thread. */
+    /** Injects the faults at fixed fractions of the run's duration. Confined to one thread. */
     private final class FaultPlan {
         private final SampleSystem system;
         private final boolean enabled;
--- a/src/main/java/org/gooseberryhill/load/Measurement.java
+++ b/src/main/java/org/gooseberryhill/load/Measurement.java
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Records the end of a plain call, with its duration. */
+    /** Records the end of a plain call, with its duration; a call without a correct answer counts as refused. */
     public synchronized void recordPlainAnswer(boolean correct, long durationNanos) {
         if (correct) {
             whole++;
@@ -61,7 +61,10 @@
         return (int) firstToken.getTotalCount();
     }
 
-    /** Returns the number of answers that were whole, wrong, cut and refused, in this order. */
+    /**
+     * Returns the numbers of answers that were complete and correct, complete but incorrect, truncated, and refused, in
+     * this order.
+     */
     public synchronized int[] ends() {
         return new int[] {whole, wrong, cut, refused};
     }
--- a/src/main/java/org/gooseberryhill/load/OnlineSender.java
+++ b/src/main/java/org/gooseberryhill/load/OnlineSender.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Sends all arrivals. Before each one, the action is called with the intended time of sending since the beginning,
-     * in nanoseconds.
+     * Sends all arrivals. Before each one, the action is called with its intended time of sending, in nanoseconds since
+     * the beginning.
      */
     public void send(List<Arrivals.Arrival> arrivals, long beginNanos, LongConsumer beforeEach) {
         for (Arrivals.Arrival arrival : arrivals) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Waits until all answers have ended. */
+    /** Waits until all requests have been answered or have failed. */
     public void awaitAnswers() {
         CompletableFuture.allOf(pendingAnswers.toArray(CompletableFuture[]::new))
                 .join();
--- a/src/main/java/org/gooseberryhill/load/RunResult.java
+++ b/src/main/java/org/gooseberryhill/load/RunResult.java
@@ -11,7 +11,8 @@
  * @param firstTokenP99Millis 99th percentile of that time
  * @param gapP95Millis 95th percentile of the answers' mean time between tokens
  * @param plainP99Millis 99th percentile of the duration of plain calls, from the intended time of sending
- * @param ends number of online answers that were whole, wrong, cut and refused, in this order
+ * @param ends numbers of online answers that were complete and correct (whole), complete but incorrect (wrong), truncated
+ *     (cut), and refused, in this order
  */
 public record RunResult(
         Experiment.Point point,
--- a/src/main/java/org/gooseberryhill/load/StadsdataDeployment.java
+++ b/src/main/java/org/gooseberryhill/load/StadsdataDeployment.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** A data portal: citizens read summaries, clerks get explanations, apps download records. Immutable. */
+/**
+ * The workload of Stadsdata, a data portal: citizens request summaries, clerks request explanations, and apps download
+ * records. Immutable.
+ */
 public final class StadsdataDeployment implements Deployment {
     private static final List<RequestKind> KINDS = List.of(
             new RequestKind("summaries", 5, false, 1000, 30),
--- a/src/main/java/org/gooseberryhill/load/package-info.java
+++ b/src/main/java/org/gooseberryhill/load/package-info.java
@@ -1,2 +1,2 @@
-/** Load experiments with open-loop arrivals and complete checks of answers; plots batch throughput against latency. */
+/** Load experiments with open-loop arrivals, which check every complete answer and plot batch throughput against latency. */
 package org.gooseberryhill.load;
--- a/src/main/java/org/gooseberryhill/load/slope/FunctionProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/FunctionProbe.java
@@ -4,7 +4,7 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * A probe that computes the cost by a function of the size. Immutable.
+ * A probe that obtains the cost from a function of the size. Immutable.
  *
  * @param name the name of the cost
  * @param unit the unit of the cost
--- a/src/main/java/org/gooseberryhill/load/slope/SampleConfigurations.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SampleConfigurations.java
@@ -8,7 +8,7 @@
 
     private SampleConfigurations() {}
 
-    /** Returns a text with a number of endpoints, at least one for each model, and of callers. */
+    /** Returns a text with the given numbers of endpoints (at least one for each model) and callers. */
     static String create(int endpoints, int callers) {
         StringBuilder text = new StringBuilder("models:\n");
         for (int i = 0; i < MODELS; i++) {
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
@@ -70,7 +70,7 @@
                 new JobWritesProbe(basePort));
     }
 
-    /** Returns a probe of the size of a peer message with a number of entries, including framing. */
+    /** Returns a probe of the size, including framing, of a peer message with the given number of entries. */
     private static SlopeProbe messageProbe(String name, String varied, IntFunction<PeerMessage> builder) {
         return new FunctionProbe(
                 name, "bytes", varied, ENTRY_COUNTS, size -> PeerMessageSize.encodedBytes(builder.apply(size)));
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Returns a probe of the live heap of an object with a number of entries. The object is built once before the
-     * measurement, so that the memory of loaded classes is not counted.
+     * Returns a probe of the live heap of an object with the given number of entries. The object is built once before
+     * the measurement, so that the memory of loaded classes is not counted.
      */
     private static SlopeProbe heapProbe(String name, String varied, List<Integer> sizes, IntFunction<Object> builder) {
         return new FunctionProbe(name, "bytes of live heap", varied, sizes, size -> {
--- a/src/main/java/org/gooseberryhill/load/slope/package-info.java
+++ b/src/main/java/org/gooseberryhill/load/slope/package-info.java
@@ -1,2 +1,4 @@
-/** Measures on one machine how costs grow with sizes; docs/CAPACITY.md extrapolates the results. */
+/**
+ * Probes that measure on one machine how costs grow with the size of the fleet; docs/CAPACITY.md extrapolates the results.
+ */
 package org.gooseberryhill.load.slope;
--- a/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
+++ b/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
@@ -39,7 +39,7 @@
         this(out, new ArrayBlockingQueue<>(QUEUE_CAPACITY));
     }
 
-    /** Starts a writer to a stream with a queue of its own. */
+    /** Starts a writer to a stream that uses the given queue. */
     AsyncLineWriter(OutputStream out, BlockingQueue<List<TimelineEvent>> queue) {
         this.out = out;
         this.queue = queue;
--- a/src/main/java/org/gooseberryhill/logging/LazyLoggers.java
+++ b/src/main/java/org/gooseberryhill/logging/LazyLoggers.java
@@ -10,7 +10,7 @@
  * Supplies loggers that are created on first use. Thread-safe.
  *
  * <p>Initializing the logging library takes one third of a process's start-up time, while callers wait for a restarted
- * process. It is therefore put off until the first message is logged.
+ * process. It is therefore deferred until the first message is logged.
  */
 public final class LazyLoggers {
     private static final Lazy<Boolean> STARTED = Lazy.of(() -> {
--- a/src/main/java/org/gooseberryhill/logging/LineConfiguration.java
+++ b/src/main/java/org/gooseberryhill/logging/LineConfiguration.java
@@ -9,8 +9,8 @@
 /**
  * The Log4j configuration, built in code.
  *
- * <p>Reading a configuration file and scanning for the plug-ins that it could name took half of a process's start-up
- * time; without them, a lost host is back sooner.
+ * <p>Reading a configuration file and scanning for the plug-ins that it could name would take half of a process's start-up
+ * time. Without both, a host that was lost serves again sooner.
  */
 final class LineConfiguration extends AbstractConfiguration {
     /** The environment variable with the minimum level that is written; INFO if it is not set. */
--- a/src/main/java/org/gooseberryhill/logging/NettyLoggerFactory.java
+++ b/src/main/java/org/gooseberryhill/logging/NettyLoggerFactory.java
@@ -14,7 +14,7 @@
 
     /**
      * Installs this factory; must be called before the first connection is made. Otherwise Netty searches for a logging
-     * library and initializes it with its first class. The machine id is fixed, since channel ids are compared within
+     * library and initializes it when its first class is loaded. The machine id is fixed, since channel ids are compared within
      * one process only; on a host without a hardware address, the search for one logs a warning, which would initialize
      * logging.
      */
--- a/src/main/java/org/gooseberryhill/logging/StandardOutputSink.java
+++ b/src/main/java/org/gooseberryhill/logging/StandardOutputSink.java
@@ -28,7 +28,7 @@
  * <p>Invariant: events are written in the order in which they were accepted.
  */
 public final class StandardOutputSink implements EventSink {
-    /** The number of buffered events at which the buffer is flushed. */
+    /** The number of buffered events at which {@link #accept} flushes the buffer. */
     static final int FLUSH_THRESHOLD = 64;
 
     private static final Set<String> ROUTINE_KINDS = Arrays.stream(EventKind.values())
--- a/src/main/java/org/gooseberryhill/metrics/DurationBuckets.java
+++ b/src/main/java/org/gooseberryhill/metrics/DurationBuckets.java
@@ -6,7 +6,8 @@
 /** Counts durations by histogram bucket. Thread-safe. */
 final class DurationBuckets {
     /**
-     * The inclusive upper bounds, as usual for response times of milliseconds to seconds; the last bucket is unbounded.
+     * The inclusive upper bounds, which are common for response times from milliseconds to seconds; the last bucket is
+     * unbounded.
      */
     private static final double[] UPPER_BOUNDS_SECONDS = {
         0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, Double.POSITIVE_INFINITY
--- a/src/main/java/org/gooseberryhill/metrics/MetricRegistry.java
+++ b/src/main/java/org/gooseberryhill/metrics/MetricRegistry.java
@@ -12,7 +12,7 @@
 /**
  * The registry of the metrics of one process, exposed in the Prometheus text format. Thread-safe.
  *
- * <p>Example: {@code metrics.counter("requests", "Requests by route", "route").add("summaries")}.
+ * <p>Example: {@code metrics.counter("requests", "Requests by route", "route").increment("summaries")}.
  */
 public final class MetricRegistry {
     /** The media type of {@link #toPrometheusText}. */
@@ -39,7 +39,7 @@
         sources.add(new CallbackGauge(name, help, value));
     }
 
-    /** Returns the present values of all metrics in the text format. */
+    /** Returns the current values of all metrics in the Prometheus text format. */
     public byte[] toPrometheusText() {
         MetricSnapshots.Builder snapshots = MetricSnapshots.builder();
         sources.forEach(source -> snapshots.metricSnapshot(source.snapshot()));
--- a/src/main/java/org/gooseberryhill/metrics/MetricSource.java
+++ b/src/main/java/org/gooseberryhill/metrics/MetricSource.java
@@ -9,6 +9,6 @@
  * would lengthen the start of a restarted host while its callers wait.
  */
 interface MetricSource {
-    /** Returns the present values. */
+    /** Returns the current values. */
     MetricSnapshot snapshot();
 }
--- a/src/main/java/org/gooseberryhill/standin/EngineSpeed.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineSpeed.java
@@ -13,8 +13,8 @@
     public static final EngineSpeed SMALL = new EngineSpeed(8, 10, 256, 16);
 
     /**
-     * Returns the duration of a step with a number of active requests, in milliseconds. It grows by at most a quarter
-     * up to the number of slots, and steeply above it.
+     * Returns the duration of a step with the given number of active requests, in milliseconds. It grows by at most a
+     * quarter up to the number of slots, and steeply above it.
      */
     public double stepMillis(int activeRequests) {
         double withinSlots = 1 + 0.25 * Math.min(activeRequests, slots) / slots;
--- a/src/main/java/org/gooseberryhill/standin/EngineStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineStandin.java
@@ -76,7 +76,7 @@
         faults = newFaults;
     }
 
-    /** Sets the loaded model without an order. */
+    /** Sets the loaded model directly, without a model order. */
     public void setHeldModel(ModelHolding holding) {
         heldModel = holding;
     }
@@ -106,7 +106,7 @@
         return served.get();
     }
 
-    /** Returns the fencing numbers of the executed orders, in the order of execution. */
+    /** Returns the fencing tokens of the executed orders, in the order of execution. */
     public synchronized List<Long> orderFences() {
         return List.copyOf(orderFences);
     }
--- a/src/main/java/org/gooseberryhill/standin/Generation.java
+++ b/src/main/java/org/gooseberryhill/standin/Generation.java
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Closes a stream of which half is generated, without the {@code [DONE]} event; returns whether it did. */
+    /** Closes the stream without the {@code [DONE]} event if half of it is generated; returns whether it was closed. */
     boolean tryEndEarly() {
         boolean atMiddle = streamed && generatedTokens > resumedFrom && 2 * generatedTokens >= maxTokens;
         if (atMiddle) {
--- a/src/main/java/org/gooseberryhill/standin/HostListStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/HostListStandin.java
@@ -41,7 +41,7 @@
         server = HttpServer.start(group, address, HttpLimits.DEFAULT, this::handle);
     }
 
-    /** Replaces the host list, with no endpoint leaving; visible immediately. */
+    /** Replaces the hosts and clears the leaving endpoints; visible immediately. */
     public synchronized void setHosts(List<Host> hosts) {
         latestListing = new HostList.Listing(hosts, Set.of());
         visibleListing = latestListing;
--- a/src/main/java/org/gooseberryhill/standin/KeyValueFaults.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueFaults.java
@@ -5,7 +5,7 @@
  *
  * @param outage whether calls are aborted without an answer and without effect
  * @param serviceDelayMillis how long each call is delayed before it is executed
- * @param loseAnswers number of next successful transactions whose answers are lost
+ * @param loseAnswers number of upcoming successful transactions whose answers are lost
  * @param cutAfterLost number of calls after each lost answer that are aborted without effect
  * @param staleReads whether reads omit the key changed by the latest write
  */
--- a/src/main/java/org/gooseberryhill/standin/KeyValueState.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueState.java
@@ -11,9 +11,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Stores keys with revisions, and leases. Not thread-safe; the stand-in guards it with a lock.
+ * The state of a simulated key-value service: keys with their revisions, and leases. Not thread-safe; the stand-in guards
+ * it with a lock.
  *
- * <p>Invariant: each applied list of changes that is not empty increments the revision by one.
+ * <p>Invariant: each non-empty list of changes that is applied increments the revision by one.
  */
 public final class KeyValueState {
     private final LongSupplier nowNanos;
@@ -23,7 +24,7 @@
     private long revision = 1;
     private long nextLeaseId = 1000;
 
-    /** Creates an empty state whose leases expire by a clock in nanoseconds. */
+    /** Creates an empty state; the clock, in nanoseconds, determines when leases expire. */
     public KeyValueState(LongSupplier nowNanos) {
         this.nowNanos = nowNanos;
     }
@@ -38,7 +39,7 @@
         return Optional.ofNullable(values.get(key));
     }
 
-    /** Returns the keys from {@code from} to {@code end}, exclusive; an empty end selects {@code from} alone. */
+    /** Returns the values of the keys from {@code from} to {@code end}, exclusive; an empty end selects {@code from} alone. */
     public Map<String, Value> range(String from, String end) {
         if (end.isEmpty()) {
             Value value = values.get(from);
@@ -111,7 +112,7 @@
         return apply(deletions);
     }
 
-    /** Returns the ids of the leases that have expired but not ended. */
+    /** Returns the ids of the leases whose time to live has passed, but which {@link #endLease} has not ended yet. */
     public List<Long> expiredLeases() {
         long now = nowNanos.getAsLong();
         return leases.entrySet().stream()
@@ -132,7 +133,7 @@
         return new Event(revision, key, Optional.of(value));
     }
 
-    /** A value with its revisions and its lease; lease 0 means none. */
+    /** A value with its revisions and the id of its lease; 0 means no lease. */
     public record Value(byte[] bytes, long createRevision, long modRevision, long lease) {}
 
     /** A change to apply; absent bytes delete the key. */
--- a/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
@@ -15,8 +15,8 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Simulates a plain service: {@code POST /bookings} is not idempotent, {@code GET /records/{name}} has no effect.
- * Thread-safe.
+ * Simulates a plain service: {@code POST /bookings} is not idempotent; {@code GET /bookings} and
+ * {@code GET /records/{name}} are read-only. Thread-safe.
  */
 public final class PlainServiceStandin implements Closeable {
     private static final int RECORD_BYTES = 4096;
@@ -32,12 +32,15 @@
         server = HttpServer.start(group, address, HttpLimits.DEFAULT, this::handle);
     }
 
-    /** Makes a number of next bookings take effect without an answer. */
+    /** Makes the given number of upcoming bookings take effect without an answer. */
     public void loseNextAnswers(int number) {
         answersToLose.set(number);
     }
 
-    /** Makes a number of next bookings take effect but withholds their answers until {@link #answerHeldBookings}. */
+    /**
+     * Makes the given number of upcoming bookings take effect but withholds their answers until
+     * {@link #answerHeldBookings} is called.
+     */
     public void holdNextAnswers(int number) {
         answersToHold.set(number);
     }
--- a/src/main/java/org/gooseberryhill/standin/SampleAnswers.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleAnswers.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.gooseberryhill.link.Json;
 
-/** Requests of sample callers and the complete answers that engine stand-ins give to them. Stateless. */
+/** Creates requests to engine stand-ins and the complete answers that are expected for them. Stateless. */
 public final class SampleAnswers {
     private SampleAnswers() {}
 
--- a/src/main/java/org/gooseberryhill/standin/SampleFleet.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleFleet.java
@@ -13,13 +13,13 @@
 
 /**
  * The addresses and the configuration of a small fleet on loopback, modeled on the Easel &amp; Ochre deployment: three
- * availability zones, some runners (usually twelve) and a booking app. Immutable.
+ * availability zones, some engines (usually twelve) and a booking app. Immutable.
  *
  * @param basePort the first of 100 ports
- * @param engineCount number of runners
+ * @param engineCount number of engines
  */
 public record SampleFleet(int basePort, int engineCount) {
-    /** The model that the runners have loaded. */
+    /** The model that the engines have loaded. */
     public static final ModelHolding MODEL = new ModelHolding("tutor-7b", "3", List.of("critique"));
 
     /** Bearer key of the caller of the model; the keys are samples, not for real deployments. */
@@ -56,7 +56,7 @@
         return atOffset(2);
     }
 
-    /** Returns the address of a runner. Numbers start at 0 in all methods. */
+    /** Returns the address of an engine. Numbers start at 0 in all methods. */
     public Address engine(int number) {
         return atOffset(ENGINE_OFFSET + number);
     }
@@ -71,7 +71,7 @@
         return atOffset(ENTRY_HTTP_OFFSET + number);
     }
 
-    /** Returns the availability zone of the runner, process or host with a number. */
+    /** Returns the availability zone of the engine, booking process or host with the given number. */
     public static AvailabilityZone zone(int number) {
         return new AvailabilityZone("tas-" + (char) ('a' + number % ZONES));
     }
@@ -91,7 +91,7 @@
         return host(Role.STORE, "store-" + number, number, STORE_OFFSET);
     }
 
-    /** Returns the hosts of a fleet with a number of entries, stewards and stores. */
+    /** Returns the hosts of a fleet with the given numbers of entries, stewards and stores. */
     public List<Host> hosts(int entries, int stewards, int stores) {
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
@@ -131,7 +131,7 @@
         return text.toString();
     }
 
-    /** Returns the name of a runner. */
+    /** Returns the name of the endpoint of an engine. */
     public static String engineName(int number) {
         return "tutor-%02d".formatted(number);
     }
--- a/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
+++ b/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
@@ -22,7 +22,7 @@
     private final List<EngineStandin> engines = new ArrayList<>();
     private final List<PlainServiceStandin> plainServices = new ArrayList<>();
 
-    /** Starts all stand-ins of a fleet and lists a number of hosts of each role. */
+    /** Starts all stand-ins of a fleet; the host list contains the given number of hosts of each role. */
     public SamplePlatform(SampleFleet fleet, EngineSpeed speed, int entries, int stewards, int stores) {
         keyValue = new KeyValueStandin(group, fleet.keyValue());
         hostList = new HostListStandin(group, fleet.hostList(), 0);
@@ -38,22 +38,22 @@
         }
     }
 
-    /** Returns the key-value service. */
+    /** Returns the stand-in of the key-value service. */
     public KeyValueStandin keyValue() {
         return keyValue;
     }
 
-    /** Returns the host list. */
+    /** Returns the stand-in of the host list. */
     public HostListStandin hostList() {
         return hostList;
     }
 
-    /** Returns the runners. */
+    /** Returns the engine stand-ins. */
     public List<EngineStandin> engines() {
         return engines;
     }
 
-    /** Returns the processes of the booking app. */
+    /** Returns the stand-ins of the booking app, a plain service. */
     public List<PlainServiceStandin> plainServices() {
         return plainServices;
     }
--- a/src/main/java/org/gooseberryhill/timeline/EventBuilder.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventBuilder.java
@@ -7,7 +7,7 @@
 import org.gooseberryhill.link.HybridTimestamp;
 
 /**
- * Builder of a time line event. Not thread-safe.
+ * Builder of a timeline event. Not thread-safe.
  *
  * <p>Example: {@code timeline.event(EventKind.ATTEMPT_SENT).request(id).endpoint(name).with("attempt", 1).write()}.
  */
--- a/src/main/java/org/gooseberryhill/timeline/EventKind.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventKind.java
@@ -67,7 +67,7 @@
     LEASE_GRANTED("lease.granted", Importance.STATE),
     /** A lease was lost or expired. */
     LEASE_LOST("lease.lost", Importance.STATE),
-    /** An endpoint was excluded for a time, or included again. */
+    /** An endpoint was temporarily excluded from routing, or included again. */
     ENDPOINT_HEALTH("endpoint.health", Importance.STATE),
     /** An endpoint crashed with requests in flight. */
     ENDPOINT_CRASHED("endpoint.crashed", Importance.FAILURE),
--- a/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
@@ -37,7 +37,7 @@
         return true;
     }
 
-    /** Returns and clears the number of dropped events by kind; empty until the window in which they fell is over. */
+    /** Returns and clears the number of dropped events by kind; empty until the window of the drops is over. */
     Map<EventKind, Integer> drainDropped(long nowNanos) {
         if (dropped.isEmpty() || nowNanos - windowStartNanos < WINDOW_NANOS) {
             return Map.of();
--- a/src/main/java/org/gooseberryhill/timeline/FileSink.java
+++ b/src/main/java/org/gooseberryhill/timeline/FileSink.java
@@ -14,8 +14,8 @@
 /**
  * Writes events to a separate file, for a system that is embedded in another program. Thread-safe.
  *
- * <p>Invariant: each line is written whole and flushed. The first disk error is logged and ends writing; it fails no
- * request.
+ * <p>Invariant: each line is written whole and flushed. The first disk error is logged, and later events are dropped; no
+ * request fails because of it.
  */
 public final class FileSink implements EventSink, Closeable {
     private static final Logger LOG = LogManager.getLogger(FileSink.class);
--- a/src/main/java/org/gooseberryhill/timeline/Timeline.java
+++ b/src/main/java/org/gooseberryhill/timeline/Timeline.java
@@ -5,7 +5,7 @@
 import org.gooseberryhill.link.HybridClock;
 
 /**
- * Records the time line events of one process. Thread-safe.
+ * Records the timeline events of one process. Thread-safe.
  *
  * <p>Invariant: writing never blocks; events dropped by the rate limit are counted and reported in a separate event.
  */
@@ -16,7 +16,7 @@
     private final LongSupplier nowNanos;
     private final EventLimiter limiter = new EventLimiter();
 
-    /** Creates the time line of a process. */
+    /** Creates the timeline of a process. */
     public Timeline(String process, HybridClock clock, EventSink sink) {
         this(process, clock, sink, System::nanoTime);
     }
--- a/src/main/java/org/gooseberryhill/timeline/TimelineEvent.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineEvent.java
@@ -5,14 +5,14 @@
 import org.gooseberryhill.link.HybridTimestamp;
 
 /**
- * One time line event of a process. Immutable.
+ * One timeline event of a process. Immutable.
  *
  * @param at the hybrid logical timestamp
  * @param process the process that wrote it
  * @param kind the kind's wire name, such as {@code attempt.sent}
- * @param request the request concerned, if any
- * @param job the job or request batch concerned, if any
- * @param endpoint the endpoint concerned, if any
+ * @param request the id of the request concerned, if any
+ * @param job the id of the job or request batch concerned, if any
+ * @param endpoint the name of the endpoint concerned, if any
  * @param details the inputs of the decision, their age and the outcome; never a body or a key
  */
 public record TimelineEvent(
--- a/src/main/java/org/gooseberryhill/timeline/TimelineLineFormat.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineLineFormat.java
@@ -64,7 +64,7 @@
 
     private static void writeEvent(TimelineEvent event, JsonLineWriter line) {
         line.begin();
-        // For readers only; events are ordered by the hybrid timestamp.
+        // For human readers only; events are ordered by the hybrid timestamp.
         line.time(TIME, event.at().epochMillis());
         line.number(AT, event.at().packed());
         line.text(PROCESS, event.process());
--- a/src/main/java/org/gooseberryhill/timeline/TimelineQuery.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineQuery.java
@@ -9,13 +9,14 @@
 import java.util.stream.Collectors;
 
 /**
- * A filter for time line events. Immutable.
+ * A filter for timeline events. Immutable.
  *
  * @param request only events of this request
  * @param job only events of this job or request batch
  * @param item only events of this item of the job or batch
  * @param endpoint only events of this endpoint
- * @param surroundings also state changes of processes, the store and the endpoints concerned at that time
+ * @param surroundings whether to add the state changes of processes, of the store and of the endpoints concerned that
+ *     occurred around the time of the selected events
  */
 public record TimelineQuery(
         Optional<String> request,
@@ -24,11 +25,12 @@
         Optional<String> endpoint,
         boolean surroundings) {
     /**
-     * Covers the state behind a decision: hosts report each second, and the store counts as lost after some seconds.
+     * The time before the first selected event. It covers the reports on which a decision is based: hosts report each
+     * second, and the store counts as lost after some seconds.
      */
     private static final long SURROUNDINGS_BEFORE_MILLIS = TimeUnit.SECONDS.toMillis(5);
 
-    /** Covers the detection and the restart of a host that was lost together with a request. */
+    /** The time after the last selected event. It covers the detection and the restart of a host lost with a request. */
     private static final long SURROUNDINGS_AFTER_MILLIS = TimeUnit.SECONDS.toMillis(5);
 
     private static final Set<String> STATE_KINDS = Arrays.stream(EventKind.values())
--- a/src/test/java/org/gooseberryhill/ArchitectureTest.java
+++ b/src/test/java/org/gooseberryhill/ArchitectureTest.java
@@ -9,7 +9,7 @@
 
 /**
  * Checks the dependencies between packages. The decision core must not depend on anything that a test with virtual time
- * can't control.
+ * cannot control.
  */
 @AnalyzeClasses(packages = "org.gooseberryhill", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
--- a/src/test/java/org/gooseberryhill/Loopback.java
+++ b/src/test/java/org/gooseberryhill/Loopback.java
@@ -9,7 +9,7 @@
 import org.gooseberryhill.link.Address;
 import org.gooseberryhill.standin.FreePorts;
 
-/** Helper methods of tests on the loopback interface: free ports, traffic threads and waiting for conditions. */
+/** Helper methods of tests on the loopback interface: free ports, event loop groups and waiting for conditions. */
 public final class Loopback {
     private static final long OUTCOME_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(120);
 
--- a/src/test/java/org/gooseberryhill/standin/EngineStandinTest.java
+++ b/src/test/java/org/gooseberryhill/standin/EngineStandinTest.java
@@ -31,7 +31,10 @@
         group.shutdownGracefully();
     }
 
-    /** A stream was cut after some tokens and is resumed; with 6, only the {@code [DONE]} event is missing. */
+    /**
+     * Guards against repeated or missing tokens when a truncated stream is resumed. With 6, all tokens were received, and
+     * only the {@code [DONE]} event is missing.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 5, 6})
     void aResumedStreamHasTheRemainingTokensAndTheDoneEvent(int resumeFrom) {
--- a/src/test/java/org/gooseberryhill/timeline/JsonLineWriterProperties.java
+++ b/src/test/java/org/gooseberryhill/timeline/JsonLineWriterProperties.java
@@ -62,7 +62,7 @@
         anyTextIsReadAsItWasWritten("\ud800", "a\udc00\"b");
     }
 
-    /** Log injection: a request id contains a quote and a line break in order to add a field and a line. */
+    /** Guards against log injection: a request id contains a quote and a line break to add a field and a line. */
     @Example
     void aTextCannotInjectAField() {
         String forged = "x\",\"kind\":\"request.ended\"}\n{\"kind\":\"y";
--- a/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
+++ b/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
@@ -59,7 +59,7 @@
         assertThat(dropped.detail("request.ended")).isEqualTo("800");
     }
 
-    /** One request fails among many successful ones: its event is written, however many the others are. */
+    /** One request fails among many successful ones: its event is written regardless of their number. */
     @Test
     void aFailureIsWrittenAmongManyRoutineEvents() {
         for (int i = 0; i < 5000; i++) {
