--- a/src/main/java/org/gooseberryhill/load/Experiment.java
+++ b/src/main/java/org/gooseberryhill/load/Experiment.java
@@ -70,7 +70,7 @@
             int servedBefore = servedAnswers(system);
             long beginNanos = System.nanoTime();
             FaultPlan faults = new FaultPlan(system, point.faults());
-            sender.send(arrivals, beginNanos, faults::injectDue);
+            sender.send(arrivals, beginNanos, faults::injectDueFaults);
             int servedAfter = servedAnswers(system);
             double elapsedSeconds = (System.nanoTime() - beginNanos) / (double) TimeUnit.SECONDS.toNanos(1);
             int onlineAnswers = measurement.wholeModelAnswers();
@@ -85,7 +85,7 @@
                     measurement.firstTokenMillis(99),
                     measurement.gapMillis(95),
                     measurement.plainMillis(99),
-                    measurement.ends());
+                    measurement.countsByEnd());
         }
     }
 
@@ -166,7 +166,7 @@
             this.enabled = enabled;
         }
 
-        void injectDue(long elapsedNanos) {
+        void injectDueFaults(long elapsedNanos) {
             double elapsedShare = elapsedNanos / (seconds * TimeUnit.SECONDS.toNanos(1));
             if (!enabled) {
                 return;
--- a/src/main/java/org/gooseberryhill/load/Measurement.java
+++ b/src/main/java/org/gooseberryhill/load/Measurement.java
@@ -9,63 +9,63 @@
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final double MICROS_PER_MILLI = 1000;
 
-    private final Histogram firstToken = new Histogram(SIGNIFICANT_DIGITS);
-    private final Histogram meanGap = new Histogram(SIGNIFICANT_DIGITS);
-    private final Histogram plainDuration = new Histogram(SIGNIFICANT_DIGITS);
-    private int whole;
-    private int wrong;
-    private int cut;
-    private int refused;
+    private final Histogram firstTokenMicros = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram meanGapMicros = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram plainDurationMicros = new Histogram(SIGNIFICANT_DIGITS);
+    private int wholeCount;
+    private int wrongCount;
+    private int cutCount;
+    private int refusedCount;
 
     /** Records the end of a model answer. */
     public synchronized void recordModelAnswer(StreamedAnswerChecker.Result result) {
         switch (result.end()) {
             case WHOLE -> {
-                whole++;
-                firstToken.recordValue(TimeUnit.NANOSECONDS.toMicros(result.firstTokenNanos()));
-                meanGap.recordValue(TimeUnit.NANOSECONDS.toMicros(result.meanGapNanos()));
+                wholeCount++;
+                firstTokenMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(result.firstTokenNanos()));
+                meanGapMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(result.meanGapNanos()));
             }
-            case WRONG -> wrong++;
-            case CUT -> cut++;
-            default -> refused++;
+            case WRONG -> wrongCount++;
+            case CUT -> cutCount++;
+            default -> refusedCount++;
         }
     }
 
     /** Records the end of a plain call, with its duration; a call without a correct answer counts as refused. */
     public synchronized void recordPlainAnswer(boolean correct, long durationNanos) {
         if (correct) {
-            whole++;
-            plainDuration.recordValue(TimeUnit.NANOSECONDS.toMicros(durationNanos));
+            wholeCount++;
+            plainDurationMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(durationNanos));
         } else {
-            refused++;
+            refusedCount++;
         }
     }
 
     /** Returns a percentile of the time to the first token, in milliseconds. */
     public synchronized double firstTokenMillis(double percentile) {
-        return firstToken.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
+        return firstTokenMicros.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
     /** Returns a percentile of the answers' mean time between tokens, in milliseconds. */
     public synchronized double gapMillis(double percentile) {
-        return meanGap.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
+        return meanGapMicros.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
     /** Returns a percentile of the duration of correctly answered plain calls, in milliseconds. */
     public synchronized double plainMillis(double percentile) {
-        return plainDuration.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
+        return plainDurationMicros.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
     /** Returns the number of complete and correct model answers; plain calls are not counted. */
     public synchronized int wholeModelAnswers() {
-        return (int) firstToken.getTotalCount();
+        return (int) firstTokenMicros.getTotalCount();
     }
 
     /**
      * Returns the numbers of answers that were complete and correct, complete but incorrect, truncated, and refused, in
      * this order.
      */
-    public synchronized int[] ends() {
-        return new int[] {whole, wrong, cut, refused};
+    public synchronized int[] countsByEnd() {
+        return new int[] {wholeCount, wrongCount, cutCount, refusedCount};
     }
 }
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
@@ -38,7 +38,7 @@
     private static final int PLANNED_CALLERS = 2400;
     private static final String VARIED_ENDPOINTS = "endpoints (with 2400 callers per 2600 of them)";
     private static final List<Integer> ENDPOINT_COUNTS = List.of(130, 650, 1300, 2600);
-    private static final List<Integer> ENTRY_COUNTS = List.of(0, 1, 2, 4, 8);
+    private static final List<Integer> MESSAGE_ENTRY_COUNTS = List.of(0, 1, 2, 4, 8);
     private static final int PARSE_RUNS = 15;
     private static final double NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final int JOB_ITEMS = 296;
@@ -73,7 +73,7 @@
     /** Returns a probe of the size, including framing, of a peer message with the given number of entries. */
     private static SlopeProbe messageProbe(String name, String varied, IntFunction<PeerMessage> builder) {
         return new FunctionProbe(
-                name, "bytes", varied, ENTRY_COUNTS, size -> PeerMessageSize.encodedBytes(builder.apply(size)));
+                name, "bytes", varied, MESSAGE_ENTRY_COUNTS, size -> PeerMessageSize.encodedBytes(builder.apply(size)));
     }
 
     /** Returns a probe of a cost of the configuration text with endpoints and callers in the planned proportion. */
@@ -158,9 +158,9 @@
     }
 
     private static Object membership(int hosts) {
-        List<Host> all = new ArrayList<>();
+        List<Host> candidates = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            all.add(new Host(
+            candidates.add(new Host(
                     new HostId("steward-%04d".formatted(i)),
                     Role.STEWARD,
                     new AvailabilityZone("zone-" + i % 4),
@@ -168,7 +168,7 @@
                     false));
         }
         Membership membership = new Membership(new HostId("self"), MembershipSettings.DEFAULT, new Random(1));
-        membership.updateCandidates(all, 0);
+        membership.updateCandidates(candidates, 0);
         return membership;
     }
 
@@ -187,9 +187,9 @@
         return owned;
     }
 
-    private static List<String> bodies(int number) {
+    private static List<String> bodies(int count) {
         List<String> bodies = new ArrayList<>();
-        for (int i = 0; i < number; i++) {
+        for (int i = 0; i < count; i++) {
             String filler = "x".repeat(ITEM_BYTES - 40);
             bodies.add(Json.text(Map.of("prompt", i + filler, "max_tokens", 40)));
         }
