--- a/src/main/java/org/gooseberryhill/standin/EngineStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineStandin.java
@@ -38,11 +38,11 @@
     private final Address address;
     private final EngineSpeed speed;
     private final ScheduledExecutorService executor;
-    private final List<Generation> active = new ArrayList<>();
+    private final List<Generation> activeGenerations = new ArrayList<>();
     private final ArrayDeque<Generation> queue = new ArrayDeque<>();
     private final Map<String, Boolean> prefixCache;
     private final AtomicInteger crashes = new AtomicInteger();
-    private final AtomicInteger served = new AtomicInteger();
+    private final AtomicInteger servedAnswers = new AtomicInteger();
     private final List<Long> orderFences = new ArrayList<>();
     private volatile EngineFaults faults = EngineFaults.NONE;
     private volatile ModelHolding heldModel = new ModelHolding("", "", List.of());
@@ -103,7 +103,7 @@
 
     /** Returns the number of answers completed so far. */
     public int servedCount() {
-        return served.get();
+        return servedAnswers.get();
     }
 
     /** Returns the fencing tokens of the executed orders, in the order of execution. */
@@ -169,7 +169,7 @@
                 call,
                 200,
                 Json.object()
-                        .put("active", active.size())
+                        .put("active", activeGenerations.size())
                         .put("queued", queue.size())
                         .put("draining", faults.draining())
                         .set("held", Json.mapper().valueToTree(heldModel)));
@@ -196,25 +196,25 @@
         }
         stepScheduled = true;
         admit();
-        long micros = (long) (speed.stepMillis(Math.max(1, active.size())) * 1000);
+        long micros = (long) (speed.stepMillis(Math.max(1, activeGenerations.size())) * 1000);
         executor.schedule(this::step, micros, TimeUnit.MICROSECONDS);
     }
 
     private void admit() {
-        while (!queue.isEmpty() && active.size() < speed.slots() * MAX_ACTIVE_PER_SLOT) {
+        while (!queue.isEmpty() && activeGenerations.size() < speed.slots() * MAX_ACTIVE_PER_SLOT) {
             Generation next = queue.poll();
             String prompt = next.prompt();
             String prefix = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length()));
             boolean cached = prefixCache.put(prefix, Boolean.TRUE) != null;
             int promptTokens = prompt.length() / CHARACTERS_PER_TOKEN;
             next.setPrefillSteps(cached ? 0 : promptTokens / speed.prefillTokensPerStep() + 1);
-            active.add(next);
+            activeGenerations.add(next);
         }
     }
 
     private void step() {
         stepScheduled = false;
-        Iterator<Generation> generations = active.iterator();
+        Iterator<Generation> generations = activeGenerations.iterator();
         while (generations.hasNext()) {
             Generation generation = generations.next();
             if (generation.isDisconnected()) {
@@ -232,11 +232,11 @@
             }
             if (generation.isDone()) {
                 generation.finish();
-                served.incrementAndGet();
+                servedAnswers.incrementAndGet();
                 generations.remove();
             }
         }
-        busy = !active.isEmpty() || !queue.isEmpty();
+        busy = !activeGenerations.isEmpty() || !queue.isEmpty();
         if (busy) {
             scheduleStep();
         }
@@ -248,7 +248,7 @@
 
     private void crashNow() {
         crashes.incrementAndGet();
-        active.clear();
+        activeGenerations.clear();
         queue.clear();
         prefixCache.clear();
         server.close();
--- a/src/main/java/org/gooseberryhill/standin/Generation.java
+++ b/src/main/java/org/gooseberryhill/standin/Generation.java
@@ -24,21 +24,21 @@
     private final String prompt;
     private final int maxTokens;
     private final boolean streamed;
-    private final int resumedFrom;
+    private final int resumedFromToken;
     private final StringBuilder text = new StringBuilder();
     private int generatedTokens;
     private int prefillSteps;
     private boolean streamStarted;
     private volatile boolean disconnected;
 
-    Generation(HttpCall call, JsonNode request, int resumedFrom) {
+    Generation(HttpCall call, JsonNode request, int resumedFromToken) {
         this.call = call;
         this.request = request;
         this.prompt = promptOf(request);
         this.maxTokens = request.path("max_tokens").asInt(DEFAULT_MAX_TOKENS);
         this.streamed = request.path("stream").asBoolean(false);
-        this.resumedFrom = resumedFrom;
-        this.generatedTokens = resumedFrom;
+        this.resumedFromToken = resumedFromToken;
+        this.generatedTokens = resumedFromToken;
         call.onDisconnect(() -> disconnected = true);
     }
 
@@ -112,11 +112,11 @@
 
     /** Closes the stream without the {@code [DONE]} event if half of it is generated; returns whether it was closed. */
     boolean tryEndEarly() {
-        boolean atMiddle = streamed && generatedTokens > resumedFrom && 2 * generatedTokens >= maxTokens;
-        if (atMiddle) {
+        boolean halfGenerated = streamed && generatedTokens > resumedFromToken && 2 * generatedTokens >= maxTokens;
+        if (halfGenerated) {
             call.endStream();
         }
-        return atMiddle;
+        return halfGenerated;
     }
 
     void finish() {
@@ -137,13 +137,13 @@
         StandinHttp.replyJson(call, 200, answer);
     }
 
-    private void writeEvent(Optional<String> content, Optional<String> finish) {
+    private void writeEvent(Optional<String> content, Optional<String> finishReason) {
         ObjectNode event = Json.object().put("object", "chat.completion.chunk");
         ObjectNode choice = event.putArray("choices").addObject().put("index", 0);
         ObjectNode delta = choice.putObject("delta");
         content.ifPresent(token -> delta.put("content", token));
         content.ifPresent(token -> choice.put("text", token));
-        choice.put("finish_reason", finish.orElse(null));
+        choice.put("finish_reason", finishReason.orElse(null));
         call.write(("data: " + Json.text(event) + "\n\n").getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
@@ -43,7 +43,7 @@
     private final HttpServer server;
     private volatile KeyValueFaults faults = KeyValueFaults.NONE;
     private KeyValueState.Event latestEvent;
-    private int callsToCut;
+    private int callsToAbort;
 
     /** Starts listening. */
     public KeyValueStandin(EventLoopGroup group, Address address) {
@@ -112,8 +112,8 @@
     }
 
     private synchronized void serve(HttpCall call, JsonNode json) {
-        if (faults.outage() || callsToCut > 0) {
-            callsToCut = Math.max(0, callsToCut - 1);
+        if (faults.outage() || callsToAbort > 0) {
+            callsToAbort = Math.max(0, callsToAbort - 1);
             call.abortStream();
             return;
         }
@@ -121,7 +121,7 @@
             case "/v3/kv/range" -> StandinHttp.replyJson(call, 200, range(json));
             case "/v3/kv/txn" -> {
                 ObjectNode answer = transaction(json);
-                if (answer.path("succeeded").asBoolean() && takeAnswerLoss()) {
+                if (answer.path("succeeded").asBoolean() && tryConsumeAnswerLoss()) {
                     call.abortStream();
                 } else {
                     StandinHttp.replyJson(call, 200, answer);
@@ -136,9 +136,9 @@
                                 .put("TTL", json.path("TTL").asText()));
             }
             case "/v3/lease/keepalive" -> {
-                long left = state.renewLease(json.path("ID").asLong()) / MILLIS_PER_SECOND;
+                long ttlSeconds = state.renewLease(json.path("ID").asLong()) / MILLIS_PER_SECOND;
                 ObjectNode result = Json.object();
-                result.putObject("result").put("ID", json.path("ID").asText()).put("TTL", Long.toString(left));
+                result.putObject("result").put("ID", json.path("ID").asText()).put("TTL", Long.toString(ttlSeconds));
                 StandinHttp.replyJson(call, 200, result);
             }
             case "/v3/lease/revoke" -> {
@@ -150,12 +150,12 @@
         }
     }
 
-    private boolean takeAnswerLoss() {
+    private boolean tryConsumeAnswerLoss() {
         KeyValueFaults current = faults;
         if (current.loseAnswers() <= 0) {
             return false;
         }
-        callsToCut = current.cutAfterLost();
+        callsToAbort = current.cutAfterLost();
         faults = new KeyValueFaults(
                 current.outage(),
                 current.serviceDelayMillis(),
@@ -190,18 +190,18 @@
     }
 
     private ObjectNode transaction(JsonNode json) {
-        boolean holds = true;
+        boolean succeeded = true;
         for (JsonNode condition : json.path("compare")) {
-            holds &= holds(condition);
+            succeeded &= holds(condition);
         }
         List<KeyValueState.Change> changes = new ArrayList<>();
-        for (JsonNode write : json.path(holds ? "success" : "failure")) {
+        for (JsonNode write : json.path(succeeded ? "success" : "failure")) {
             toChange(write).ifPresent(changes::add);
         }
         boolean unknownLease =
                 changes.stream().anyMatch(change -> change.lease() != 0 && !state.hasLease(change.lease()));
         if (unknownLease) {
-            holds = false;
+            succeeded = false;
             changes.clear();
         }
         List<KeyValueState.Event> events = state.apply(changes);
@@ -209,7 +209,7 @@
             latestEvent = events.get(events.size() - 1);
         }
         publish(events);
-        return header().put("succeeded", holds);
+        return header().put("succeeded", succeeded);
     }
 
     private boolean holds(JsonNode condition) {
@@ -240,7 +240,7 @@
     private void watch(HttpCall call, JsonNode request) {
         Watch watch = new Watch(
                 call, EtcdJson.decodeText(request.path("key")), EtcdJson.decodeText(request.path("range_end")));
-        call.beginStream(200, StandinHttp.JSON);
+        call.beginStream(200, StandinHttp.JSON_HEADERS);
         ObjectNode created = Json.object();
         created.putObject("result").put("created", true);
         watch.writeLine(created);
--- a/src/main/java/org/gooseberryhill/standin/KeyValueState.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueState.java
@@ -121,12 +121,12 @@
                 .toList();
     }
 
-    private Event put(String key, byte[] bytes, long lease) {
+    private Event put(String key, byte[] bytes, long leaseId) {
         Value old = values.get(key);
         long createRevision = old == null ? revision : old.createRevision;
-        Value value = new Value(bytes, createRevision, revision, lease);
+        Value value = new Value(bytes, createRevision, revision, leaseId);
         values.put(key, value);
-        Lease leaseOfKey = leases.get(lease);
+        Lease leaseOfKey = leases.get(leaseId);
         if (leaseOfKey != null) {
             leaseOfKey.keys.add(key);
         }
--- a/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
@@ -84,9 +84,9 @@
 
     private void book(HttpCall call, byte[] body) {
         bookings.add(new String(body, StandardCharsets.UTF_8));
-        if (answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+        if (answersToLose.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
             call.abortStream();
-        } else if (answersToHold.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+        } else if (answersToHold.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
             heldCalls.add(call);
         } else {
             answerBooking(call);
@@ -94,6 +94,6 @@
     }
 
     private void answerBooking(HttpCall call) {
-        call.reply(201, StandinHttp.JSON, Json.bytes(Map.of("booking", bookings.size())));
+        call.reply(201, StandinHttp.JSON_HEADERS, Json.bytes(Map.of("booking", bookings.size())));
     }
 }
