--- a/src/main/java/org/gooseberryhill/configuration/PropertyReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/PropertyReader.java
@@ -18,7 +18,7 @@
 final class PropertyReader {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,63}");
     /** The value of an address that is missing or invalid, which is reported as a finding. */
-    private static final Address NO_ADDRESS = new Address("0.0.0.0", 1);
+    private static final Address PLACEHOLDER_ADDRESS = new Address("0.0.0.0", 1);
 
     private final YamlNode.Mapping mapping;
     private final String path;
@@ -30,8 +30,8 @@
     PropertyReader(YamlNode node, String path, Findings findings) {
         this.path = path;
         this.findings = findings;
-        if (node instanceof YamlNode.Mapping found) {
-            this.mapping = found;
+        if (node instanceof YamlNode.Mapping mappingNode) {
+            this.mapping = mappingNode;
             this.mappingOrBlank = true;
         } else {
             this.mapping = new YamlNode.Mapping(node.position(), Map.of(), Map.of());
@@ -44,10 +44,10 @@
 
     /** Adds a finding for each key of the mapping that is not among the given ones. */
     PropertyReader allowOnly(String... keys) {
-        Set<String> known = Set.of(keys);
+        Set<String> allowedKeys = Set.of(keys);
         for (String key : mapping.entries().keySet()) {
-            if (!known.contains(key)) {
-                findings.add(mapping.keyPositions().get(key), pathOf(key), "key.unknown", sortedList(known));
+            if (!allowedKeys.contains(key)) {
+                findings.add(mapping.keyPositions().get(key), pathOf(key), "key.unknown", sortedList(allowedKeys));
             }
         }
         return this;
@@ -69,13 +69,13 @@
         if (node == null || isBlank(node)) {
             return;
         }
-        if (!(node instanceof YamlNode.Mapping named)) {
+        if (!(node instanceof YamlNode.Mapping namedEntries)) {
             findings.add(node.position(), pathOf(key), "value.mapping");
             return;
         }
-        named.entries().forEach((name, value) -> {
+        namedEntries.entries().forEach((name, value) -> {
             if (!NAME.matcher(name).matches()) {
-                findings.add(named.keyPositions().get(name), pathOf(key) + "." + name, "value.name", name);
+                findings.add(namedEntries.keyPositions().get(name), pathOf(key) + "." + name, "value.name", name);
             }
             consumer.accept(name, value);
         });
@@ -143,13 +143,13 @@
     Address requiredAddress(String key) {
         String text = requiredText(key);
         if (text.isEmpty()) {
-            return NO_ADDRESS;
+            return PLACEHOLDER_ADDRESS;
         }
         Optional<Address> address = Address.parse(text);
         if (address.isEmpty()) {
             findings.add(positionOf(key), pathOf(key), "value.address", text);
         }
-        return address.orElse(NO_ADDRESS);
+        return address.orElse(PLACEHOLDER_ADDRESS);
     }
 
     /** Returns the scalars of a list with their positions; empty if the key is missing. */
@@ -162,15 +162,15 @@
             findings.add(node.position(), pathOf(key), "value.list");
             return List.of();
         }
-        List<YamlNode.Scalar> texts = new ArrayList<>();
+        List<YamlNode.Scalar> scalars = new ArrayList<>();
         for (YamlNode item : sequence.items()) {
             if (item instanceof YamlNode.Scalar scalar) {
-                texts.add(scalar);
+                scalars.add(scalar);
             } else {
                 findings.add(item.position(), pathOf(key), "value.text");
             }
         }
-        return texts;
+        return scalars;
     }
 
     static String sortedList(Set<String> names) {
--- a/src/main/java/org/gooseberryhill/configuration/ServiceSettings.java
+++ b/src/main/java/org/gooseberryhill/configuration/ServiceSettings.java
@@ -34,7 +34,8 @@
     }
 
     private static boolean isPathPrefix(String prefix, String path) {
-        String plain = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
-        return plain.equals(prefix) || plain.startsWith(prefix.endsWith("/") ? prefix : prefix + "/");
+        String pathWithoutQuery = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
+        return pathWithoutQuery.equals(prefix)
+                || pathWithoutQuery.startsWith(prefix.endsWith("/") ? prefix : prefix + "/");
     }
 }
--- a/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
+++ b/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
@@ -29,19 +29,19 @@
 
     private final BlockingQueue<List<TimelineEvent>> queue;
     private final LongAdder droppedLines = new LongAdder();
-    private final OutputStream out;
+    private final OutputStream stream;
 
     /** The number of batches that are queued or being written. */
     private final AtomicInteger unwrittenBatches = new AtomicInteger();
 
     /** Starts a writer to a stream, which must not be closed elsewhere. */
-    AsyncLineWriter(OutputStream out) {
-        this(out, new ArrayBlockingQueue<>(QUEUE_CAPACITY));
+    AsyncLineWriter(OutputStream stream) {
+        this(stream, new ArrayBlockingQueue<>(QUEUE_CAPACITY));
     }
 
     /** Starts a writer to a stream that uses the given queue. */
-    AsyncLineWriter(OutputStream out, BlockingQueue<List<TimelineEvent>> queue) {
-        this.out = out;
+    AsyncLineWriter(OutputStream stream, BlockingQueue<List<TimelineEvent>> queue) {
+        this.stream = stream;
         this.queue = queue;
         Thread thread = new Thread(this::run, "log");
         thread.setDaemon(true);
@@ -79,8 +79,8 @@
         try {
             while (true) {
                 List<TimelineEvent> events = queue.take();
-                out.write(TimelineLineFormat.formatUtf8(events));
-                out.flush();
+                stream.write(TimelineLineFormat.formatUtf8(events));
+                stream.flush();
                 unwrittenBatches.decrementAndGet();
             }
         } catch (IOException e) {
--- a/src/main/java/org/gooseberryhill/logging/LazyLoggers.java
+++ b/src/main/java/org/gooseberryhill/logging/LazyLoggers.java
@@ -13,7 +13,7 @@
  * process. It is therefore deferred until the first message is logged.
  */
 public final class LazyLoggers {
-    private static final Lazy<Boolean> STARTED = Lazy.of(() -> {
+    private static final Lazy<Boolean> INITIALIZATION = Lazy.of(() -> {
         LineConfigurationFactory.install();
         return true;
     });
@@ -31,7 +31,7 @@
      * @param timeoutMillis the time-out in milliseconds, since nobody may be reading standard output
      */
     public static void stop(long timeoutMillis) {
-        if (STARTED.isEvaluated() && LogManager.getContext(false) instanceof LoggerContext context) {
+        if (INITIALIZATION.isEvaluated() && LogManager.getContext(false) instanceof LoggerContext context) {
             context.stop(timeoutMillis, TimeUnit.MILLISECONDS);
         }
     }
@@ -39,7 +39,7 @@
     /** Returns the logger of a name. */
     static Lazy<Logger> named(String name) {
         return Lazy.of(() -> {
-            STARTED.get();
+            INITIALIZATION.get();
             return LogManager.getLogger(name);
         });
     }
--- a/src/main/java/org/gooseberryhill/logging/LineAppender.java
+++ b/src/main/java/org/gooseberryhill/logging/LineAppender.java
@@ -10,7 +10,7 @@
  * output.
  */
 final class LineAppender extends AbstractAppender {
-    private final PrintStream out = System.out;
+    private final PrintStream standardOutput = System.out;
 
     LineAppender() {
         super("lines", null, new LineLayout(), true, Property.EMPTY_ARRAY);
@@ -19,7 +19,7 @@
     @Override
     public void append(LogEvent event) {
         byte[] line = getLayout().toByteArray(event);
-        out.write(line, 0, line.length);
-        out.flush();
+        standardOutput.write(line, 0, line.length);
+        standardOutput.flush();
     }
 }
--- a/src/main/java/org/gooseberryhill/logging/LineConfiguration.java
+++ b/src/main/java/org/gooseberryhill/logging/LineConfiguration.java
@@ -29,8 +29,8 @@
         getRootLogger().addAppender(appender, null, null);
         addLogger("io.netty", new LoggerConfig("io.netty", Level.WARN, true));
         // Connections closed after their event loop has terminated: harmless at shutdown.
-        String ended = "io.netty.util.concurrent.DefaultPromise.rejectedExecution";
-        addLogger(ended, new LoggerConfig(ended, Level.OFF, false));
+        String rejectedExecutionLogger = "io.netty.util.concurrent.DefaultPromise.rejectedExecution";
+        addLogger(rejectedExecutionLogger, new LoggerConfig(rejectedExecutionLogger, Level.OFF, false));
         setState(State.INITIALIZED);
     }
 }
--- a/src/main/java/org/gooseberryhill/logging/StandardOutputSink.java
+++ b/src/main/java/org/gooseberryhill/logging/StandardOutputSink.java
@@ -51,9 +51,9 @@
     }
 
     /** Creates a sink that writes nothing if the minimum level is above that of events. */
-    StandardOutputSink(OutputStream out, String minimumLevel) {
+    StandardOutputSink(OutputStream stream, String minimumLevel) {
         this.enabled = !LEVELS_WITHOUT_EVENTS.contains(minimumLevel.toUpperCase(Locale.ROOT));
-        this.writer = new AsyncLineWriter(out);
+        this.writer = new AsyncLineWriter(stream);
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/metrics/LabeledHistogram.java
+++ b/src/main/java/org/gooseberryhill/metrics/LabeledHistogram.java
@@ -35,16 +35,16 @@
         return snapshot.build();
     }
 
-    private HistogramDataPointSnapshot dataPoint(List<String> values, DurationBuckets.Snapshot reading) {
+    private HistogramDataPointSnapshot dataPoint(List<String> values, DurationBuckets.Snapshot snapshot) {
         ClassicHistogramBuckets.Builder classic = ClassicHistogramBuckets.builder();
-        for (int i = 0; i < reading.counts().size(); i++) {
+        for (int i = 0; i < snapshot.counts().size(); i++) {
             classic.bucket(
-                    DurationBuckets.upperBoundSeconds(i), reading.counts().get(i));
+                    DurationBuckets.upperBoundSeconds(i), snapshot.counts().get(i));
         }
         return HistogramDataPointSnapshot.builder()
                 .labels(labels.toLabels(values))
                 .classicHistogramBuckets(classic.build())
-                .sum(reading.sumSeconds())
+                .sum(snapshot.sumSeconds())
                 .build();
     }
 }
--- a/src/main/java/org/gooseberryhill/timeline/EventBuilder.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventBuilder.java
@@ -13,15 +13,15 @@
  */
 public final class EventBuilder {
     private final EventKind kind;
-    private final Consumer<EventBuilder> target;
+    private final Consumer<EventBuilder> recorder;
     private final Map<String, Object> details = new LinkedHashMap<>();
     private Optional<String> request = Optional.empty();
     private Optional<String> job = Optional.empty();
     private Optional<String> endpoint = Optional.empty();
 
-    EventBuilder(EventKind kind, Consumer<EventBuilder> target) {
+    EventBuilder(EventKind kind, Consumer<EventBuilder> recorder) {
         this.kind = kind;
-        this.target = target;
+        this.recorder = recorder;
     }
 
     /** Sets the request concerned. */
@@ -50,7 +50,7 @@
 
     /** Writes the event; never blocks. */
     public void write() {
-        target.accept(this);
+        recorder.accept(this);
     }
 
     EventKind kind() {
--- a/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
@@ -16,7 +16,7 @@
     static final int ROUTINE_PER_SECOND = 200;
 
     /** The limit per kind of other events: above the total request rate offered to a host of the planned size. */
-    static final int FAILURES_PER_SECOND = 1000;
+    static final int NON_ROUTINE_PER_SECOND = 1000;
 
     private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(1);
 
@@ -26,8 +26,8 @@
 
     /** Counts an event and returns whether it may be written now. */
     boolean tryAcquire(EventKind kind, long nowNanos) {
-        startWindow(nowNanos);
-        int limit = kind.importance() == Importance.ROUTINE ? ROUTINE_PER_SECOND : FAILURES_PER_SECOND;
+        startWindowIfDue(nowNanos);
+        int limit = kind.importance() == Importance.ROUTINE ? ROUTINE_PER_SECOND : NON_ROUTINE_PER_SECOND;
         int count = writtenInWindow.getOrDefault(kind, 0);
         if (count >= limit) {
             dropped.merge(kind, 1, Integer::sum);
@@ -47,7 +47,7 @@
         return drained;
     }
 
-    private void startWindow(long nowNanos) {
+    private void startWindowIfDue(long nowNanos) {
         if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= WINDOW_NANOS) {
             windowStartNanos = nowNanos;
             writtenInWindow.clear();
--- a/src/main/java/org/gooseberryhill/timeline/JsonLineWriter.java
+++ b/src/main/java/org/gooseberryhill/timeline/JsonLineWriter.java
@@ -21,14 +21,14 @@
     private static final int MILLIS_DIGITS = 3;
     private static final int DECIMAL = 10;
 
-    private byte[] out;
+    private byte[] buffer;
     private int length;
     private long cachedSecond = Long.MIN_VALUE;
     private String cachedSecondText = "";
     private boolean firstField;
 
     JsonLineWriter(int expectedBytes) {
-        out = new byte[Math.max(1, expectedBytes)];
+        buffer = new byte[Math.max(1, expectedBytes)];
     }
 
     /** Begins a line. */
@@ -45,10 +45,10 @@
     void text(String name, String value) {
         appendName(name);
         append("\"");
-        int from = length;
+        int start = length;
         append(value);
-        if (!isPlain(from)) {
-            length = from;
+        if (!isPlain(start)) {
+            length = start;
             // quoteAsUTF8() fails for an unpaired surrogate, which would lose the line.
             String quoted = new String(JsonStringEncoder.getInstance().quoteAsString(value));
             append(quoted.getBytes(StandardCharsets.UTF_8));
@@ -88,7 +88,7 @@
 
     /** Returns all lines written so far. */
     byte[] bytes() {
-        return Arrays.copyOf(out, length);
+        return Arrays.copyOf(buffer, length);
     }
 
     /** Appends a field name. Names are constants of the code, which need no escaping. */
@@ -103,7 +103,7 @@
         ensureCapacity(MILLIS_DIGITS);
         int remaining = millis;
         for (int digit = MILLIS_DIGITS - 1; digit >= 0; digit--) {
-            out[length + digit] = (byte) ('0' + remaining % DECIMAL);
+            buffer[length + digit] = (byte) ('0' + remaining % DECIMAL);
             remaining /= DECIMAL;
         }
         length += MILLIS_DIGITS;
@@ -124,13 +124,13 @@
 
     private void append(byte[] bytes) {
         ensureCapacity(bytes.length);
-        System.arraycopy(bytes, 0, out, length, bytes.length);
+        System.arraycopy(bytes, 0, buffer, length, bytes.length);
         length += bytes.length;
     }
 
     private void ensureCapacity(int bytes) {
-        if (length + bytes > out.length) {
-            out = Arrays.copyOf(out, 2 * (length + bytes));
+        if (length + bytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, 2 * (length + bytes));
         }
     }
 
@@ -138,9 +138,9 @@
      * Returns whether the bytes from an offset on are ASCII that needs no escaping. In ISO 8859-1, any other character
      * is a negative byte or a question mark.
      */
-    private boolean isPlain(int from) {
-        for (int i = from; i < length; i++) {
-            byte character = out[i];
+    private boolean isPlain(int start) {
+        for (int i = start; i < length; i++) {
+            byte character = buffer[i];
             if (character < FIRST_PRINTABLE || character == '"' || character == '\\' || character == '?') {
                 return false;
             }
--- a/src/main/java/org/gooseberryhill/timeline/Timeline.java
+++ b/src/main/java/org/gooseberryhill/timeline/Timeline.java
@@ -35,18 +35,18 @@
 
     private void recordEvent(EventBuilder event) {
         Map<EventKind, Integer> dropped;
-        boolean written;
+        boolean withinLimit;
         synchronized (limiter) {
             long now = nowNanos.getAsLong();
             dropped = limiter.drainDropped(now);
-            written = limiter.tryAcquire(event.kind(), now);
+            withinLimit = limiter.tryAcquire(event.kind(), now);
         }
         if (!dropped.isEmpty()) {
             EventBuilder droppedEvent = new EventBuilder(EventKind.LINES_DROPPED, this::recordEvent);
             dropped.forEach((kind, count) -> droppedEvent.with(kind.wireName(), count));
             sink.accept(droppedEvent.build(clock.now(), process));
         }
-        if (written) {
+        if (withinLimit) {
             sink.accept(event.build(clock.now(), process));
         }
     }
--- a/src/main/java/org/gooseberryhill/timeline/TimelineQuery.java
+++ b/src/main/java/org/gooseberryhill/timeline/TimelineQuery.java
@@ -45,14 +45,14 @@
 
     /** Returns the selected events, in their given order. */
     public List<TimelineEvent> select(List<TimelineEvent> events) {
-        List<TimelineEvent> found = events.stream().filter(this::matches).toList();
-        if (!surroundings || found.isEmpty()) {
-            return found;
+        List<TimelineEvent> selected = events.stream().filter(this::matches).toList();
+        if (!surroundings || selected.isEmpty()) {
+            return selected;
         }
-        long fromMillis = found.get(0).at().epochMillis() - SURROUNDINGS_BEFORE_MILLIS;
-        long toMillis = found.get(found.size() - 1).at().epochMillis() + SURROUNDINGS_AFTER_MILLIS;
+        long fromMillis = selected.get(0).at().epochMillis() - SURROUNDINGS_BEFORE_MILLIS;
+        long toMillis = selected.get(selected.size() - 1).at().epochMillis() + SURROUNDINGS_AFTER_MILLIS;
         Set<String> endpoints = new TreeSet<>();
-        found.forEach(event -> event.endpoint().ifPresent(endpoints::add));
+        selected.forEach(event -> event.endpoint().ifPresent(endpoints::add));
         return events.stream()
                 .filter(event ->
                         matches(event) || isBetween(event, fromMillis, toMillis) && isSurrounding(event, endpoints))
--- a/src/test/java/org/gooseberryhill/ArchitectureTest.java
+++ b/src/test/java/org/gooseberryhill/ArchitectureTest.java
@@ -89,7 +89,7 @@
 
     /** The adapter only translates to the product's types; decisions, timing and state stay in the product. */
     @ArchTest
-    final ArchRule thePlatformsAdapterDecidesNothing = noClasses()
+    final ArchRule thePlatformAdapterMakesNoDecisions = noClasses()
             .that()
             .resideInAPackage("org.gooseberryhill.platform")
             .should()
--- a/src/test/java/org/gooseberryhill/Loopback.java
+++ b/src/test/java/org/gooseberryhill/Loopback.java
@@ -30,11 +30,11 @@
     }
 
     /** Waits until the condition holds; the time-out of 120 s only stops a test that would never end. */
-    public static void await(String outcome, BooleanSupplier condition) {
+    public static void await(String description, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + OUTCOME_TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos) {
-                throw new AssertionError("not observed in time: " + outcome);
+                throw new AssertionError("not observed in time: " + description);
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(10));
         }
--- a/src/test/java/org/gooseberryhill/configuration/ConfigurationReaderTest.java
+++ b/src/test/java/org/gooseberryhill/configuration/ConfigurationReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class ConfigurationReaderTest {
-    private static final String DAMAGE = ":{}[]-#\"'\n &*!|>%@`\t";
+    private static final String DAMAGING_CHARACTERS = ":{}[]-#\"'\n &*!|>%@`\t";
     private static final String SAMPLE = new SampleFleet(18400, 12).configuration();
 
     @Test
@@ -75,7 +75,7 @@
             int index = random.nextInt(text.length());
             switch (random.nextInt(3)) {
                 case 0 -> text.deleteCharAt(index);
-                case 1 -> text.insert(index, DAMAGE.charAt(random.nextInt(DAMAGE.length())));
+                case 1 -> text.insert(index, DAMAGING_CHARACTERS.charAt(random.nextInt(DAMAGING_CHARACTERS.length())));
                 default -> text.setLength(Math.max(1, index));
             }
         }
--- a/src/test/java/org/gooseberryhill/logging/AsyncLineWriterTest.java
+++ b/src/test/java/org/gooseberryhill/logging/AsyncLineWriterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class AsyncLineWriterTest {
-    private static final long FINISH_MILLIS = 120_000;
+    private static final long FINISH_TIMEOUT_MILLIS = 120_000;
 
     private static final TimelineEvent EVENT = new TimelineEvent(
             new HybridTimestamp(1), "p", "kind", Optional.empty(), Optional.empty(), Optional.empty(), Map.of());
@@ -22,15 +22,15 @@
     @Test
     void aBlockedStreamDoesNotBlockCallersAndDropsAreCounted() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
-        AsyncLineWriter output = new AsyncLineWriter(stream);
-        output.enqueue(List.of(EVENT));
+        AsyncLineWriter writer = new AsyncLineWriter(stream);
+        writer.enqueue(List.of(EVENT));
         stream.blocked.await();
 
         for (int i = 0; i < AsyncLineWriter.QUEUE_CAPACITY + 5; i++) {
-            output.enqueue(List.of(EVENT, EVENT));
+            writer.enqueue(List.of(EVENT, EVENT));
         }
 
-        assertThat(output.droppedLines()).isEqualTo(10);
+        assertThat(writer.droppedLines()).isEqualTo(10);
         stream.released.countDown();
     }
 
@@ -38,11 +38,11 @@
     @Test
     void awaitTimesOutOnABlockedStream() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
-        AsyncLineWriter output = new AsyncLineWriter(stream);
-        output.enqueue(List.of(EVENT));
+        AsyncLineWriter writer = new AsyncLineWriter(stream);
+        writer.enqueue(List.of(EVENT));
         stream.blocked.await();
 
-        output.awaitWritten(1);
+        writer.awaitWritten(1);
 
         assertThat(stream.released.getCount()).isEqualTo(1);
         stream.released.countDown();
@@ -53,23 +53,23 @@
     void aBatchRemovedFromTheQueueIsNotWrittenYet() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
         PausedQueue queue = new PausedQueue();
-        AsyncLineWriter output = new AsyncLineWriter(stream, queue);
-        queue.awaited.await();
-        output.enqueue(List.of(EVENT));
+        AsyncLineWriter writer = new AsyncLineWriter(stream, queue);
+        queue.takeCalled.await();
+        writer.enqueue(List.of(EVENT));
         queue.removed.await();
 
         assertThat(queue).isEmpty();
-        assertThat(output.isAllWritten()).isFalse();
+        assertThat(writer.isAllWritten()).isFalse();
 
         queue.released.countDown();
         stream.released.countDown();
-        output.awaitWritten(FINISH_MILLIS);
-        assertThat(output.isAllWritten()).isTrue();
+        writer.awaitWritten(FINISH_TIMEOUT_MILLIS);
+        assertThat(writer.isAllWritten()).isTrue();
     }
 
     /** A queue that returns a removed batch only after it is released. */
     private static final class PausedQueue extends ArrayBlockingQueue<List<TimelineEvent>> {
-        private final transient CountDownLatch awaited = new CountDownLatch(1);
+        private final transient CountDownLatch takeCalled = new CountDownLatch(1);
         private final transient CountDownLatch removed = new CountDownLatch(1);
         private final transient CountDownLatch released = new CountDownLatch(1);
 
@@ -79,7 +79,7 @@
 
         @Override
         public List<TimelineEvent> take() throws InterruptedException {
-            awaited.countDown();
+            takeCalled.countDown();
             List<TimelineEvent> events = super.take();
             removed.countDown();
             released.await();
--- a/src/test/java/org/gooseberryhill/logging/StandardOutputSinkTest.java
+++ b/src/test/java/org/gooseberryhill/logging/StandardOutputSinkTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 
 class StandardOutputSinkTest {
-    private static final long FINISH_MILLIS = 120_000;
+    private static final long FINISH_TIMEOUT_MILLIS = 120_000;
 
-    private final CountingStream out = new CountingStream();
-    private final StandardOutputSink sink = new StandardOutputSink(out, "info");
+    private final CountingStream stream = new CountingStream();
+    private final StandardOutputSink sink = new StandardOutputSink(stream, "info");
 
     @Test
     void eventsAreWrittenInTheirOrder() {
@@ -35,12 +35,12 @@
         for (int i = 0; i < 10; i++) {
             sink.accept(event("request.ended"));
         }
-        assertThat(out.writes()).isZero();
+        assertThat(stream.writes()).isZero();
 
         sink.flush();
         sink.flush();
         assertThat(flushedKinds()).hasSize(10);
-        assertThat(out.writes()).isEqualTo(1);
+        assertThat(stream.writes()).isEqualTo(1);
     }
 
     @Test
@@ -50,7 +50,7 @@
         }
         sink.accept(event("request.ended"));
 
-        out.awaitWrites(1);
+        stream.awaitWrites(1);
         assertThat(kinds()).hasSize(StandardOutputSink.FLUSH_THRESHOLD);
     }
 
@@ -60,26 +60,26 @@
         sink.accept(event("attempt.sent"));
         sink.accept(event("request.failed"));
 
-        out.awaitWrites(1);
+        stream.awaitWrites(1);
         assertThat(kinds()).containsExactly("attempt.sent", "request.failed");
     }
 
     @Test
     void aMinimumLevelAboveThatOfEventsDisablesThem() {
-        StandardOutputSink quiet = new StandardOutputSink(out, "Error");
-        quiet.accept(event("request.failed"));
-        quiet.flushAndAwait(FINISH_MILLIS);
+        StandardOutputSink disabledSink = new StandardOutputSink(stream, "Error");
+        disabledSink.accept(event("request.failed"));
+        disabledSink.flushAndAwait(FINISH_TIMEOUT_MILLIS);
 
-        assertThat(out.writes()).isZero();
+        assertThat(stream.writes()).isZero();
     }
 
     private List<String> flushedKinds() {
-        sink.flushAndAwait(FINISH_MILLIS);
+        sink.flushAndAwait(FINISH_TIMEOUT_MILLIS);
         return kinds();
     }
 
     private List<String> kinds() {
-        return out.text()
+        return stream.text()
                 .lines()
                 .map(line -> TimelineLineFormat.parse(line).orElseThrow().kind())
                 .toList();
@@ -110,10 +110,10 @@
         }
 
         synchronized void awaitWrites(int number) {
-            long untilMillis = System.currentTimeMillis() + FINISH_MILLIS;
+            long deadlineMillis = System.currentTimeMillis() + FINISH_TIMEOUT_MILLIS;
             try {
-                while (writes < number && System.currentTimeMillis() < untilMillis) {
-                    wait(FINISH_MILLIS);
+                while (writes < number && System.currentTimeMillis() < deadlineMillis) {
+                    wait(FINISH_TIMEOUT_MILLIS);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
--- a/src/test/java/org/gooseberryhill/metrics/MetricRegistryTest.java
+++ b/src/test/java/org/gooseberryhill/metrics/MetricRegistryTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aHistogramCountsADurationInEachRangeThatHoldsIt() {
+    void aHistogramCountsADurationInEachBucketThatContainsIt() {
         LabeledHistogram latency = metrics.histogram("latency_seconds", "Latency", "route");
         latency.observe(0.02, "summaries");
         latency.observe(0.3, "summaries");
--- a/src/test/java/org/gooseberryhill/timeline/TimelineQueryTest.java
+++ b/src/test/java/org/gooseberryhill/timeline/TimelineQueryTest.java
@@ -63,7 +63,7 @@
 
     private void add(long millis, String process, EventKind kind, String request, String endpoint, String... details) {
         Optional<String> job = details.length > 1 ? Optional.of(details[1]) : Optional.empty();
-        Map<String, Object> rest = details.length > 2 ? Map.of(details[2], details[3]) : Map.of();
+        Map<String, Object> extraDetails = details.length > 2 ? Map.of(details[2], details[3]) : Map.of();
         events.add(new TimelineEvent(
                 HybridTimestamp.ofMillis(1_000_000 + millis),
                 process,
@@ -71,7 +71,7 @@
                 nonEmpty(request),
                 job,
                 nonEmpty(endpoint),
-                rest));
+                extraDetails));
     }
 
     private static Optional<String> nonEmpty(String text) {
--- a/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
+++ b/src/test/java/org/gooseberryhill/timeline/TimelineTest.java
@@ -24,19 +24,19 @@
                 .write();
 
         TimelineEvent event = accepted.get(0);
-        TimelineEvent read =
+        TimelineEvent parsed =
                 TimelineLineFormat.parse(TimelineLineFormat.format(event)).orElseThrow();
 
-        assertThat(read.at()).isEqualTo(event.at());
-        assertThat(read.kind()).isEqualTo("attempt.failed");
-        assertThat(read.request()).contains("r1");
-        assertThat(read.endpoint()).contains("e1");
-        assertThat(read.detail("attempt")).isEqualTo("2");
-        assertThat(read.detail("detail")).isEqualTo("status \"503\"");
+        assertThat(parsed.at()).isEqualTo(event.at());
+        assertThat(parsed.kind()).isEqualTo("attempt.failed");
+        assertThat(parsed.request()).contains("r1");
+        assertThat(parsed.endpoint()).contains("e1");
+        assertThat(parsed.detail("attempt")).isEqualTo("2");
+        assertThat(parsed.detail("detail")).isEqualTo("status \"503\"");
     }
 
     @Test
-    void linesThatAreNoEventsAreSkipped() {
+    void linesThatAreNotEventsAreSkipped() {
         assertThat(TimelineLineFormat.parse("{\"at\":1,\"ki")).isEmpty();
         assertThat(TimelineLineFormat.parse("plain text")).isEmpty();
         assertThat(TimelineLineFormat.parse("{\"level\":\"WARN\",\"message\":\"m\"}"))
