--- a/src/main/java/org/gooseberryhill/entry/CallRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/CallRouter.java
@@ -26,7 +26,7 @@
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.process.AdminServer;
 
-/** Routes the calls of the callers' interface to their handlers. Thread-safe. */
+/** Routes the HTTP calls of callers to their handlers. Thread-safe. */
 final class CallRouter {
     private static final String SERVICES = "/services/";
     private static final String DEADLINE_HEADER = "x-deadline-millis";
@@ -165,8 +165,7 @@
         context.process().loop().execute(() -> {
             boolean serving = context.process().plannedStop().phase() == PlannedStop.Phase.SERVING;
             long revision = context.process().configuration().revision();
-            // Without a known store every job would be refused, so the balancer should use another host until one is
-            // known.
+            // While no store is present, every job would be refused, so the balancer should use another host.
             boolean knowsStores = !context.process().presentHosts(Role.STORE).isEmpty();
             boolean ready = serving && revision > 0 && knowsStores;
             call.reply(
--- a/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
+++ b/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
@@ -19,7 +19,7 @@
 
 /** Performs the steps of a {@link Claim} at the key-value service. For the control thread, except where noted. */
 final class ClaimDriver {
-    /** The largest answer body stored for a resent call; values of the key-value service are small. */
+    /** Maximum size of an answer body that is stored for resent calls; the key-value service takes only small values. */
     private static final int MAX_STORED_BODY_BYTES = 64 * 1024;
 
     private static final int MAX_CLEANUP_TRIES = 20;
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Ends the claim of a call that is given up. The key becomes free if the call did not run; if it may have run, the
-     * record is marked as having lost its answer.
+     * Ends the claim of a call that is answered with a refusal. The key becomes free if the call did not run; if it may
+     * have run, the record is marked as having lost its answer.
      */
     void abandon(Refusal refusal) {
         if (answerStored) {
--- a/src/main/java/org/gooseberryhill/entry/EntryProcess.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryProcess.java
@@ -13,7 +13,7 @@
 import org.gooseberryhill.process.HostSettings;
 import org.gooseberryhill.process.MessageHandler;
 
-/** Runs the program {@code gooseberry-entry}. Thread-safe. */
+/** The process of the program {@code gooseberry-entry}, which accepts callers' requests. Thread-safe. */
 public final class EntryProcess implements Closeable {
     private static final long STOP_CHECK_MILLIS = 200;
 
--- a/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
+++ b/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
@@ -9,11 +9,11 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Splits a job's body into items, one JSON object per line, and collects the errors with their line numbers. Not
- * thread-safe.
+ * Splits a job's body into items, one JSON object per line, and collects findings: the errors with their line numbers.
+ * Not thread-safe.
  *
- * <p>Blank lines are skipped but counted in line numbers. After the first error no item is returned; further errors are
- * collected up to a maximum number.
+ * <p>Blank lines are skipped but counted in line numbers. After the first finding no item is returned; further findings
+ * are collected up to a maximum number.
  */
 final class JobLineSplitter {
     private static final int MAX_FINDINGS = 20;
@@ -55,7 +55,7 @@
         return completed;
     }
 
-    /** Returns the errors with their line numbers; empty if there are none. */
+    /** Returns the findings, each with its line number; empty if there are none. */
     List<String> findings() {
         return findings;
     }
--- a/src/main/java/org/gooseberryhill/entry/JobOperations.java
+++ b/src/main/java/org/gooseberryhill/entry/JobOperations.java
@@ -53,7 +53,7 @@
                 }));
     }
 
-    /** Streams the results in item order, from an offset up to the first chunk that is not committed. */
+    /** Streams the results in item order, from the item at the offset up to the first chunk that is not committed. */
     void streamResults(HttpCall call, String requestId, JobKey key, int offset) {
         withJob(call, requestId, key, (entry, record) -> {
             int firstChunk = offset / record.chunkItems();
--- a/src/main/java/org/gooseberryhill/entry/LoadReporter.java
+++ b/src/main/java/org/gooseberryhill/entry/LoadReporter.java
@@ -79,7 +79,8 @@
                     if (reply instanceof PeerMessage.EndpointLoads loads) {
                         onLoads.accept(reported, loads);
                     } else {
-                        // The report may be lost. A count that no endpoint can have makes the next round report again.
+                        // The report may be lost. A count that no endpoint can have differs from the actual one, so the
+                        // next round reports it again.
                         reported.forEach(endpoint -> lastReported.put(endpoint, UNCONFIRMED));
                     }
                 }));
--- a/src/main/java/org/gooseberryhill/entry/ModelCall.java
+++ b/src/main/java/org/gooseberryhill/entry/ModelCall.java
@@ -35,6 +35,8 @@
     private final ServiceSettings service;
     private volatile boolean streamStarted;
     private volatile int tokensForwarded;
+
+    /** Time of the latest token, or of the start of the request while there is none. */
     private volatile long lastTokenNanos;
 
     ModelCall(EntryContext context, HttpCall call, OnlineIntake intake, ServiceSettings service, byte[] body) {
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -23,7 +23,8 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Processes one online request on this host. Decisions run on the control thread, answers on traffic threads.
+ * Processes one online request on this host. Decisions are made on the control thread, answers are received on traffic
+ * threads.
  *
  * <p>Invariant: the caller gets exactly one final answer. If the caller disconnects or the deadline passes, the attempt
  * in progress is cancelled and its answer is not awaited.
@@ -48,8 +49,8 @@
     }
 
     /**
-     * Starts the exchange with an endpoint. Its end must be reported to {@link #attemptSucceeded} or
-     * {@link #attemptFailed}.
+     * Starts the exchange with an endpoint. The implementation must report the end of the exchange to
+     * {@link #attemptSucceeded} or {@link #attemptFailed}.
      */
     abstract Exchange startExchange(EndpointSettings endpoint, long attempt);
 
@@ -208,6 +209,7 @@
         exchange = startExchange(endpoint, attemptNumber);
     }
 
+    /** Requests an endpoint where the request, a crash suspect, may run isolated from other suspects. */
     private void requestPermit(OnlineDecision.AskPermit ask) {
         Optional<Host> arbiter = context.traffic().suspectArbiter(intake.service());
         if (arbiter.isEmpty()) {
--- a/src/main/java/org/gooseberryhill/entry/PlainCall.java
+++ b/src/main/java/org/gooseberryhill/entry/PlainCall.java
@@ -20,8 +20,8 @@
 import org.gooseberryhill.http.HttpCall;
 
 /**
- * An online request to a plain service: method, headers, body and status are forwarded unchanged, except for headers
- * that belong to one connection.
+ * An online request to a plain service, which has no model: method, headers, body and status are forwarded unchanged,
+ * except for headers that belong to one connection.
  *
  * <p>Invariant: a non-idempotent call with an idempotency key is sent only under its claim, and its answer is stored
  * before it is sent to the caller.
@@ -40,9 +40,10 @@
             "authorization",
             "expect");
 
+    /** Above this number of bytes not yet written to the caller, reading from the endpoint pauses. */
     private static final int MAX_PENDING_BYTES = 1024 * 1024;
 
-    /** The largest answer of a call with an idempotency key, which is buffered before it is forwarded. */
+    /** Maximum size of the answer to a call with an idempotency key, which is buffered before it is forwarded. */
     private static final int MAX_BUFFERED_ANSWER_BYTES = 8 * 1024 * 1024;
 
     private final byte[] body;
--- a/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
@@ -39,7 +39,7 @@
                 .toList();
     }
 
-    /** Replaces the text of the base revision; returns the final step of the edit. */
+    /** Replaces the configuration if it is still at the base revision; returns the final step of the edit. */
     public Step apply(String text, String author, long baseRevision) {
         String editId = UUID.randomUUID().toString();
         ConfigurationRecord record = new ConfigurationRecord(editId, author, System.currentTimeMillis(), text);
@@ -101,10 +101,10 @@
     }
 
     /**
-     * A stored record.
+     * A configuration record in the key-value service.
      *
      * @param record the record
-     * @param revision the revision at which it was written
+     * @param revision the revision at which the record was written
      */
     public record StoredRecord(ConfigurationRecord record, long revision) {}
 }
--- a/src/main/java/org/gooseberryhill/program/DemoCommand.java
+++ b/src/main/java/org/gooseberryhill/program/DemoCommand.java
@@ -29,7 +29,7 @@
 
 /**
  * Demonstrates the system on embedded stand-ins: streams answers to several callers while a job runs to its end.
- * Meanwhile one runner is killed and another leaves as planned. Exits with 0 only if every check behind the summary
+ * Meanwhile one engine is killed and another leaves as planned. Exits with 0 only if every check behind the summary
  * passed.
  */
 @Command(
--- a/src/main/java/org/gooseberryhill/program/SampleSystem.java
+++ b/src/main/java/org/gooseberryhill/program/SampleSystem.java
@@ -50,7 +50,7 @@
     /**
      * Starts the stand-ins and all hosts.
      *
-     * @param fleet the addresses
+     * @param fleet the addresses of the hosts and stand-ins
      * @param speed the speed of the engine stand-ins
      * @param folder where the stores' data and the timeline logs are written
      * @param baseline whether the baseline's policies are used instead of the product's
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Creates a client of an entry that uses a caller's key. */
+    /** Creates a client that calls an entry with a caller's key. */
     public EntryClient client(int entry, String key) {
         return new EntryClient(fleet.entryHttp(entry), key);
     }
@@ -142,17 +142,17 @@
         return platform;
     }
 
-    /** Returns the entries that were started at the beginning. */
+    /** Returns the entries that the constructor started. */
     public List<EntryProcess> entries() {
         return entries;
     }
 
-    /** Returns the stewards that were started at the beginning. */
+    /** Returns the stewards that the constructor started. */
     public List<StewardProcess> stewards() {
         return stewards;
     }
 
-    /** Returns the stores that were started at the beginning. */
+    /** Returns the stores that the constructor started. */
     public List<StoreProcess> stores() {
         return stores;
     }
--- a/src/main/java/org/gooseberryhill/program/SlopesCommand.java
+++ b/src/main/java/org/gooseberryhill/program/SlopesCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures how costs grow with sizes; docs/CAPACITY.md is based on the results. */
+/** Measures how the cost of each {@link SlopeProbe} grows with its size; docs/CAPACITY.md is based on the results. */
 @Command(
         name = "slopes",
         mixinStandardHelpOptions = true,
--- a/src/main/java/org/gooseberryhill/program/StreamedAnswerChecker.java
+++ b/src/main/java/org/gooseberryhill/program/StreamedAnswerChecker.java
@@ -9,7 +9,7 @@
 /**
  * Reads a streamed answer as a caller does and checks its text against the expected one. Used by one traffic thread.
  *
- * <p>Times are in nanoseconds since the intended time of sending, so that a delay before the request is sent counts as
+ * <p>Latencies are measured from the intended time of sending, so that a delay before the request is sent counts as
  * latency.
  */
 public final class StreamedAnswerChecker implements ExchangeListener {
@@ -32,8 +32,13 @@
     private final StringBuilder text = new StringBuilder();
     private int status;
     private boolean endMarkReceived;
+
+    /** Time from the intended sending to the first token. */
     private long firstTokenNanos;
+
+    /** Time of the latest token, as of {@link System#nanoTime()}. */
     private long lastTokenNanos;
+
     private long longestGapNanos;
     private int tokens;
 
@@ -102,7 +107,7 @@
     }
 
     /**
-     * The result of an answer as its caller observed it.
+     * The result of an answer as its caller observed it. Times are in nanoseconds.
      *
      * @param end the outcome
      * @param status the HTTP status, 0 if none was received
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -29,7 +29,7 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * Runs batch items at the endpoints that this host stewards. For the control thread.
+ * Runs batch items at the endpoints assigned to this host. For the control thread.
  *
  * <p>Invariant: this host starts items only at endpoints that its view of the membership assigns to it. If an endpoint
  * temporarily has two stewards, this costs throughput but not correctness: an item's owner decides on its completion.
@@ -81,7 +81,7 @@
         unsettledRuns.remove(run);
     }
 
-    /** Returns the hand-outs of a job's items under a claim that are not settled on this host. */
+    /** Returns the numbers of the unsettled hand-outs of a job's items that were made under the claim with this fence. */
     List<Long> heldHandouts(String job, long fence) {
         return unsettledRuns.stream()
                 .map(ItemRun::item)
@@ -99,7 +99,7 @@
         requestItems();
     }
 
-    /** Handles an entry's load report; batch items yield at once where it leaves them no slot. */
+    /** Handles an entry's load report; batch items that it leaves without a slot yield at once. */
     PeerMessage.EndpointLoads onOnlineLoad(HostId entry, PeerMessage.OnlineLoad load) {
         long now = process.loop().nowNanos();
         Map<String, Integer> online = new HashMap<>();
@@ -124,7 +124,7 @@
         return new PeerMessage.EndpointLoads(online, batch, leavingEndpoints);
     }
 
-    /** Discards the items of a job that its owner stopped; they end at once without a report. */
+    /** Ends the runs of a job's items at once and without a report, since the owner has stopped the job. */
     void cancelItems(String job, long fence) {
         List<ItemRun> stopped = runs.values().stream()
                 .filter(run -> run.item().job().equals(job) && run.item().fence() == fence)
@@ -262,7 +262,7 @@
         }
     }
 
-    /** Starts a run at an endpoint, or refuses the item if this host no longer stewards the endpoint. */
+    /** Starts a run at an endpoint, or refuses the item if the endpoint is no longer assigned to this host. */
     void startRun(ItemRun run, EndpointSettings endpoint) {
         EndpointBatch batch = endpoints.get(endpoint.name());
         if (batch == null) {
--- a/src/main/java/org/gooseberryhill/steward/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/steward/ItemRun.java
@@ -145,6 +145,7 @@
         });
     }
 
+    /** Ends the run unless it has ended before; returns whether this call ended it. */
     private boolean endOnce(boolean unreachable) {
         if (ended) {
             return false;
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -37,8 +37,9 @@
  * Manages the jobs that this host owns: claims them, hands out their items and commits their chunks. For the control
  * thread.
  *
- * <p>Invariant: each commit carries the claim as its fence. When the lease is lost, all jobs are stopped at once, and
- * the next owner continues from the committed chunks.
+ * <p>Invariant: each commit succeeds only if the claim still has the creation revision that serves as this owner's
+ * fencing token. When the lease is lost, all jobs are stopped at once, and the next owner continues from the committed
+ * chunks.
  */
 final class JobOwner {
     private static final Logger LOG = LogManager.getLogger(JobOwner.class);
@@ -47,7 +48,7 @@
     private static final int MAX_CHUNKS = 10_000;
     private static final long HOLDER_CHECK_PERIOD_MILLIS = 1000;
 
-    /** Longer than a request and its reply can be in transit. */
+    /** Age from which a hand-out can count as missing: longer than a request and its reply can be in transit. */
     private static final long MIN_MISSING_AGE_MILLIS = 2 * HostProcess.ASK_TIMEOUT_MILLIS;
 
     private final HostProcess process;
@@ -75,6 +76,7 @@
         process.loop().every(HOLDER_CHECK_PERIOD_MILLIS, this::reclaimMissingItems);
     }
 
+    /** Returns the services with waiting items, each with its earliest due time in epoch milliseconds. */
     Map<String, Long> waitingWork() {
         return ownedJobs.waitingWork(process.loop().nowNanos());
     }
@@ -317,8 +319,8 @@
     }
 
     /**
-     * Queries the stewards for the hand-outs they hold and reclaims missing ones: items or reports may be lost in
-     * transit.
+     * Queries the stewards for the hand-outs that they hold and reclaims the items of missing ones: items or reports may
+     * be lost in transit.
      */
     private void reclaimMissingItems() {
         for (OwnedJob job : ownedJobs.jobs()) {
@@ -346,8 +348,8 @@
     }
 
     /**
-     * Detects changed job records, since the notice of a cancellation may be lost. Without this check, the commit of
-     * the next chunk would detect the change.
+     * Detects changed job records, since the notice of a cancellation may be lost. Without this check, only the commit
+     * of the next chunk would detect the change.
      */
     private void checkRecords() {
         for (OwnedJob job : ownedJobs.jobs()) {
--- a/src/main/java/org/gooseberryhill/steward/JobSegments.java
+++ b/src/main/java/org/gooseberryhill/steward/JobSegments.java
@@ -68,8 +68,8 @@
         process.keyValue()
                 .write(write)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
-                    // If the write gets no answer, the scan finds the job open with all chunks committed, and it is
-                    // finished then.
+                    // If the write gets no answer, the job may still be open with all chunks committed. The scan of
+                    // open jobs then finds it, and the owner of the job claims and finishes it.
                     if (failure == null && result.succeeded()) {
                         process.timeline()
                                 .event(EventKind.JOB_DONE)
--- a/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
+++ b/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
@@ -25,7 +25,7 @@
         this.slots = slots;
     }
 
-    /** Runs the action while holding a slot, or the alternative if no slot could be acquired. */
+    /** Acquires a slot, held until {@link #release}, and runs the action; runs the alternative if it gets no slot. */
     void runWithSlot(LeaseManager leaseManager, Runnable action, Runnable alternative) {
         Optional<Long> leaseId = leaseManager.usableLease();
         if (busy || leaseId.isEmpty()) {
--- a/src/main/java/org/gooseberryhill/steward/OrderDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/OrderDriver.java
@@ -20,7 +20,7 @@
 import org.gooseberryhill.process.LeaseManager;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Sends model orders, under claims, to the endpoints that this host stewards. For the control thread. */
+/** Orders the endpoints assigned to this host, under claims, to load their models. For the control thread. */
 final class OrderDriver {
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
 
--- a/src/main/java/org/gooseberryhill/steward/StewardProcess.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardProcess.java
@@ -16,7 +16,10 @@
 import org.gooseberryhill.process.LeaseManager;
 import org.gooseberryhill.process.MessageHandler;
 
-/** Runs the program {@code gooseberry-steward}. Thread-safe. */
+/**
+ * The process of the program {@code gooseberry-steward}, which owns jobs and sends batch items and model orders to
+ * endpoints. Thread-safe.
+ */
 public final class StewardProcess implements Closeable {
     private static final long STOP_CHECK_MILLIS = 200;
     private static final long SUSPECT_GRANT_MILLIS = 30_000;
@@ -64,7 +67,7 @@
 
     /**
      * Returns the number of items in flight at endpoints and of item reports that their owners have not acknowledged
-     * yet. May be called from any thread but the control thread, since it waits for that one.
+     * yet. Must not be called on the control thread, since it waits for that thread.
      */
     public int itemsInProgress() {
         CompletableFuture<Integer> answer = new CompletableFuture<>();
--- a/src/main/java/org/gooseberryhill/store/SegmentFolder.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentFolder.java
@@ -35,8 +35,13 @@
 public final class SegmentFolder {
     private static final Logger LOG = LogManager.getLogger(SegmentFolder.class);
     private static final Pattern VALID_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,250}");
+
+    /** The first four bytes of a segment's file: "GBS1" in ASCII. */
     private static final int MAGIC = 0x47425331;
+
+    /** Magic number, length of the content and checksum. */
     private static final int HEADER_BYTES = 4 + 4 + 8;
+
     private static final String SEGMENT_SUFFIX = ".segment";
     private static final String TEMPORARY_SUFFIX = ".tmp";
 
@@ -120,8 +125,8 @@
     }
 
     /**
-     * Syncs the directory. Otherwise a power loss may undo the creation or deletion of a file although its content was
-     * synced.
+     * Syncs the directory. Without this, a power loss may undo the creation or deletion of a file although its content
+     * was synced.
      */
     private void syncDirectory() throws IOException {
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
--- a/src/main/java/org/gooseberryhill/store/SegmentRepair.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentRepair.java
@@ -67,7 +67,7 @@
                 }));
     }
 
-    /** Returns whether the latest round, if it began after the planned stop was requested, found no copy missing. */
+    /** Returns whether the latest ended round began after the planned stop was requested and found no copy missing. */
     boolean isHandOverComplete() {
         return handOverComplete;
     }
--- a/src/main/java/org/gooseberryhill/store/StoreProcess.java
+++ b/src/main/java/org/gooseberryhill/store/StoreProcess.java
@@ -15,7 +15,10 @@
 import org.gooseberryhill.process.HostProcess;
 import org.gooseberryhill.process.HostSettings;
 
-/** The process of the program {@code gooseberry-store}. Thread-safe; disk access runs on separate threads. */
+/**
+ * The process of the program {@code gooseberry-store}, which stores segments. Thread-safe; disk access runs on separate
+ * threads.
+ */
 public final class StoreProcess implements Closeable {
     private static final Logger LOG = LogManager.getLogger(StoreProcess.class);
     private static final int DISK_THREADS = 4;
@@ -46,7 +49,7 @@
         process.loop().every(STOP_CHECK_MILLIS, this::advanceStop);
     }
 
-    /** Returns the part that all host processes share. */
+    /** Returns the part of the process that all roles have in common. */
     public HostProcess process() {
         return process;
     }
@@ -58,8 +61,8 @@
     }
 
     /**
-     * Advances the planned stop. The disk goes away with the store, so the process ends only when the other stores have
-     * copies of its segments.
+     * Advances the planned stop. The disk is lost when the store ends, so the process ends only when the other stores
+     * have copies of its segments.
      */
     private void advanceStop() {
         if (process.plannedStop().phase() != PlannedStop.Phase.SERVING) {
--- a/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
+++ b/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
@@ -83,7 +83,10 @@
         started.close();
     }
 
-    /** The key-value service answers reads with a state before the latest edit: no host goes back to the older text. */
+    /**
+     * The key-value service answers reads with a state before the latest edit: no host returns to the older
+     * configuration.
+     */
     @Test
     void staleReadingsDoNotBringAnOlderTextBack() {
         fixture.system.applyConfiguration(configurationWithVersion("9"));
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -83,7 +83,10 @@
         assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** All leases expire at once while their holders work: they stop and claim again, and no result appears twice. */
+    /**
+     * All leases expire at once while their holders work. The holders stop their jobs and claim them again, and no
+     * result appears twice.
+     */
     @Test
     void aJobGoesOnWhenAllLeasesLapse() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
@@ -108,7 +111,7 @@
         assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** The next writes take effect but their answers are lost: the claim and the commits remain valid. */
+    /** The next three writes take effect but their answers are lost: the claim and the commits remain valid. */
     @Test
     void aJobEndsWhenAnswersOfTheKeyValueServiceAreLost() {
         fixture.system.platform().keyValue().setFaults(new KeyValueFaults(false, 0, 3, 0, false));
@@ -121,7 +124,8 @@
 
     /**
      * The claim of the job takes effect but its answer is lost, and the read that would confirm it fails too. The host
-     * holds the job without knowing: unless it finds its claim, its live lease keeps all others from claiming the job.
+     * holds the claim without knowing it: unless it finds its claim, its live lease keeps all others from claiming the
+     * job.
      */
     @Test
     void aClaimThatItsHolderDoesNotKnowOfIsFound() {
@@ -293,7 +297,7 @@
         assertThat(fixture.countCorrectResults("lot")).isEqualTo(39);
     }
 
-    /** Line 40,000 is malformed: the answer names it, and no part of the job is accepted. */
+    /** Line 40,000 is malformed: the error message names the line, and no part of the job is accepted. */
     @Test
     void aMalformedBodyIsRefusedAsAWhole() {
         String line = "{\"prompt\":\"x\"}\n";
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -30,7 +30,10 @@
 class OnlineFailuresTest {
     private static final int ENGINES = 6;
 
-    /** Requests lost with a runner are repeated in isolation, one per runner, so that only a few get a turn at once. */
+    /**
+     * Number of streams that run at a time. Requests whose engine was killed are retried in isolation, one per engine,
+     * so only a few of them can run at once.
+     */
     private static final int CONCURRENT_STREAMS = 8;
 
     @TempDir
@@ -48,7 +51,9 @@
         fixture.close();
     }
 
-    /** Runners are killed one after the other while they stream: each stream continues on another one and completes. */
+    /**
+     * Engines are killed one after the other while they stream: each stream continues on another engine and completes.
+     */
     @Test
     void streamsCompleteAlthoughRunnersAreKilled() {
         Set<EngineStandin> killed = new HashSet<>();
@@ -58,13 +63,14 @@
             busy.crash();
             killed.add(busy);
 
-            // Wait before the next one is killed: a request lost with two runners counts as the cause of their crashes.
+            // The streams end before the next engine is killed, since a request that is in flight at two crashes counts
+            // as their cause.
             assertThat(answers).allMatch(answer -> answer.join().end() == End.WHOLE);
         }
     }
 
     /**
-     * Runners end their streams early as if they were complete, but without the end mark. While other runners work
+     * Engines end their streams early as if they were complete, but without the end mark. While other engines work
      * correctly, the streams continue there and complete; otherwise the caller sees a cut stream, never a normal end.
      */
     @Test
@@ -123,7 +129,10 @@
         assertThat(fixture.countBookings("seat-3")).isEqualTo(1);
     }
 
-    /** The student sends the booking again while the first attempt is in progress. */
+    /**
+     * The student resends the booking while the first attempt is in progress. The resent one is refused, and the seat is
+     * booked once.
+     */
     @Test
     void aBookingSentTwiceAtOnceRunsOnce() {
         fixture.system.platform().plainServices().forEach(service -> service.holdNextAnswers(1));
@@ -197,7 +206,7 @@
     }
 
     /**
-     * A request crashes each runner that runs it, and its caller resends it through every host. After two crashes every
+     * A request crashes each engine that runs it, and its caller resends it through every host. After two crashes every
      * host refuses it immediately; requests that ran at the same time still get their answers.
      */
     @Test
@@ -223,7 +232,10 @@
         assertThat(others).allMatch(answer -> answer.join().end() == End.WHOLE);
     }
 
-    /** As above but sent through all hosts at once: requests in flight before the first crash may cause one more. */
+    /**
+     * A request that crashes engines is sent through all hosts at once: after two crashes it is refused, but copies in
+     * flight before the first crash may cause one more.
+     */
     @Test
     void aRequestThatCrashesRunnersSentThroughAllHostsAtOnceTakesDownAFew() {
         fixture.system
@@ -245,7 +257,7 @@
 
     /**
      * An engine reports that it is leaving while the host list lags. Its running requests complete; within a few
-     * seconds all hosts know, and it gets no new ones, neither online nor batch.
+     * seconds all hosts know that it is leaving, and it gets no new requests, neither online nor batch.
      */
     @Test
     void aLeavingEngineCompletesItsRequestsAndGetsNoNewOnes() {
@@ -273,7 +285,10 @@
         assertThat(engine(0).servedCount()).isEqualTo(served);
     }
 
-    /** A planned stop of an entry is requested twice while streams are in progress; a runner is lost in between. */
+    /**
+     * A planned stop of an entry is requested twice while streams are in progress, and an engine is lost in between. All
+     * streams complete, and new requests are refused.
+     */
     @Test
     void aPlannedStopOfAnEntryCutsNothingAlsoWhenARunnerIsLost() {
         List<CompletableFuture<StreamedAnswerChecker.Result>> answers = new ArrayList<>();
@@ -337,7 +352,7 @@
         return fixture.system.platform().engines().get(number);
     }
 
-    /** Returns a runner that has streams in progress; starts new ones whenever all have ended. */
+    /** Returns an engine that has streams in progress; starts new streams whenever all have ended. */
     private EngineStandin awaitBusyRunner(
             Set<EngineStandin> excluded, List<CompletableFuture<StreamedAnswerChecker.Result>> answers) {
         List<EngineStandin> busy = new ArrayList<>();
--- a/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
+++ b/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
@@ -56,7 +56,10 @@
         assertThat(segments.get("s")).isEmpty();
     }
 
-    /** A process crashes during a write: its temporary file would take disk space forever if the next one kept it. */
+    /**
+     * A process crashes during a write: its temporary file would take disk space forever if the next process did not
+     * delete it.
+     */
     @Test
     void temporaryFilesOfACrashedProcessAreDeleted() throws IOException {
         Files.write(folder.resolve("s.1.tmp"), CONTENT);
@@ -66,7 +69,7 @@
         assertThat(folder.resolve("s.1.tmp")).doesNotExist();
     }
 
-    /** A single byte is corrupted on the disk, at each position in turn. */
+    /** A single byte is corrupted on the disk, at each position in turn; such a segment must never be returned. */
     @Test
     void aDamagedSegmentCountsAsMissingAndIsSetAside() throws IOException {
         segments.put("s", CONTENT);
