--- a/src/main/java/org/gooseberryhill/entry/CallRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/CallRouter.java
@@ -34,7 +34,7 @@
     private static final int PROMPT_PREFIX_CHARACTERS = 64;
     private static final int MAX_IDEMPOTENCY_KEY_CHARACTERS = 255;
     private static final int MAX_IGNORED_BODY_BYTES = 1024 * 1024;
-    private static final Map<String, String> JSON = Map.of("content-type", "application/json");
+    private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
     private final EntryContext context;
     private final JobRouter jobRouter;
@@ -49,7 +49,7 @@
         String path = call.path();
         switch (path) {
             case "/healthz":
-                return runAfterBody(call, () -> call.reply(200, JSON, Json.bytes(Map.of("alive", true))));
+                return runAfterBody(call, () -> call.reply(200, JSON_HEADERS, Json.bytes(Map.of("alive", true))));
             case "/readyz":
                 return runAfterBody(call, () -> replyReadiness(call));
             case "/metrics":
@@ -111,12 +111,12 @@
     }
 
     private void startPlainCall(HttpCall call, String requestId, CallerSettings caller, byte[] body) {
-        String pathFromName = call.target().substring(SERVICES.length());
-        int nameEnd = indexOfPathOrQuery(pathFromName);
-        String name = pathFromName.substring(0, nameEnd);
-        String target = pathFromName.length() == nameEnd || pathFromName.charAt(nameEnd) == '?'
-                ? "/" + pathFromName.substring(nameEnd)
-                : pathFromName.substring(nameEnd);
+        String nameAndTarget = call.target().substring(SERVICES.length());
+        int nameEnd = indexOfPathOrQuery(nameAndTarget);
+        String name = nameAndTarget.substring(0, nameEnd);
+        String target = nameAndTarget.length() == nameEnd || nameAndTarget.charAt(nameEnd) == '?'
+                ? "/" + nameAndTarget.substring(nameEnd)
+                : nameAndTarget.substring(nameEnd);
         Configuration configuration = context.access().configuration();
         Optional<ServiceSettings> service = Optional.ofNullable(
                         configuration.services().get(name))
@@ -149,8 +149,8 @@
     }
 
     private void replyModels(HttpCall call, CallerSettings caller) {
-        ObjectNode answer = Json.object().put("object", "list");
-        ArrayNode data = answer.putArray("data");
+        ObjectNode response = Json.object().put("object", "list");
+        ArrayNode data = response.putArray("data");
         for (ServiceSettings service :
                 context.access().configuration().services().values()) {
             if (caller.services().contains(service.name())) {
@@ -158,7 +158,7 @@
                         .ifPresent(model -> data.addObject().put("id", model).put("object", "model"));
             }
         }
-        call.reply(200, JSON, Json.bytes(answer));
+        call.reply(200, JSON_HEADERS, Json.bytes(response));
     }
 
     private void replyReadiness(HttpCall call) {
@@ -166,11 +166,11 @@
             boolean serving = context.process().plannedStop().phase() == PlannedStop.Phase.SERVING;
             long revision = context.process().configuration().revision();
             // While no store is present, every job would be refused, so the balancer should use another host.
-            boolean knowsStores = !context.process().presentHosts(Role.STORE).isEmpty();
-            boolean ready = serving && revision > 0 && knowsStores;
+            boolean storesPresent = !context.process().presentHosts(Role.STORE).isEmpty();
+            boolean ready = serving && revision > 0 && storesPresent;
             call.reply(
                     ready ? 200 : 503,
-                    JSON,
+                    JSON_HEADERS,
                     Json.bytes(Json.object().put("ready", ready).put("configuration", revision)));
         });
     }
@@ -197,7 +197,7 @@
 
     private static RequestBodyHandler runAfterBody(HttpCall call, Runnable action) {
         return new BodyCollector(
-                MAX_IGNORED_BODY_BYTES, body -> action.run(), () -> call.reply(413, JSON, new byte[0]));
+                MAX_IGNORED_BODY_BYTES, body -> action.run(), () -> call.reply(413, JSON_HEADERS, new byte[0]));
     }
 
     private static RequestBodyHandler refuseAfterBody(HttpCall call, String requestId, ErrorCode code, String message) {
--- a/src/main/java/org/gooseberryhill/entry/EntryProcess.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryProcess.java
@@ -15,7 +15,7 @@
 
 /** The process of the program {@code gooseberry-entry}, which accepts callers' requests. Thread-safe. */
 public final class EntryProcess implements Closeable {
-    private static final long STOP_CHECK_MILLIS = 200;
+    private static final long STOP_CHECK_PERIOD_MILLIS = 200;
 
     private final HostProcess process;
     private final EntryContext context;
@@ -41,7 +41,7 @@
         CallRouter router = new CallRouter(context);
         server = Optional.of(HttpServer.start(
                 process.eventLoopGroup(), settings.httpAddress(), settings.httpLimits(), router::route));
-        process.loop().every(STOP_CHECK_MILLIS, this::advanceStop);
+        process.loop().every(STOP_CHECK_PERIOD_MILLIS, this::advanceStop);
     }
 
     /** Returns the part of the process that all roles have in common. */
--- a/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
+++ b/src/main/java/org/gooseberryhill/entry/JobLineSplitter.java
@@ -24,7 +24,7 @@
     private final List<String> findings = new ArrayList<>();
     private boolean lineTooLong;
     private int lineNumber;
-    private int items;
+    private int itemCount;
 
     JobLineSplitter(int maxItems, int maxItemBytes) {
         this.maxItems = maxItems;
@@ -60,8 +60,8 @@
         return findings;
     }
 
-    int items() {
-        return items;
+    int itemCount() {
+        return itemCount;
     }
 
     private void endLine(List<String> completed) {
@@ -78,8 +78,8 @@
         if (text.isEmpty()) {
             return;
         }
-        items++;
-        if (items > maxItems) {
+        itemCount++;
+        if (itemCount > maxItems) {
             addFinding("more than " + maxItems + " items");
             return;
         }
--- a/src/main/java/org/gooseberryhill/entry/JobOperations.java
+++ b/src/main/java/org/gooseberryhill/entry/JobOperations.java
@@ -30,7 +30,7 @@
     private static final int MAX_JOBS = 1000;
     private static final int MAX_CANCEL_TRIES = 5;
     private static final long RETRY_AFTER_MILLIS = 2000;
-    private static final Map<String, String> JSON = Map.of("content-type", "application/json");
+    private static final Map<String, String> JSON_HEADERS = Map.of("content-type", "application/json");
 
     private final EntryContext context;
 
@@ -48,7 +48,7 @@
                     if (failure != null) {
                         replyUnavailable(call, requestId, Outcome.NOT_RUN);
                     } else {
-                        call.reply(200, JSON, Json.bytes(statusJson(key, record, chunks)));
+                        call.reply(200, JSON_HEADERS, Json.bytes(statusJson(key, record, chunks)));
                     }
                 }));
     }
@@ -83,14 +83,14 @@
             List<String> ids = result.entries().stream()
                     .map(entry -> entry.key().substring(prefix.length()))
                     .toList();
-            call.reply(200, JSON, Json.bytes(Map.of("open", ids)));
+            call.reply(200, JSON_HEADERS, Json.bytes(Map.of("open", ids)));
         });
     }
 
     private void cancel(HttpCall call, String requestId, JobKey key, int triesLeft) {
         withJob(call, requestId, key, (entry, record) -> {
             if (record.state() != JobState.RUNNING) {
-                call.reply(200, JSON, Json.bytes(stateJson(key, record)));
+                call.reply(200, JSON_HEADERS, Json.bytes(stateJson(key, record)));
                 return;
             }
             Transaction write = Transaction.builder()
@@ -112,7 +112,7 @@
     }
 
     private void replyCancelled(HttpCall call, JobKey key, JobRecord record) {
-        call.reply(200, JSON, Json.bytes(stateJson(key, record)));
+        call.reply(200, JSON_HEADERS, Json.bytes(stateJson(key, record)));
         context.process().loop().execute(() -> {
             context.process()
                     .timeline()
@@ -157,9 +157,9 @@
         return chunks;
     }
 
-    private static List<ChunkRecord> contiguous(Map<Integer, ChunkRecord> chunks, int first) {
+    private static List<ChunkRecord> contiguous(Map<Integer, ChunkRecord> chunks, int firstChunk) {
         List<ChunkRecord> contiguousChunks = new ArrayList<>();
-        for (int number = first; chunks.containsKey(number); number++) {
+        for (int number = firstChunk; chunks.containsKey(number); number++) {
             contiguousChunks.add(chunks.get(number));
         }
         return contiguousChunks;
--- a/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
@@ -47,7 +47,7 @@
     private final List<String> chunk = new ArrayList<>();
     private final List<String> segmentNames = new ArrayList<>();
     private CompletableFuture<Void> chunksStored = CompletableFuture.completedFuture(null);
-    private boolean rejectedOrAborted;
+    private boolean refusedOrAborted;
 
     JobSubmissionHandler(EntryContext context, HttpCall call, JobRequest request, Runnable onEnded) {
         this.context = context;
@@ -68,11 +68,11 @@
     public void onEnd() {
         addItems(splitter.end());
         if (!splitter.findings().isEmpty()) {
-            rejectFindings();
+            refuseFindings();
             return;
         }
-        if (splitter.items() == 0) {
-            reject(Refusal.notRun(ErrorCode.INVALID_REQUEST, "the job has no items"));
+        if (splitter.itemCount() == 0) {
+            refuse(Refusal.notRun(ErrorCode.INVALID_REQUEST, "the job has no items"));
             return;
         }
         storeChunk();
@@ -80,7 +80,7 @@
             if (failure == null) {
                 createRecord();
             } else {
-                reject(Refusal.notRun(
+                refuse(Refusal.notRun(
                         ErrorCode.PLATFORM_UNAVAILABLE, "too few stores answer to keep the job", RETRY_AFTER_MILLIS));
             }
         });
@@ -88,7 +88,7 @@
 
     @Override
     public void onAborted() {
-        rejectedOrAborted = true;
+        refusedOrAborted = true;
         onEnded.run();
     }
 
@@ -126,7 +126,7 @@
                 request.model(),
                 request.dueMillis(),
                 System.currentTimeMillis(),
-                splitter.items(),
+                splitter.itemCount(),
                 CHUNK_ITEMS,
                 List.copyOf(segmentNames));
         JobSubmission submission = new JobSubmission(record.bodyHash());
@@ -149,7 +149,7 @@
                                 failure == null ? submission.read(parseRecord(result)) : submission.unanswered(),
                                 record));
             case ACCEPTED, SAME_JOB -> replyAccepted(step == JobSubmission.Step.ACCEPTED, record);
-            default -> reject(JobSubmission.refusal(step).orElseThrow());
+            default -> refuse(JobSubmission.refusal(step).orElseThrow());
         }
     }
 
@@ -167,13 +167,13 @@
     }
 
     private void replyAccepted(boolean created, JobRecord record) {
-        ObjectNode answer = Json.object()
+        ObjectNode response = Json.object()
                 .put("id", request.key().id())
                 .put("items", record.items())
                 .put("due", Instant.ofEpochMilli(record.dueMillis()).toString())
                 .put("accepted", true)
                 .put("resent", !created);
-        call.reply(created ? 201 : 200, Map.of("content-type", "application/json"), Json.bytes(answer));
+        call.reply(created ? 201 : 200, Map.of("content-type", "application/json"), Json.bytes(response));
         HostProcess process = context.process();
         process.loop().execute(() -> {
             process.timeline()
@@ -186,16 +186,16 @@
         });
     }
 
-    private void rejectFindings() {
-        reject(Refusal.notRun(
+    private void refuseFindings() {
+        refuse(Refusal.notRun(
                 ErrorCode.INVALID_REQUEST, "nothing was accepted; " + String.join("; ", splitter.findings())));
     }
 
-    private void reject(Refusal refusal) {
-        if (rejectedOrAborted) {
+    private void refuse(Refusal refusal) {
+        if (refusedOrAborted) {
             return;
         }
-        rejectedOrAborted = true;
+        refusedOrAborted = true;
         ErrorResponse.reply(call, request.requestId(), refusal);
         context.process().loop().execute(onEnded);
     }
--- a/src/main/java/org/gooseberryhill/entry/LoadReporter.java
+++ b/src/main/java/org/gooseberryhill/entry/LoadReporter.java
@@ -52,20 +52,21 @@
     void reportChanges(Iterable<EndpointState> endpoints, Set<String> slow) {
         round++;
         boolean refresh = round % ROUNDS_PER_REFRESH == 0;
-        Map<Host, Map<String, Integer>> bySteward = new HashMap<>();
+        Map<Host, Map<String, Integer>> countsBySteward = new HashMap<>();
         for (EndpointState state : endpoints) {
             int lastCount = lastReported.getOrDefault(state.name(), 0);
-            boolean due = state.ownInFlight() != lastCount || refresh && lastCount > 0 || slow.contains(state.name());
-            if (!due) {
+            boolean needsReport =
+                    state.ownInFlight() != lastCount || refresh && lastCount > 0 || slow.contains(state.name());
+            if (!needsReport) {
                 continue;
             }
             lastReported.put(state.name(), state.ownInFlight());
             stewardOf(state.settings())
-                    .ifPresent(host -> bySteward
+                    .ifPresent(host -> countsBySteward
                             .computeIfAbsent(host, key -> new HashMap<>())
                             .put(state.name(), state.ownInFlight()));
         }
-        bySteward.forEach((host, inFlight) -> {
+        countsBySteward.forEach((host, inFlight) -> {
             List<String> slowEndpoints = new ArrayList<>(inFlight.keySet());
             slowEndpoints.retainAll(slow);
             send(host, inFlight, slowEndpoints);
@@ -73,15 +74,15 @@
     }
 
     private void send(Host steward, Map<String, Integer> inFlight, List<String> slow) {
-        Set<String> reported = new HashSet<>(inFlight.keySet());
+        Set<String> reportedEndpoints = new HashSet<>(inFlight.keySet());
         process.ask(steward, new PeerMessage.OnlineLoad(inFlight, slow))
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     if (reply instanceof PeerMessage.EndpointLoads loads) {
-                        onLoads.accept(reported, loads);
+                        onLoads.accept(reportedEndpoints, loads);
                     } else {
                         // The report may be lost. A count that no endpoint can have differs from the actual one, so the
                         // next round reports it again.
-                        reported.forEach(endpoint -> lastReported.put(endpoint, UNCONFIRMED));
+                        reportedEndpoints.forEach(endpoint -> lastReported.put(endpoint, UNCONFIRMED));
                     }
                 }));
     }
--- a/src/main/java/org/gooseberryhill/entry/ModelCall.java
+++ b/src/main/java/org/gooseberryhill/entry/ModelCall.java
@@ -27,7 +27,7 @@
  * event and a closed connection, so that the caller can't mistake a truncated answer for a complete one.
  */
 final class ModelCall extends OnlineCall {
-    private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
+    private static final int MAX_BUFFERED_ANSWER_BYTES = 8 * 1024 * 1024;
     private static final int FIRST_SERVER_ERROR = 500;
     private static final int OK = 200;
 
@@ -92,11 +92,11 @@
         private int status;
         private String contentType = "application/json";
         private boolean streamed;
-        private boolean doneSeen;
+        private boolean endMarkReceived;
         private boolean tooLarge;
-        private byte[] doneEvent = new byte[0];
-        private int samples;
-        private int samplesBeyondTarget;
+        private byte[] endMarkEvent = new byte[0];
+        private int latencySamples;
+        private int latencySamplesBeyondTarget;
 
         Attempt(EndpointSettings endpoint, long number) {
             this.endpoint = endpoint;
@@ -114,7 +114,7 @@
         public void onBytes(byte[] bytes) {
             if (streamed) {
                 events.read(bytes, this::forward);
-            } else if (buffer.size() + bytes.length <= MAX_BUFFERED_BYTES) {
+            } else if (buffer.size() + bytes.length <= MAX_BUFFERED_ANSWER_BYTES) {
                 buffer.writeBytes(bytes);
             } else {
                 tooLarge = true;
@@ -123,10 +123,10 @@
 
         @Override
         public void onEnd() {
-            flushSamples();
-            if (streamed && doneSeen) {
+            flushLatencySamples();
+            if (streamed && endMarkReceived) {
                 attemptSucceeded(number, () -> {
-                    call.write(doneEvent);
+                    call.write(endMarkEvent);
                     call.endStream();
                 });
                 return;
@@ -144,11 +144,11 @@
 
         @Override
         public void onFailure(ExchangeFailure failure) {
-            flushSamples();
+            flushLatencySamples();
             attemptFailed(number, failure);
         }
 
-        private void forward(byte[] event, String token, boolean done) {
+        private void forward(byte[] event, String token, boolean isEndMark) {
             if (!streamStarted) {
                 streamStarted = true;
                 call.beginStream(OK, answerHeaders(contentType, endpoint.name()));
@@ -156,34 +156,34 @@
                         .firstByteReceived(
                                 intake.service(), (nowNanos() - startNanos) / (double) TimeUnit.SECONDS.toNanos(1));
             }
-            if (done) {
-                doneSeen = true;
-                doneEvent = event;
+            if (isEndMark) {
+                endMarkReceived = true;
+                endMarkEvent = event;
                 return;
             }
             call.write(event);
             if (!token.isEmpty()) {
-                recordSample();
+                recordLatencySample();
                 tokensForwarded++;
             }
         }
 
-        private void recordSample() {
+        private void recordLatencySample() {
             long now = nowNanos();
             long targetMillis =
                     tokensForwarded == 0 ? service.firstTokenTargetMillis() : service.betweenTokensTargetMillis();
-            samples++;
+            latencySamples++;
             if (now - lastTokenNanos > TimeUnit.MILLISECONDS.toNanos(targetMillis)) {
-                samplesBeyondTarget++;
+                latencySamplesBeyondTarget++;
             }
             lastTokenNanos = now;
         }
 
-        private void flushSamples() {
-            int count = samples;
-            int countBeyondTarget = samplesBeyondTarget;
-            samples = 0;
-            samplesBeyondTarget = 0;
+        private void flushLatencySamples() {
+            int count = latencySamples;
+            int countBeyondTarget = latencySamplesBeyondTarget;
+            latencySamples = 0;
+            latencySamplesBeyondTarget = 0;
             if (count > 0) {
                 process()
                         .loop()
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -57,7 +57,7 @@
     /** Sends the refusal to the caller. */
     abstract void refuse(Refusal refusal);
 
-    /** Prepares the first attempt; calls {@link #proceed} or {@link #giveUp} when done. */
+    /** Prepares the first attempt; calls {@link #proceed} or {@link #endWithRefusal} when done. */
     void prepare() {
         proceed();
     }
@@ -79,22 +79,22 @@
     }
 
     /** Ends an attempt with a complete answer, which the action sends to the caller. May be called from any thread. */
-    final void attemptSucceeded(long attempt, Runnable action) {
+    final void attemptSucceeded(long attempt, Runnable sendAnswer) {
         process().loop().execute(() -> {
             if (finished || attempt != attemptNumber) {
                 return;
             }
             releasePermit(true);
             context.traffic().core().attemptSucceeded(request, nowNanos());
-            action.run();
+            sendAnswer.run();
             finish("answered");
         });
     }
 
     /** Answers the request with the stored answer of an earlier call, without an attempt. For the control thread. */
-    final void replayAnswer(Runnable action) {
+    final void replayAnswer(Runnable sendAnswer) {
         if (!finished) {
-            action.run();
+            sendAnswer.run();
             finish("replayed");
         }
     }
@@ -139,7 +139,7 @@
     }
 
     /** Ends the request with a refusal. For the control thread. */
-    final void giveUp(Refusal refusal) {
+    final void endWithRefusal(Refusal refusal) {
         if (finished) {
             return;
         }
@@ -153,12 +153,12 @@
 
     private void admit() {
         if (!process().plannedStop().acceptsAllRequests()) {
-            reject(Refusal.notRun(ErrorCode.STOPPING, "this host is stopping", 1));
+            refuseAdmission(Refusal.notRun(ErrorCode.STOPPING, "this host is stopping", 1));
             return;
         }
         Either<Refusal, OnlineRequest> admitted = context.traffic().core().admit(intake, nowNanos());
         if (admitted.isLeft()) {
-            reject(admitted.getLeft());
+            refuseAdmission(admitted.getLeft());
             return;
         }
         request = admitted.get();
@@ -170,7 +170,7 @@
         prepare();
     }
 
-    private void reject(Refusal refusal) {
+    private void refuseAdmission(Refusal refusal) {
         finished = true;
         context.metrics().requestRefused(intake.service(), refusal.code().wireName());
         process()
@@ -191,7 +191,7 @@
         } else if (decision instanceof OnlineDecision.Wait wait) {
             process().loop().after(wait.delayMillis(), this::proceed);
         } else if (decision instanceof OnlineDecision.Refuse refuse) {
-            giveUp(refuse.refusal());
+            endWithRefusal(refuse.refusal());
         }
     }
 
@@ -230,7 +230,7 @@
 
     private void onPermitAnswer(Optional<String> endpoint) {
         if (finished) {
-            endpoint.ifPresent(name -> sendRelease(false));
+            endpoint.ifPresent(name -> sendPermitRelease(false));
             return;
         }
         perform(context.traffic().core().onPermitAnswer(request, endpoint, nowNanos()));
@@ -238,11 +238,11 @@
 
     private void releasePermit(boolean completed) {
         if (request.holdsPermit()) {
-            sendRelease(completed);
+            sendPermitRelease(completed);
         }
     }
 
-    private void sendRelease(boolean completed) {
+    private void sendPermitRelease(boolean completed) {
         PeerMessage release = new PeerMessage.SuspectRelease(
                 intake.service(), intake.fingerprint().value(), completed);
         context.traffic()
@@ -261,7 +261,7 @@
         if (!finished) {
             Outcome outcome = request.endpoint().isPresent() ? Outcome.MAY_HAVE_RUN : request.outcome();
             cancelAttempt();
-            giveUp(new Refusal(
+            endWithRefusal(new Refusal(
                     ErrorCode.DEADLINE_EXCEEDED, outcome, "the deadline passed before the answer", Optional.empty()));
         }
     }
--- a/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
@@ -117,8 +117,8 @@
         loadReporter.reportChanges(core.endpoints().all(), tailLatency.takeSlowEndpoints());
     }
 
-    private void onEndpointLoads(Set<String> reported, PeerMessage.EndpointLoads loads) {
-        for (String endpoint : reported) {
+    private void onEndpointLoads(Set<String> reportedEndpoints, PeerMessage.EndpointLoads loads) {
+        for (String endpoint : reportedEndpoints) {
             int online = loads.online().getOrDefault(endpoint, 0);
             int batch = loads.batch().getOrDefault(endpoint, 0);
             core.endpoints().recordReport(endpoint, online, batch);
--- a/src/main/java/org/gooseberryhill/entry/PlainCall.java
+++ b/src/main/java/org/gooseberryhill/entry/PlainCall.java
@@ -70,7 +70,7 @@
             proceed();
             return;
         }
-        claim.get().begin(this::proceed, this::replay, this::giveUp);
+        claim.get().begin(this::proceed, this::replay, this::endWithRefusal);
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/program/StreamedAnswerChecker.java
+++ b/src/main/java/org/gooseberryhill/program/StreamedAnswerChecker.java
@@ -84,8 +84,8 @@
         complete(status == 0 || status == 200 ? End.CUT : End.REFUSED);
     }
 
-    private void onEvent(byte[] event, String token, boolean done) {
-        endMarkReceived |= done;
+    private void onEvent(byte[] event, String token, boolean isEndMark) {
+        endMarkReceived |= isEndMark;
         if (token.isEmpty()) {
             return;
         }
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -56,14 +56,14 @@
     }
 
     void start() {
-        process.configuration().onChange(configuration -> updateStewardedEndpoints());
-        process.onMembershipChange(this::updateStewardedEndpoints);
+        process.configuration().onChange(configuration -> updateAssignedEndpoints());
+        process.onMembershipChange(this::updateAssignedEndpoints);
         process.onHostList(listing -> {
             leaving.replace(LeavingSource.HOST_LIST, listing.leavingEndpoints());
             updateLeavingEndpoints();
         });
         process.loop().every(ITEM_REQUEST_PERIOD_MILLIS, this::requestItems);
-        process.loop().every(settings.statusPeriodMillis(), () -> statusReader.read(stewardedEndpoints()));
+        process.loop().every(settings.statusPeriodMillis(), () -> statusReader.read(assignedEndpoints()));
     }
 
     /** Adds a listener for the statuses read from endpoints. */
@@ -126,10 +126,10 @@
 
     /** Ends the runs of a job's items at once and without a report, since the owner has stopped the job. */
     void cancelItems(String job, long fence) {
-        List<ItemRun> stopped = runs.values().stream()
+        List<ItemRun> cancelledRuns = runs.values().stream()
                 .filter(run -> run.item().job().equals(job) && run.item().fence() == fence)
                 .toList();
-        stopped.forEach(ItemRun::discard);
+        cancelledRuns.forEach(ItemRun::discard);
     }
 
     /** Returns all items to their owners with the partial results so far. */
@@ -154,24 +154,24 @@
         items.forEach(item -> Optional.ofNullable(runs.get(item.runNumber())).ifPresent(ItemRun::yield));
     }
 
-    private void updateStewardedEndpoints() {
+    private void updateAssignedEndpoints() {
         Configuration configuration = process.configuration().current();
         List<Host> stewards = process.presentHosts(Role.STEWARD);
-        Set<String> stewardedNames = new HashSet<>();
+        Set<String> assignedNames = new HashSet<>();
         for (EndpointSettings endpoint : configuration.endpoints().values()) {
             ServiceSettings service = configuration.services().get(endpoint.service());
-            boolean stewarded = service.model().isPresent()
+            boolean assigned = service.model().isPresent()
                     && Ownership.ownerOfEndpoint(endpoint.name(), endpoint.zone(), stewards)
                             .filter(process::isSelf)
                             .isPresent();
-            if (stewarded) {
-                stewardedNames.add(endpoint.name());
+            if (assigned) {
+                assignedNames.add(endpoint.name());
                 endpoints
                         .computeIfAbsent(endpoint.name(), name -> newEndpoint(endpoint, service))
                         .configure(endpoint, service.batchWeightPercent());
             }
         }
-        endpoints.keySet().retainAll(stewardedNames);
+        endpoints.keySet().retainAll(assignedNames);
         Set<HostId> entries =
                 process.presentHosts(Role.ENTRY).stream().map(Host::id).collect(Collectors.toSet());
         endpoints.values().forEach(endpoint -> endpoint.retainEntries(entries));
@@ -183,7 +183,7 @@
                 endpoint, service.batchWeightPercent(), settings.slotPolicy(), new LeastWorkLostOrder());
     }
 
-    private List<EndpointSettings> stewardedEndpoints() {
+    private List<EndpointSettings> assignedEndpoints() {
         return endpoints.values().stream().map(EndpointBatch::settings).toList();
     }
 
@@ -213,19 +213,19 @@
             return;
         }
         long now = process.loop().nowNanos();
-        Map<String, Integer> freeByService = new HashMap<>();
+        Map<String, Integer> freeSlotsByService = new HashMap<>();
         endpoints
                 .values()
                 .forEach(endpoint ->
-                        freeByService.merge(endpoint.settings().service(), endpoint.freeSlots(now), Integer::sum));
-        freeByService.forEach((service, free) -> {
-            if (free > 0) {
-                sources.nextOwnerToAsk(service).ifPresent(owner -> requestItemsFrom(owner, service, free));
+                        freeSlotsByService.merge(endpoint.settings().service(), endpoint.freeSlots(now), Integer::sum));
+        freeSlotsByService.forEach((service, freeSlots) -> {
+            if (freeSlots > 0) {
+                sources.nextOwnerToAsk(service).ifPresent(owner -> requestItemsFrom(owner, service, freeSlots));
             }
         });
     }
 
-    private void requestItemsFrom(HostId owner, String service, int free) {
+    private void requestItemsFrom(HostId owner, String service, int freeSlots) {
         Optional<Host> host = process.presentHosts(Role.STEWARD).stream()
                 .filter(present -> present.id().equals(owner))
                 .findFirst();
@@ -233,7 +233,7 @@
             sources.remove(owner);
             return;
         }
-        PeerMessage request = new PeerMessage.ItemsRequest(service, Math.min(free, MAX_ITEMS_PER_REQUEST));
+        PeerMessage request = new PeerMessage.ItemsRequest(service, Math.min(freeSlots, MAX_ITEMS_PER_REQUEST));
         process.ask(host.get(), request)
                 .whenComplete((reply, failure) -> process.loop().execute(() -> {
                     List<WorkItem> items = reply instanceof PeerMessage.Items found ? found.items() : List.of();
--- a/src/main/java/org/gooseberryhill/steward/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/steward/ItemRun.java
@@ -45,7 +45,7 @@
     private final WorkItem item;
     private final long number;
     private final StringBuffer generatedText;
-    private volatile int tokens;
+    private volatile int generatedTokens;
     private EndpointSettings endpoint;
     private RunningItem running;
     private Exchange exchange;
@@ -60,7 +60,7 @@
         this.item = item;
         this.number = number;
         this.generatedText = new StringBuffer(item.partial());
-        this.tokens = item.partialTokens();
+        this.generatedTokens = item.partialTokens();
     }
 
     WorkItem item() {
@@ -113,8 +113,8 @@
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("content-type", "application/json");
         headers.put("x-request-id", item.job().replace('/', '.') + "." + item.index());
-        if (tokens > 0) {
-            headers.put("x-resume-from", Integer.toString(tokens));
+        if (generatedTokens > 0) {
+            headers.put("x-resume-from", Integer.toString(generatedTokens));
         }
         ExchangeRequest request = new ExchangeRequest(
                 target.address(), "POST", "/v1/completions", headers, streamingRequestBody(), silenceMillis, false);
@@ -125,7 +125,7 @@
     void yield() {
         if (endOnce(false)) {
             exchange.cancel();
-            report(ItemEnd.YIELDED, generatedText.toString(), tokens);
+            report(ItemEnd.YIELDED, generatedText.toString(), generatedTokens);
         }
     }
 
@@ -191,7 +191,7 @@
     private final class AnswerListener implements ExchangeListener {
         private final EventStreamReader events = new EventStreamReader();
         private int status;
-        private boolean doneSeen;
+        private boolean endMarkReceived;
 
         @Override
         public void onHead(int newStatus, HttpHeaders headers) {
@@ -203,20 +203,20 @@
             if (status >= FIRST_CLIENT_ERROR) {
                 return;
             }
-            events.read(bytes, (event, token, done) -> {
-                doneSeen |= done;
+            events.read(bytes, (event, token, isEndMark) -> {
+                endMarkReceived |= isEndMark;
                 if (!token.isEmpty()) {
                     generatedText.append(token);
-                    tokens++;
-                    running.setTokens(tokens);
+                    generatedTokens++;
+                    running.setTokens(generatedTokens);
                 }
             });
         }
 
         @Override
         public void onEnd() {
-            if (doneSeen) {
-                finish(ItemEnd.COMPLETED, generatedText.toString(), tokens);
+            if (endMarkReceived) {
+                finish(ItemEnd.COMPLETED, generatedText.toString(), generatedTokens);
             } else if (status >= FIRST_CLIENT_ERROR && status < FIRST_SERVER_ERROR && status != TOO_MANY_REQUESTS) {
                 finish(ItemEnd.REJECTED, "the endpoint answered with status " + status, 0);
             } else {
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -49,7 +49,7 @@
     private static final long HOLDER_CHECK_PERIOD_MILLIS = 1000;
 
     /** Age from which a hand-out can count as missing: longer than a request and its reply can be in transit. */
-    private static final long MIN_MISSING_AGE_MILLIS = 2 * HostProcess.ASK_TIMEOUT_MILLIS;
+    private static final long MIN_MISSING_HANDOUT_AGE_MILLIS = 2 * HostProcess.ASK_TIMEOUT_MILLIS;
 
     private final HostProcess process;
     private final LeaseManager leaseManager;
@@ -302,11 +302,11 @@
                 offerWork(job);
             }
         }
-        releaseForeignJobs();
+        releaseReassignedJobs();
     }
 
     /** Releases jobs that the membership assigns to another host, so that a new host takes over its share over time. */
-    private void releaseForeignJobs() {
+    private void releaseReassignedJobs() {
         List<Host> stewards = process.presentHosts(Role.STEWARD);
         for (OwnedJob job : ownedJobs.jobs()) {
             boolean isOwner = Ownership.ownerOfJob(job.key(), stewards)
@@ -334,7 +334,10 @@
                                     if (reply instanceof PeerMessage.HeldHandouts held) {
                                         long now = process.loop().nowNanos();
                                         job.reclaimMissing(
-                                                holder, Set.copyOf(held.handouts()), MIN_MISSING_AGE_MILLIS, now);
+                                                holder,
+                                                Set.copyOf(held.handouts()),
+                                                MIN_MISSING_HANDOUT_AGE_MILLIS,
+                                                now);
                                     }
                                 })));
             }
--- a/src/main/java/org/gooseberryhill/steward/JobSegments.java
+++ b/src/main/java/org/gooseberryhill/steward/JobSegments.java
@@ -23,13 +23,13 @@
     private static final long RETRY_MILLIS = 500;
 
     private final HostProcess process;
-    private final Consumer<OwnedJob> onRefused;
+    private final Consumer<OwnedJob> onCommitRefused;
     private final Consumer<OwnedJob> onAdvanced;
     private int commitsInProgress;
 
-    JobSegments(HostProcess process, Consumer<OwnedJob> onRefused, Consumer<OwnedJob> onAdvanced) {
+    JobSegments(HostProcess process, Consumer<OwnedJob> onCommitRefused, Consumer<OwnedJob> onAdvanced) {
         this.process = process;
-        this.onRefused = onRefused;
+        this.onCommitRefused = onCommitRefused;
         this.onAdvanced = onAdvanced;
     }
 
@@ -139,7 +139,7 @@
             }
             default -> {
                 commitsInProgress--;
-                onRefused.accept(job);
+                onCommitRefused.accept(job);
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/steward/OpenJobScanner.java
+++ b/src/main/java/org/gooseberryhill/steward/OpenJobScanner.java
@@ -53,10 +53,10 @@
                     }
                     result.entries().forEach(entry -> notifyOwner(entry, stewards));
                     if (result.more()) {
-                        String last = result.entries()
+                        String lastKey = result.entries()
                                 .get(result.entries().size() - 1)
                                 .key();
-                        readPage(last + "\0", stewards);
+                        readPage(lastKey + "\0", stewards);
                     }
                 }));
     }
--- a/src/main/java/org/gooseberryhill/steward/OrderDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/OrderDriver.java
@@ -49,21 +49,21 @@
         if (desired.isEmpty()) {
             return;
         }
-        EndpointOrders decision = ordersByEndpoint.computeIfAbsent(
+        EndpointOrders orders = ordersByEndpoint.computeIfAbsent(
                 endpoint.name(),
                 name -> new EndpointOrders(
                         new OrderSettings(process.settings().leaseMillis(), settings.maxOrderMillis()),
                         endpoint.checksFences()));
         boolean leaseUsable = leaseManager.usableLease().isPresent();
-        OrderStep step = decision.next(
+        OrderStep step = orders.next(
                 Optional.of(status.held()),
                 desired.get(),
                 leaseUsable,
                 process.loop().nowNanos());
         if (step instanceof OrderStep.Claim) {
-            claim(endpoint, decision);
+            claim(endpoint, orders);
         } else if (step instanceof OrderStep.Send send) {
-            loadLimiter.runWithSlot(leaseManager, () -> send(endpoint, decision, send), decision::orderEnded);
+            loadLimiter.runWithSlot(leaseManager, () -> send(endpoint, orders, send), orders::orderEnded);
         }
     }
 
@@ -79,10 +79,10 @@
         return new ModelHolding(model.name(), model.version(), model.adapters());
     }
 
-    private void claim(EndpointSettings endpoint, EndpointOrders decision) {
+    private void claim(EndpointSettings endpoint, EndpointOrders orders) {
         Optional<Long> leaseId = leaseManager.usableLease();
         if (leaseId.isEmpty()) {
-            decision.claimed(Optional.empty(), process.loop().nowNanos());
+            orders.claimed(Optional.empty(), process.loop().nowNanos());
             return;
         }
         String key = Keys.endpointClaim(endpoint.name());
@@ -94,10 +94,10 @@
                 .write(write)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
                     if (failure == null && result.succeeded()) {
-                        decision.claimed(
+                        orders.claimed(
                                 Optional.of(result.revision()), process.loop().nowNanos());
                     } else {
-                        findOwnClaim(key, decision);
+                        findOwnClaim(key, orders);
                     }
                 }));
     }
@@ -106,7 +106,7 @@
      * Checks whether this host holds the claim, from this try or an earlier one, although its creation was not
      * confirmed.
      */
-    private void findOwnClaim(String key, EndpointOrders decision) {
+    private void findOwnClaim(String key, EndpointOrders orders) {
         process.keyValue()
                 .read(key)
                 .whenComplete((result, failure) -> process.loop().execute(() -> {
@@ -115,13 +115,13 @@
                             : result.first()
                                     .filter(entry -> Arrays.equals(process.claimValue(), entry.value()))
                                     .map(KeyValueStore.Entry::createRevision);
-                    decision.claimed(fence, process.loop().nowNanos());
+                    orders.claimed(fence, process.loop().nowNanos());
                 }));
     }
 
-    private void send(EndpointSettings endpoint, EndpointOrders decision, OrderStep.Send order) {
+    private void send(EndpointSettings endpoint, EndpointOrders orders, OrderStep.Send order) {
         if (leaseManager.usableLease().isEmpty()) {
-            decision.orderEnded();
+            orders.orderEnded();
             loadLimiter.release();
             return;
         }
@@ -150,7 +150,7 @@
                             .endpoint(endpoint.name())
                             .with("end", end)
                             .write();
-                    decision.orderEnded();
+                    orders.orderEnded();
                     loadLimiter.release();
                 }));
     }
--- a/src/main/java/org/gooseberryhill/steward/StewardProcess.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardProcess.java
@@ -21,7 +21,7 @@
  * endpoints. Thread-safe.
  */
 public final class StewardProcess implements Closeable {
-    private static final long STOP_CHECK_MILLIS = 200;
+    private static final long STOP_CHECK_PERIOD_MILLIS = 200;
     private static final long SUSPECT_GRANT_MILLIS = 30_000;
 
     private final HostProcess process;
@@ -57,7 +57,7 @@
             orders.start();
         });
         process.start();
-        process.loop().every(STOP_CHECK_MILLIS, this::advanceStop);
+        process.loop().every(STOP_CHECK_PERIOD_MILLIS, this::advanceStop);
     }
 
     /** Returns the part of the process that all roles have in common. */
@@ -70,9 +70,9 @@
      * yet. Must not be called on the control thread, since it waits for that thread.
      */
     public int itemsInProgress() {
-        CompletableFuture<Integer> answer = new CompletableFuture<>();
-        process.loop().execute(() -> answer.complete(batch.itemsInProgress()));
-        return answer.join();
+        CompletableFuture<Integer> count = new CompletableFuture<>();
+        process.loop().execute(() -> count.complete(batch.itemsInProgress()));
+        return count.join();
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/store/SegmentClient.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentClient.java
@@ -41,10 +41,12 @@
     /** Stores a segment durably; fails with {@link PeerException} if too few stores accepted it. */
     public CompletableFuture<Void> put(String name, byte[] content) {
         List<Host> all = stores.get();
-        List<Host> order = new ArrayList<>(SegmentNames.placement(name, all));
-        Ownership.rank(name, all).stream().filter(host -> !order.contains(host)).forEach(order::add);
+        List<Host> candidates = new ArrayList<>(SegmentNames.placement(name, all));
+        Ownership.rank(name, all).stream()
+                .filter(host -> !candidates.contains(host))
+                .forEach(candidates::add);
         long zones = all.stream().map(Host::zone).distinct().count();
-        return putToNextStore(new PutRequest(name, content, order, zones), new ArrayList<>(), 0);
+        return putToNextStore(new PutRequest(name, content, candidates, zones), new ArrayList<>(), 0);
     }
 
     /** Fetches a segment from the first store that returns it; empty if no store that answers has it. */
@@ -77,19 +79,19 @@
                 .thenCompose(result -> result);
     }
 
-    private CompletableFuture<Optional<byte[]>> getFromNextStore(String name, List<Host> order, int next) {
-        if (next >= order.size()) {
+    private CompletableFuture<Optional<byte[]>> getFromNextStore(String name, List<Host> candidates, int next) {
+        if (next >= candidates.size()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
         return peers.ask(
-                        order.get(next).address(),
+                        candidates.get(next).address(),
                         PeerLane.BULK,
                         new PeerMessage.SegmentRequest(name),
                         GET_TIMEOUT_MILLIS)
                 .handle((reply, failure) -> verifiedContent(name, reply))
                 .thenCompose(found -> found.isPresent()
                         ? CompletableFuture.completedFuture(found)
-                        : getFromNextStore(name, order, next + 1));
+                        : getFromNextStore(name, candidates, next + 1));
     }
 
     private static Optional<byte[]> verifiedContent(String name, PeerMessage reply) {
--- a/src/main/java/org/gooseberryhill/store/SegmentRepair.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentRepair.java
@@ -33,16 +33,16 @@
 
     private final HostProcess process;
     private final SegmentFolder folder;
-    private final Executor disk;
+    private final Executor diskExecutor;
     private final long periodMillis;
     private final AtomicInteger missingCopies = new AtomicInteger();
     private boolean roundInProgress;
     private boolean handOverComplete;
 
-    SegmentRepair(HostProcess process, SegmentFolder folder, Executor disk, long periodMillis) {
+    SegmentRepair(HostProcess process, SegmentFolder folder, Executor diskExecutor, long periodMillis) {
         this.process = process;
         this.folder = folder;
-        this.disk = disk;
+        this.diskExecutor = diskExecutor;
         this.periodMillis = periodMillis;
     }
 
@@ -59,7 +59,7 @@
         boolean leaving = process.plannedStop().phase() != PlannedStop.Phase.SERVING;
         List<Host> stores = process.presentHosts(Role.STORE);
         missingCopies.set(0);
-        CompletableFuture.supplyAsync(() -> expectedNames(stores), disk)
+        CompletableFuture.supplyAsync(() -> expectedNames(stores), diskExecutor)
                 .thenCompose(this::repairAll)
                 .whenComplete((done, failure) -> process.loop().execute(() -> {
                     roundInProgress = false;
@@ -107,11 +107,12 @@
                 .ask(store.address(), PeerLane.BULK, new PeerMessage.MissingSegments(names), REQUEST_TIMEOUT_MILLIS)
                 .handle((reply, failure) -> {
                     boolean answered = reply instanceof PeerMessage.MissingSegments;
-                    List<String> lacking = answered ? ((PeerMessage.MissingSegments) reply).names() : List.<String>of();
-                    missingCopies.addAndGet(answered ? lacking.size() : names.size());
-                    return lacking;
+                    List<String> missingNames =
+                            answered ? ((PeerMessage.MissingSegments) reply).names() : List.<String>of();
+                    missingCopies.addAndGet(answered ? missingNames.size() : names.size());
+                    return missingNames;
                 })
-                .thenCompose(lacking -> sendCopies(store, lacking));
+                .thenCompose(missingNames -> sendCopies(store, missingNames));
     }
 
     private CompletableFuture<Void> sendCopies(Host store, List<String> names) {
@@ -123,24 +124,25 @@
     }
 
     private CompletableFuture<Void> sendCopy(Host store, String name) {
-        return CompletableFuture.supplyAsync(() -> readSegment(name), disk).thenCompose(content -> {
-            if (content.isEmpty()) {
-                return CompletableFuture.completedFuture(null);
-            }
-            PeerMessage put = new PeerMessage.SegmentPut(name, content.get());
-            return process.peerClient()
-                    .ask(store.address(), PeerLane.BULK, put, REQUEST_TIMEOUT_MILLIS)
-                    .handle((reply, failure) -> {
-                        if (failure == null) {
-                            process.timeline()
-                                    .event(EventKind.SEGMENT_COPIED)
-                                    .with("segment", name)
-                                    .with("to", store.id())
-                                    .write();
-                        }
-                        return null;
-                    });
-        });
+        return CompletableFuture.supplyAsync(() -> readSegment(name), diskExecutor)
+                .thenCompose(content -> {
+                    if (content.isEmpty()) {
+                        return CompletableFuture.completedFuture(null);
+                    }
+                    PeerMessage put = new PeerMessage.SegmentPut(name, content.get());
+                    return process.peerClient()
+                            .ask(store.address(), PeerLane.BULK, put, REQUEST_TIMEOUT_MILLIS)
+                            .handle((reply, failure) -> {
+                                if (failure == null) {
+                                    process.timeline()
+                                            .event(EventKind.SEGMENT_COPIED)
+                                            .with("segment", name)
+                                            .with("to", store.id())
+                                            .write();
+                                }
+                                return null;
+                            });
+                });
     }
 
     private Optional<byte[]> readSegment(String name) {
--- a/src/main/java/org/gooseberryhill/store/StoreProcess.java
+++ b/src/main/java/org/gooseberryhill/store/StoreProcess.java
@@ -22,12 +22,12 @@
 public final class StoreProcess implements Closeable {
     private static final Logger LOG = LogManager.getLogger(StoreProcess.class);
     private static final int DISK_THREADS = 4;
-    private static final long STOP_CHECK_MILLIS = 200;
+    private static final long STOP_CHECK_PERIOD_MILLIS = 200;
 
     private final HostProcess process;
     private final SegmentFolder folder;
     private final SegmentRepair repair;
-    private final ExecutorService disk = Executors.newFixedThreadPool(DISK_THREADS, task -> {
+    private final ExecutorService diskExecutor = Executors.newFixedThreadPool(DISK_THREADS, task -> {
         Thread thread = new Thread(task, "disk");
         thread.setDaemon(true);
         return thread;
@@ -38,7 +38,7 @@
     public StoreProcess(HostSettings settings, Path dataFolder, long repairPeriodMillis, long seed) {
         process = new HostProcess(settings, seed);
         folder = new SegmentFolder(dataFolder);
-        repair = new SegmentRepair(process, folder, disk, repairPeriodMillis);
+        repair = new SegmentRepair(process, folder, diskExecutor, repairPeriodMillis);
         process.setRoleHandler(this::handle);
     }
 
@@ -46,7 +46,7 @@
     public void start() {
         process.start();
         repair.start();
-        process.loop().every(STOP_CHECK_MILLIS, this::advanceStop);
+        process.loop().every(STOP_CHECK_PERIOD_MILLIS, this::advanceStop);
     }
 
     /** Returns the part of the process that all roles have in common. */
@@ -57,7 +57,7 @@
     @Override
     public void close() {
         process.close();
-        disk.shutdownNow();
+        diskExecutor.shutdownNow();
     }
 
     /**
@@ -73,7 +73,7 @@
 
     private CompletableFuture<PeerMessage> handle(HostId from, PeerMessage message) {
         requestsInProgress++;
-        CompletableFuture<PeerMessage> reply = CompletableFuture.supplyAsync(() -> serve(message), disk);
+        CompletableFuture<PeerMessage> reply = CompletableFuture.supplyAsync(() -> serve(message), diskExecutor);
         reply.whenComplete((done, failure) -> process.loop().execute(() -> requestsInProgress--));
         return reply;
     }
@@ -91,10 +91,10 @@
                 return new PeerMessage.Segment(folder.get(request.name()));
             }
             if (message instanceof PeerMessage.MissingSegments request) {
-                List<String> lacking = request.names().stream()
+                List<String> missingNames = request.names().stream()
                         .filter(name -> !folder.has(name))
                         .toList();
-                return new PeerMessage.MissingSegments(lacking);
+                return new PeerMessage.MissingSegments(missingNames);
             }
             return new PeerMessage.Ack();
         } catch (IOException | IllegalArgumentException e) {
