--- a/src/main/java/org/gooseberryhill/program/ConfigCommand.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigCommand.java
@@ -110,10 +110,10 @@
     @Command(mixinStandardHelpOptions = true, description = "Lists the latest edits")
     int history(@Mixin PlatformOptions platform) {
         try (PlatformOptions.Connection connection = platform.connect()) {
-            String before = "";
+            String previousText = "";
             for (StoredRecord stored : new ConfigurationEditor(connection.keyValue()).history()) {
                 String text = stored.record().text();
-                long changed = TextDiff.unified("a", before, "b", text)
+                long changedLines = TextDiff.unified("a", previousText, "b", text)
                         .lines()
                         .filter(line -> line.matches("[+-][^+-].*"))
                         .count();
@@ -122,8 +122,8 @@
                                 stored.revision(),
                                 Instant.ofEpochMilli(stored.record().appliedMillis()),
                                 stored.record().author(),
-                                changed);
-                before = text;
+                                changedLines);
+                previousText = text;
             }
             return Commands.OK;
         }
--- a/src/main/java/org/gooseberryhill/program/DemoCommand.java
+++ b/src/main/java/org/gooseberryhill/program/DemoCommand.java
@@ -77,24 +77,24 @@
         HttpResult submitted = coordinator.call("PUT", "/v1/jobs/" + JOB_ID + "?model=tutor-7b", jobBody(JOB_ID));
         check(submitted.status() == 201, "the job was not accepted: " + submitted.status());
         List<CompletableFuture<StreamedAnswerChecker.Result>> answers = sendOnlineRequests(system);
-        Histogram firstToken = new Histogram(3);
-        int whole = 0;
+        Histogram firstTokenMicros = new Histogram(3);
+        int completeAnswers = 0;
         for (CompletableFuture<StreamedAnswerChecker.Result> answer : answers) {
             StreamedAnswerChecker.Result result = answer.join();
             if (result.end() == StreamedAnswerChecker.End.WHOLE) {
-                whole++;
-                firstToken.recordValue(TimeUnit.NANOSECONDS.toMicros(result.firstTokenNanos()));
+                completeAnswers++;
+                firstTokenMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(result.firstTokenNanos()));
             }
         }
-        check(whole == REQUESTS, (REQUESTS - whole) + " online answers were not whole");
+        check(completeAnswers == REQUESTS, (REQUESTS - completeAnswers) + " online answers were not whole");
         awaitDone(coordinator);
         int correct = countCorrectResults(coordinator);
         check(correct == ITEMS, correct + " of " + ITEMS + " items have their right result once");
         coordinator.close();
-        out.printf("online: %d of %d answers whole and right%n", whole, REQUESTS);
+        out.printf("online: %d of %d answers whole and right%n", completeAnswers, REQUESTS);
         out.printf(
                 "online first token: p50 %.1f ms, p99 %.1f ms%n",
-                firstToken.getValueAtPercentile(50) / 1000.0, firstToken.getValueAtPercentile(99) / 1000.0);
+                firstTokenMicros.getValueAtPercentile(50) / 1000.0, firstTokenMicros.getValueAtPercentile(99) / 1000.0);
         out.printf("job: %d of %d items done once, each result right%n", correct, ITEMS);
         out.printf("runner %s killed, runner %s left as planned, nothing cut%n", engineName(1), engineName(2));
         out.printf("key-value service calls: %s%n", system.platform().keyValue().callCounts());
@@ -161,15 +161,15 @@
 
     private int countCorrectResults(EntryClient client) {
         HttpResult results = client.call("GET", "/v1/jobs/" + JOB_ID + "/results", new byte[0]);
-        BitSet seen = new BitSet();
+        BitSet seenIndexes = new BitSet();
         int correct = 0;
         for (String line : new String(results.body(), StandardCharsets.UTF_8).split("\n")) {
             JsonNode json = Json.tree(line.getBytes(StandardCharsets.UTF_8)).getOrElse(Json.object());
             int index = json.path("index").asInt(-1);
             String expected = SampleAnswers.promptAnswer(itemPrompt(JOB_ID, index), ITEM_TOKENS);
-            boolean right = json.path("text").asText().equals(expected);
-            if (index >= 0 && right && !seen.get(index)) {
-                seen.set(index);
+            boolean textMatches = json.path("text").asText().equals(expected);
+            if (index >= 0 && textMatches && !seenIndexes.get(index)) {
+                seenIndexes.set(index);
                 correct++;
             } else {
                 check(false, "a result is wrong or stands twice: " + line);
@@ -178,23 +178,23 @@
         return correct;
     }
 
-    private void check(boolean holds, String failure) {
-        if (!holds) {
+    private void check(boolean condition, String failure) {
+        if (!condition) {
             failures.add(failure);
         }
     }
 
-    private static byte[] jobBody(String name) {
+    private static byte[] jobBody(String jobId) {
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < ITEMS; i++) {
-            lines.append(Json.text(Map.of("prompt", itemPrompt(name, i), "max_tokens", ITEM_TOKENS)))
+            lines.append(Json.text(Map.of("prompt", itemPrompt(jobId, i), "max_tokens", ITEM_TOKENS)))
                     .append('\n');
         }
         return lines.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String itemPrompt(String name, int index) {
-        return "portfolio " + name + " " + index;
+    private static String itemPrompt(String jobId, int index) {
+        return "portfolio " + jobId + " " + index;
     }
 
     private static String engineName(int number) {
--- a/src/main/java/org/gooseberryhill/program/StreamedAnswerChecker.java
+++ b/src/main/java/org/gooseberryhill/program/StreamedAnswerChecker.java
@@ -26,7 +26,7 @@
     }
 
     private final String expected;
-    private final long intendedNanos;
+    private final long intendedSendNanos;
     private final CompletableFuture<Result> result = new CompletableFuture<>();
     private final EventStreamReader events = new EventStreamReader();
     private final StringBuilder text = new StringBuilder();
@@ -46,11 +46,11 @@
      * Creates a listener for one answer.
      *
      * @param expected the expected text
-     * @param intendedNanos the intended time of sending, as of {@link System#nanoTime()}
+     * @param intendedSendNanos the intended time of sending, as of {@link System#nanoTime()}
      */
-    public StreamedAnswerChecker(String expected, long intendedNanos) {
+    public StreamedAnswerChecker(String expected, long intendedSendNanos) {
         this.expected = expected;
-        this.intendedNanos = intendedNanos;
+        this.intendedSendNanos = intendedSendNanos;
     }
 
     /** Returns a future that completes when the answer has ended, whatever its outcome. */
@@ -91,7 +91,7 @@
         }
         long now = System.nanoTime();
         if (tokens == 0) {
-            firstTokenNanos = now - intendedNanos;
+            firstTokenNanos = now - intendedSendNanos;
         } else {
             longestGapNanos = Math.max(longestGapNanos, now - lastTokenNanos);
         }
@@ -101,8 +101,8 @@
     }
 
     private void complete(End end) {
-        long totalNanos = System.nanoTime() - intendedNanos;
-        long meanGapNanos = tokens > 1 ? (lastTokenNanos - intendedNanos - firstTokenNanos) / (tokens - 1) : 0;
+        long totalNanos = System.nanoTime() - intendedSendNanos;
+        long meanGapNanos = tokens > 1 ? (lastTokenNanos - intendedSendNanos - firstTokenNanos) / (tokens - 1) : 0;
         result.complete(new Result(end, status, firstTokenNanos, meanGapNanos, longestGapNanos, totalNanos, tokens));
     }
 
--- a/src/test/java/org/gooseberryhill/entry/JobLineSplitterTest.java
+++ b/src/test/java/org/gooseberryhill/entry/JobLineSplitterTest.java
@@ -15,12 +15,12 @@
     void itemsAreTheSameForAnyPieceSizeOfTheBody() {
         byte[] body = bytes("{\"prompt\":\"é\"}\n\n  {\"prompt\":\"b\"}\r\n{\"messages\":[]}");
         for (int size = 1; size < body.length; size++) {
-            JobLineSplitter any = new JobLineSplitter(10, 100);
+            JobLineSplitter pieceSplitter = new JobLineSplitter(10, 100);
             List<String> items = new ArrayList<>();
             for (int from = 0; from < body.length; from += size) {
-                items.addAll(any.read(Arrays.copyOfRange(body, from, Math.min(body.length, from + size))));
+                items.addAll(pieceSplitter.read(Arrays.copyOfRange(body, from, Math.min(body.length, from + size))));
             }
-            items.addAll(any.end());
+            items.addAll(pieceSplitter.end());
             assertThat(items).containsExactly("{\"prompt\":\"é\"}", "{\"prompt\":\"b\"}", "{\"messages\":[]}");
         }
     }
@@ -46,10 +46,10 @@
 
     @Test
     void moreItemsThanAllowedAreReportedAsAnError() {
-        JobLineSplitter small = new JobLineSplitter(2, 100);
-        small.read(bytes("{\"prompt\":\"a\"}\n".repeat(3)));
+        JobLineSplitter limitedSplitter = new JobLineSplitter(2, 100);
+        limitedSplitter.read(bytes("{\"prompt\":\"a\"}\n".repeat(3)));
 
-        assertThat(small.findings()).containsExactly("line 3: more than 2 items");
+        assertThat(limitedSplitter.findings()).containsExactly("line 3: more than 2 items");
     }
 
     private static byte[] bytes(String text) {
--- a/src/test/java/org/gooseberryhill/program/ConfigurationEverywhereTest.java
+++ b/src/test/java/org/gooseberryhill/program/ConfigurationPropagationTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests that edits of the configuration reach all hosts of a small system while parts of it fail. */
-class ConfigurationEverywhereTest {
+class ConfigurationPropagationTest {
     @TempDir
     private Path folder;
 
@@ -63,7 +63,7 @@
 
     /** The edit takes effect but its answer is lost: its author is told that it was accepted, not that it failed. */
     @Test
-    void anEditWhoseAnswerIsLostIsKnownToBeAccepted() {
+    void anEditWhoseAnswerIsLostIsReportedAsAccepted() {
         fixture.system.platform().keyValue().setFaults(new KeyValueFaults(false, 0, 1, 0, false));
         fixture.system.applyConfiguration(configurationWithVersion("7"));
 
@@ -72,7 +72,7 @@
 
     /** A host starts during an outage of the key-value service: it gets the configuration in force from its peers. */
     @Test
-    void aHostThatStartsDuringAnOutageGetsTheTextFromItsPeers() {
+    void aHostThatStartsDuringAnOutageGetsTheConfigurationFromItsPeers() {
         fixture.system.applyConfiguration(configurationWithVersion("8"));
         awaitVersion("8", fixture.processes());
         fixture.system.entries().get(1).close();
@@ -88,7 +88,7 @@
      * configuration.
      */
     @Test
-    void staleReadingsDoNotBringAnOlderTextBack() {
+    void staleReadsDoNotBringAnOlderConfigurationBack() {
         fixture.system.applyConfiguration(configurationWithVersion("9"));
         awaitVersion("9", fixture.processes());
         fixture.system.platform().keyValue().setFaults(new KeyValueFaults(false, 0, 0, 0, true));
@@ -102,14 +102,14 @@
 
     /** A new version of the model: every engine gets orders with increasing fencing tokens and loads the version. */
     @Test
-    void enginesGetTheOrdersThatBringThemToTheConfiguration() {
+    void enginesAreOrderedToLoadTheConfiguredVersion() {
         fixture.system.applyConfiguration(configurationWithVersion("10"));
 
         List<EngineStandin> engines = fixture.system.platform().engines();
-        ModelHolding wanted = new ModelHolding("tutor-7b", "10", List.of("critique"));
+        ModelHolding expected = new ModelHolding("tutor-7b", "10", List.of("critique"));
         Loopback.await(
                 "the new version",
-                () -> engines.stream().allMatch(engine -> engine.heldModel().equals(wanted)));
+                () -> engines.stream().allMatch(engine -> engine.heldModel().equals(expected)));
         for (EngineStandin engine : engines) {
             assertThat(engine.orderFences()).isSorted().isNotEmpty();
         }
--- a/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
+++ b/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
@@ -27,7 +27,7 @@
 /** Runs the fleet as separate processes, as an operator does, and kills one and suspends another by signals. */
 class FleetProcessesTest {
     private static final int ITEMS = 1500;
-    private static final int HOSTS = 3;
+    private static final int HOSTS_PER_ROLE = 3;
 
     private final SampleFleet fleet = new SampleFleet(Loopback.freeBasePort(), 12);
     private final Map<String, Process> processes = new LinkedHashMap<>();
@@ -94,7 +94,7 @@
         try (PlatformOptions.Connection connection = new PlatformOptions.Connection(fleet.keyValue())) {
             new ConfigurationEditor(connection.keyValue()).apply(fleet.configuration(), "test", 0);
         }
-        for (int i = 0; i < HOSTS; i++) {
+        for (int i = 0; i < HOSTS_PER_ROLE; i++) {
             startHost(
                     fleet.store(i).id().value(),
                     StoreMain.class,
@@ -111,7 +111,7 @@
                     "--http-address",
                     fleet.entryHttp(i).toString());
         }
-        for (int i = 0; i < HOSTS; i++) {
+        for (int i = 0; i < HOSTS_PER_ROLE; i++) {
             try (EntryClient client = client(i, SampleFleet.TUTORS_KEY)) {
                 Loopback.await("entry " + i, () -> isReady(client));
             }
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -88,7 +88,7 @@
      * result appears twice.
      */
     @Test
-    void aJobGoesOnWhenAllLeasesLapse() {
+    void aJobGoesOnWhenAllLeasesExpire() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
         Loopback.await("work", () -> totalServed() > 0);
         fixture.system.platform().keyValue().expireAllLeases();
@@ -103,8 +103,8 @@
         fixture.submit(fixture.coordinator, "lot", ITEMS);
         Loopback.await("work", () -> totalServed() > 0);
         fixture.system.platform().keyValue().setFaults(new KeyValueFaults(true, 0, 0, 0, false));
-        int before = totalServed();
-        Loopback.await("work during the outage", () -> totalServed() > before + ITEMS / 4);
+        int servedAtOutageStart = totalServed();
+        Loopback.await("work during the outage", () -> totalServed() > servedAtOutageStart + ITEMS / 4);
         fixture.system.platform().keyValue().setFaults(KeyValueFaults.NONE);
 
         fixture.awaitJob("lot", "done");
@@ -141,10 +141,10 @@
      * through another entry, where it is accepted.
      */
     @Test
-    void aSubmissionThroughALostEntryIsSentAgainAndIsOneJob() throws IOException {
+    void aSubmissionResentAfterTheLossOfItsEntryIsOneJob() throws IOException {
         byte[] body = SystemFixture.jobBody("lot", ITEMS, "portfolio");
-        Address first = fixture.system.fleet().entryHttp(0);
-        try (Socket socket = new Socket(first.ip(), first.port())) {
+        Address lostEntry = fixture.system.fleet().entryHttp(0);
+        try (Socket socket = new Socket(lostEntry.ip(), lostEntry.port())) {
             String head = "PUT /v1/jobs/lot?model=tutor-7b HTTP/1.1\r\nhost: x\r\nauthorization: Bearer "
                     + SampleFleet.COORDINATORS_KEY + "\r\ncontent-length: " + body.length + "\r\n\r\n";
             socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
@@ -177,11 +177,11 @@
                     CompletableFuture.supplyAsync(() -> fixture.submit(fixture.coordinator, "lot", ITEMS));
             CompletableFuture<HttpResult> two =
                     CompletableFuture.supplyAsync(() -> fixture.submit(other, "lot", ITEMS));
-            HttpResult different = fixture.coordinator.call(
+            HttpResult otherJob = fixture.coordinator.call(
                     "PUT", "/v1/jobs/other?model=tutor-7b", SystemFixture.jobBody("other", 3, "portfolio"));
 
             assertThat(List.of(one.join().status(), two.join().status())).containsExactlyInAnyOrder(201, 200);
-            assertThat(different.status()).isEqualTo(201);
+            assertThat(otherJob.status()).isEqualTo(201);
             HttpResult conflict =
                     other.call("PUT", "/v1/jobs/lot?model=tutor-7b", SystemFixture.jobBody("lot", ITEMS, "another"));
             assertThat(conflict.status()).isEqualTo(409);
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -55,13 +55,13 @@
      * Engines are killed one after the other while they stream: each stream continues on another engine and completes.
      */
     @Test
-    void streamsCompleteAlthoughRunnersAreKilled() {
+    void streamsCompleteAlthoughEnginesAreKilled() {
         Set<EngineStandin> killed = new HashSet<>();
         while (killed.size() < 2) {
             List<CompletableFuture<StreamedAnswerChecker.Result>> answers = new ArrayList<>();
-            EngineStandin busy = awaitBusyRunner(killed, answers);
-            busy.crash();
-            killed.add(busy);
+            EngineStandin busyEngine = awaitBusyEngine(killed, answers);
+            busyEngine.crash();
+            killed.add(busyEngine);
 
             // The streams end before the next engine is killed, since a request that is in flight at two crashes counts
             // as their cause.
@@ -210,14 +210,14 @@
      * host refuses it immediately; requests that ran at the same time still get their answers.
      */
     @Test
-    void aRequestThatCrashesRunnersTakesDownTwoAndIsRefusedEverywhere() {
+    void aRequestThatCrashesEnginesIsRefusedByAllHostsAfterTwoCrashes() {
         fixture.system
                 .platform()
                 .engines()
                 .forEach(engine -> engine.setFaults(new EngineFaults(Optional.of("poison"), 200, true, false, false)));
-        List<CompletableFuture<StreamedAnswerChecker.Result>> others = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> concurrentStreams = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            others.add(fixture.startStream(fixture.tutor, "sketch " + i, 60));
+            concurrentStreams.add(fixture.startStream(fixture.tutor, "sketch " + i, 60));
         }
         List<Integer> statuses = new ArrayList<>();
         for (int attempt = 0; attempt < 9; attempt++) {
@@ -229,7 +229,7 @@
 
         assertThat(totalCrashes()).isEqualTo(2);
         assertThat(statuses).containsOnly(422);
-        assertThat(others).allMatch(answer -> answer.join().end() == End.WHOLE);
+        assertThat(concurrentStreams).allMatch(answer -> answer.join().end() == End.WHOLE);
     }
 
     /**
@@ -261,9 +261,9 @@
      */
     @Test
     void aLeavingEngineCompletesItsRequestsAndGetsNoNewOnes() {
-        List<CompletableFuture<StreamedAnswerChecker.Result>> before = new ArrayList<>();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> streamsBefore = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            before.add(fixture.startStream(fixture.tutor, "before " + i, 100));
+            streamsBefore.add(fixture.startStream(fixture.tutor, "before " + i, 100));
         }
         fixture.submit(fixture.coordinator, "lot", 600);
         engine(0).setFaults(new EngineFaults(Optional.empty(), 0, true, true, false));
@@ -273,16 +273,16 @@
                                 .allMatch(entry -> SystemFixture.callOnLoop(
                                         entry.process(), () -> entry.isEndpointLeaving("tutor-00")))
                         && engine(0).isIdle());
-        int served = engine(0).servedCount();
-        List<CompletableFuture<StreamedAnswerChecker.Result>> after = new ArrayList<>();
+        int servedBefore = engine(0).servedCount();
+        List<CompletableFuture<StreamedAnswerChecker.Result>> streamsAfter = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            after.add(fixture.startStream(fixture.tutor, "after " + i, 10));
+            streamsAfter.add(fixture.startStream(fixture.tutor, "after " + i, 10));
         }
 
-        assertThat(after).allMatch(answer -> answer.join().end() == End.WHOLE);
-        assertThat(before).allMatch(answer -> answer.join().end() == End.WHOLE);
+        assertThat(streamsAfter).allMatch(answer -> answer.join().end() == End.WHOLE);
+        assertThat(streamsBefore).allMatch(answer -> answer.join().end() == End.WHOLE);
         fixture.awaitJob("lot", "done");
-        assertThat(engine(0).servedCount()).isEqualTo(served);
+        assertThat(engine(0).servedCount()).isEqualTo(servedBefore);
     }
 
     /**
@@ -290,12 +290,12 @@
      * streams complete, and new requests are refused.
      */
     @Test
-    void aPlannedStopOfAnEntryCutsNothingAlsoWhenARunnerIsLost() {
+    void aPlannedStopOfAnEntryCutsNoStreamAlsoWhenAnEngineIsLost() {
         List<CompletableFuture<StreamedAnswerChecker.Result>> answers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             answers.add(fixture.startStream(fixture.tutor, "sketch " + i, 100));
         }
-        Loopback.await("streams in progress", () -> busyRunners() > 0);
+        Loopback.await("streams in progress", () -> countBusyEngines() > 0);
         EntryClient late = fixture.system.client(0, SampleFleet.TUTORS_KEY);
         fixture.system.entries().get(0).process().requestStop();
         engine(2).crash();
@@ -314,7 +314,7 @@
     void aPlannedStopOfAStewardLosesNoItem() {
         fixture.submit(fixture.coordinator, "lot", 600);
         int owner = fixture.awaitOwner("lot");
-        Loopback.await("items in progress", () -> busyRunners() > 0);
+        Loopback.await("items in progress", () -> countBusyEngines() > 0);
         fixture.system.stewards().get(owner).process().requestStop();
         fixture.system.stewards().get(owner).process().ended().join();
         fixture.system.stewards().get(owner).close();
@@ -353,9 +353,9 @@
     }
 
     /** Returns an engine that has streams in progress; starts new streams whenever all have ended. */
-    private EngineStandin awaitBusyRunner(
+    private EngineStandin awaitBusyEngine(
             Set<EngineStandin> excluded, List<CompletableFuture<StreamedAnswerChecker.Result>> answers) {
-        List<EngineStandin> busy = new ArrayList<>();
+        List<EngineStandin> busyEngines = new ArrayList<>();
         Loopback.await("a runner with streams", () -> {
             boolean allEnded = answers.stream().allMatch(CompletableFuture::isDone);
             for (int i = 0; allEnded && i < CONCURRENT_STREAMS; i++) {
@@ -363,13 +363,13 @@
             }
             fixture.system.platform().engines().stream()
                     .filter(engine -> !engine.isIdle() && !excluded.contains(engine))
-                    .forEach(busy::add);
-            return !busy.isEmpty();
+                    .forEach(busyEngines::add);
+            return !busyEngines.isEmpty();
         });
-        return busy.get(0);
+        return busyEngines.get(0);
     }
 
-    private long busyRunners() {
+    private long countBusyEngines() {
         return fixture.system.platform().engines().stream()
                 .filter(engine -> !engine.isIdle())
                 .count();
--- a/src/test/java/org/gooseberryhill/program/SystemFixture.java
+++ b/src/test/java/org/gooseberryhill/program/SystemFixture.java
@@ -66,9 +66,9 @@
     }
 
     static <T> T callOnLoop(HostProcess process, Supplier<T> query) {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        process.loop().execute(() -> answer.complete(query.get()));
-        return answer.join();
+        CompletableFuture<T> result = new CompletableFuture<>();
+        process.loop().execute(() -> result.complete(query.get()));
+        return result.join();
     }
 
     /** Submits a job and asserts that it is accepted. */
--- a/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
+++ b/src/test/java/org/gooseberryhill/store/SegmentFolderTest.java
@@ -38,9 +38,9 @@
     void aTruncatedSegmentCountsAsMissing() throws IOException {
         segments.put("s", CONTENT);
         Path file = folder.resolve("s.segment");
-        byte[] whole = Files.readAllBytes(file);
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(file, Arrays.copyOf(whole, length));
+        byte[] intactFile = Files.readAllBytes(file);
+        for (int length = 0; length < intactFile.length; length++) {
+            Files.write(file, Arrays.copyOf(intactFile, length));
             assertThat(segments.get("s")).as("%d bytes left", length).isEmpty();
         }
     }
@@ -71,12 +71,12 @@
 
     /** A single byte is corrupted on the disk, at each position in turn; such a segment must never be returned. */
     @Test
-    void aDamagedSegmentCountsAsMissingAndIsSetAside() throws IOException {
+    void aDamagedSegmentCountsAsMissingAndIsRenamed() throws IOException {
         segments.put("s", CONTENT);
         Path file = folder.resolve("s.segment");
-        byte[] whole = Files.readAllBytes(file);
-        for (int position = 0; position < whole.length; position++) {
-            byte[] damaged = whole.clone();
+        byte[] intactFile = Files.readAllBytes(file);
+        for (int position = 0; position < intactFile.length; position++) {
+            byte[] damaged = intactFile.clone();
             damaged[position] ^= 0x20;
             Files.write(file, damaged);
             assertThat(segments.get("s")).as("byte %d changed", position).isEmpty();
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aNameThatLeadsOutOfTheFolderIsRefused() {
+    void aNameWithAPathOutsideTheFolderIsRefused() {
         assertThatThrownBy(() -> segments.put("../s", CONTENT)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> segments.get("/etc/passwd")).isInstanceOf(IllegalArgumentException.class);
     }
