--- a/src/main/java/org/gooseberryhill/entry/EntryProcess.java
+++ b/src/main/java/org/gooseberryhill/entry/EntryProcess.java
@@ -50,7 +50,8 @@
     }
 
     /**
-     * Returns whether this entry sends no new requests to an endpoint because it is leaving. For the control thread.
+     * Returns whether this entry sends no new requests to an endpoint because the endpoint is leaving. Must be called
+     * on the control thread.
      */
     public boolean isEndpointLeaving(String endpoint) {
         return context.traffic()
--- a/src/main/java/org/gooseberryhill/entry/JobOwnerNotifier.java
+++ b/src/main/java/org/gooseberryhill/entry/JobOwnerNotifier.java
@@ -8,7 +8,10 @@
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.process.HostProcess;
 
-/** Notifies a job's owner of a change at once, which the owner would otherwise detect later. For the control thread. */
+/**
+ * Notifies a job's owner of a change at once, which the owner would otherwise detect later. Stateless; must be called
+ * on the control thread.
+ */
 final class JobOwnerNotifier {
     private JobOwnerNotifier() {}
 
--- a/src/main/java/org/gooseberryhill/entry/LoadReporter.java
+++ b/src/main/java/org/gooseberryhill/entry/LoadReporter.java
@@ -17,7 +17,8 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * Reports to stewards how many online requests this entry has in flight at their endpoints. For the control thread.
+ * Reports to stewards how many online requests this entry has in flight at their endpoints. Confined to the control
+ * thread.
  *
  * <p>Invariant: each change is reported in the next round at the latest, and a report without an answer is sent again.
  * Unchanged counts are repeated only every few seconds: with a hundred requests in flight at as many endpoints,
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -71,7 +71,7 @@
         return context.process();
     }
 
-    /** Requests the next decision and performs it. For the control thread. */
+    /** Requests the next decision and performs it. Must be called on the control thread. */
     final void proceed() {
         if (!finished) {
             perform(context.traffic().core().next(request, nowNanos()));
@@ -91,7 +91,10 @@
         });
     }
 
-    /** Answers the request with the stored answer of an earlier call, without an attempt. For the control thread. */
+    /**
+     * Answers the request with the stored answer of an earlier call, without an attempt. Must be called on the control
+     * thread.
+     */
     final void replayAnswer(Runnable sendAnswer) {
         if (!finished) {
             sendAnswer.run();
@@ -138,7 +141,7 @@
         process().loop().execute(() -> request.markAnswerStarted());
     }
 
-    /** Ends the request with a refusal. For the control thread. */
+    /** Ends the request with a refusal. Must be called on the control thread. */
     final void endWithRefusal(Refusal refusal) {
         if (finished) {
             return;
--- a/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
@@ -18,8 +18,8 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Exchanges the state of online requests with other hosts: loads, crashes and leaving endpoints. For the control
- * thread.
+ * Exchanges the state of online requests with other hosts: loads, crashes and leaving endpoints. Confined to the
+ * control thread.
  *
  * <p>The start of a request is reported to the endpoint's steward at once, since batch items have to yield to it; its
  * end may wait for the next reporting round.
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -29,7 +29,7 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * Runs batch items at the endpoints assigned to this host. For the control thread.
+ * Runs batch items at the endpoints assigned to this host. Confined to the control thread.
  *
  * <p>Invariant: this host starts items only at endpoints that its view of the membership assigns to it. If an endpoint
  * temporarily has two stewards, this costs throughput but not correctness: an item's owner decides on its completion.
@@ -81,7 +81,10 @@
         unsettledRuns.remove(run);
     }
 
-    /** Returns the numbers of the unsettled hand-outs of a job's items that were made under the claim with this fence. */
+    /**
+     * Returns the numbers of the hand-outs of a job's items, made under the claim with the given fencing token, that
+     * are not settled on this host.
+     */
     List<Long> heldHandouts(String job, long fence) {
         return unsettledRuns.stream()
                 .map(ItemRun::item)
--- a/src/main/java/org/gooseberryhill/steward/EndpointStatusReader.java
+++ b/src/main/java/org/gooseberryhill/steward/EndpointStatusReader.java
@@ -11,7 +11,7 @@
 import org.gooseberryhill.link.Json;
 import org.gooseberryhill.process.HostProcess;
 
-/** Reads the statuses of endpoints, with at most one read per endpoint at a time. For the control thread. */
+/** Reads the statuses of endpoints, with at most one read per endpoint at a time. Confined to the control thread. */
 final class EndpointStatusReader {
     private static final int TIMEOUT_MILLIS = 1000;
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
--- a/src/main/java/org/gooseberryhill/steward/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/steward/ItemRun.java
@@ -26,7 +26,8 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * One run of one item at one endpoint. Methods are for the control thread; the answer is received on a traffic thread.
+ * One run of one item at one endpoint. Methods are confined to the control thread; the answer is received on a
+ * traffic thread.
  *
  * <p>Invariant: a run reports its end to the item's owner once, unless it is discarded. If the report is lost, the
  * owner reclaims the item.
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -34,8 +34,8 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Manages the jobs that this host owns: claims them, hands out their items and commits their chunks. For the control
- * thread.
+ * Manages the jobs that this host owns: claims them, hands out their items and commits their chunks. Confined to the
+ * control thread.
  *
  * <p>Invariant: each commit succeeds only if the claim still has the creation revision that serves as this owner's
  * fencing token. When the lease is lost, all jobs are stopped at once, and the next owner continues from the committed
@@ -319,8 +319,8 @@
     }
 
     /**
-     * Queries the stewards for the hand-outs that they hold and reclaims the items of missing ones: items or reports may
-     * be lost in transit.
+     * Queries the stewards for the hand-outs that they hold and reclaims the items of missing ones: items or reports
+     * may be lost in transit.
      */
     private void reclaimMissingItems() {
         for (OwnedJob job : ownedJobs.jobs()) {
--- a/src/main/java/org/gooseberryhill/steward/JobSegments.java
+++ b/src/main/java/org/gooseberryhill/steward/JobSegments.java
@@ -18,7 +18,7 @@
 import org.gooseberryhill.store.SegmentNames;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Loads the items of owned jobs and commits their results, chunk by chunk. For the control thread. */
+/** Loads the items of owned jobs and commits their results, chunk by chunk. Confined to the control thread. */
 final class JobSegments {
     private static final long RETRY_MILLIS = 500;
 
--- a/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
+++ b/src/main/java/org/gooseberryhill/steward/ModelLoadLimiter.java
@@ -8,7 +8,7 @@
 import org.gooseberryhill.process.LeaseManager;
 
 /**
- * Limits how many endpoints load a model at once, across all hosts. For the control thread.
+ * Limits how many endpoints load a model at once, across all hosts. Confined to the control thread.
  *
  * <p>The weight store is rate-limited: if many endpoints loaded at once, most of the loads would fail. A slot is a key
  * under its holder's lease, so a lost holder's slot becomes free. Each host performs one load at a time.
--- a/src/main/java/org/gooseberryhill/steward/OpenJobScanner.java
+++ b/src/main/java/org/gooseberryhill/steward/OpenJobScanner.java
@@ -12,7 +12,7 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * Finds open jobs whose owner was lost or was never notified of them. For the control thread.
+ * Finds open jobs whose owner was lost or was never notified of them. Confined to the control thread.
  *
  * <p>Two stewards of the whole fleet read the index of open jobs and notify the owner of each job, which claims the job
  * unless it already has.
--- a/src/main/java/org/gooseberryhill/steward/OrderDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/OrderDriver.java
@@ -20,7 +20,7 @@
 import org.gooseberryhill.process.LeaseManager;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Orders the endpoints assigned to this host, under claims, to load their models. For the control thread. */
+/** Orders the endpoints assigned to this host, under claims, to load their models. Confined to the control thread. */
 final class OrderDriver {
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
 
--- a/src/main/java/org/gooseberryhill/store/SegmentFolder.java
+++ b/src/main/java/org/gooseberryhill/store/SegmentFolder.java
@@ -39,7 +39,7 @@
     /** The first four bytes of a segment's file: "GBS1" in ASCII. */
     private static final int MAGIC = 0x47425331;
 
-    /** Magic number, length of the content and checksum. */
+    /** Size of the header: magic number, length of the content and checksum. */
     private static final int HEADER_BYTES = 4 + 4 + 8;
 
     private static final String SEGMENT_SUFFIX = ".segment";
--- a/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
+++ b/src/test/java/org/gooseberryhill/program/FleetProcessesTest.java
@@ -45,8 +45,8 @@
 
     /**
      * During a job and online streams, one steward is killed and another is suspended until its lease has expired.
-     * When the suspended one resumes, it acts on claims that it no longer holds. Each item still has its correct result once,
-     * and each stream ends complete.
+     * When the suspended one resumes, it acts on claims that it no longer holds. Each item still has its correct result
+     * once, and each stream ends complete.
      */
     @Test
     void aKilledAndASuspendedStewardHarmNeitherStreamsNorTheJob() throws IOException {
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -124,8 +124,8 @@
 
     /**
      * The claim of the job takes effect but its answer is lost, and the read that would confirm it fails too. The host
-     * holds the claim without knowing it: unless it finds its claim, its live lease keeps all others from claiming the
-     * job.
+     * holds the claim without knowing of it: unless it finds its claim, its live lease keeps all others from claiming
+     * the job.
      */
     @Test
     void aClaimThatItsHolderDoesNotKnowOfIsFound() {
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -130,8 +130,8 @@
     }
 
     /**
-     * The student resends the booking while the first attempt is in progress. The resent one is refused, and the seat is
-     * booked once.
+     * The student resends the booking while the first attempt is in progress. The resent one is refused, and the seat
+     * is booked once.
      */
     @Test
     void aBookingSentTwiceAtOnceRunsOnce() {
@@ -286,8 +286,8 @@
     }
 
     /**
-     * A planned stop of an entry is requested twice while streams are in progress, and an engine is lost in between. All
-     * streams complete, and new requests are refused.
+     * A planned stop of an entry is requested twice while streams are in progress, and an engine is lost in between.
+     * All streams complete, and new requests are refused.
      */
     @Test
     void aPlannedStopOfAnEntryCutsNoStreamAlsoWhenAnEngineIsLost() {
