--- a/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
@@ -47,7 +47,7 @@
     private final Set<HostId> reportedSilent = new HashSet<>();
     private final Map<HostId, ListedHost> lapsedHosts = new HashMap<>();
     private Map<HostId, ListedHost> listedHosts = Map.of();
-    private List<Host> stores = List.of();
+    private List<Host> diskHosts = List.of();
 
     /**
      * Creates a roster without other hosts.
@@ -66,7 +66,7 @@
                 .filter(entry -> entry.host().role() != Role.STORE)
                 .filter(entry -> !entry.host().id().equals(self))
                 .forEach(entry -> others.put(entry.host().id(), entry));
-        stores = live.stream()
+        diskHosts = live.stream()
                 .map(ListedHost::host)
                 .filter(host -> host.role() == Role.STORE)
                 .toList();
@@ -128,8 +128,8 @@
     }
 
     /** Returns the listed store hosts. */
-    public List<Host> stores() {
-        return stores;
+    public List<Host> diskHosts() {
+        return diskHosts;
     }
 
     /** Returns the other gateways that were heard recently and are not stopping. */
@@ -142,7 +142,7 @@
      * known gateways while none has been heard. The fallback serves a host that starts while it cannot reach the
      * key-value store: it is on no list yet and therefore receives no reports.
      */
-    public List<Host> gatewaysReachingStore(long nowNanos) {
+    public List<Host> gatewaysReachingKeyValueStore(long nowNanos) {
         boolean noneIsHeard = heardGateways(report -> true, nowNanos).isEmpty();
         return noneIsHeard ? gateways(nowNanos) : heardGateways(HostReport::storeReached, nowNanos);
     }
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -243,7 +243,7 @@
     }
 
     /** Writes the buffered log lines, within a timeout in milliseconds. */
-    public void finishLog(long timeoutMillis) {
+    public void flushLog(long timeoutMillis) {
         log.flushAndAwait(timeoutMillis);
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
+++ b/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
@@ -63,7 +63,7 @@
 
     /** Returns the hosts with a disk. */
     List<Host> diskHosts() {
-        return roster.stores();
+        return roster.diskHosts();
     }
 
     /** Returns the other gateways that reported recently and are not stopping. */
@@ -72,8 +72,8 @@
     }
 
     /** Returns the other gateways that reach the key-value store. */
-    List<Host> gatewaysReachingStore() {
-        return roster.gatewaysReachingStore(context.nowNanos());
+    List<Host> gatewaysReachingKeyValueStore() {
+        return roster.gatewaysReachingKeyValueStore(context.nowNanos());
     }
 
     Optional<Host> find(HostId id) {
--- a/src/main/java/org/gooseberryhill/gateway/StoreRelayClient.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreRelayClient.java
@@ -25,7 +25,7 @@
     CompletableFuture<PeerMessage> relay(GatewayMessage.StoreCall call, long timeoutMillis) {
         CompletableFuture<PeerMessage> answer = new CompletableFuture<>();
         context.loop().execute(() -> {
-            List<Host> relayHosts = links.gatewaysReachingStore();
+            List<Host> relayHosts = links.gatewaysReachingKeyValueStore();
             if (relayHosts.isEmpty()) {
                 answer.completeExceptionally(
                         new ExternalServiceException(Kind.NOT_DONE, "no other gateway reaches the key-value store"));
--- a/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
+++ b/src/test/java/org/gooseberryhill/decision/membership/HostRosterTest.java
@@ -44,7 +44,7 @@
         recordReport(B, 0);
         recordReport(A, 6000);
 
-        assertThat(roster.stores()).extracting(host -> host.id().value()).containsExactly("x", "y", "z");
+        assertThat(roster.diskHosts()).extracting(host -> host.id().value()).containsExactly("x", "y", "z");
         assertThat(roster.gateways(at(6000))).extracting(Host::id).containsExactly(A, B);
         assertThat(roster.liveProcessStarts(at(6000))).doesNotContainKey("b").containsKey("a");
     }
@@ -137,7 +137,9 @@
         roster.recordReport(B, new HostReport("b1", false, false), at(0));
 
         assertThat(roster.activeGateways(at(1))).extracting(Host::id).containsExactly(B);
-        assertThat(roster.gatewaysReachingStore(at(1))).extracting(Host::id).containsExactly(A);
+        assertThat(roster.gatewaysReachingKeyValueStore(at(1)))
+                .extracting(Host::id)
+                .containsExactly(A);
     }
 
     /**
@@ -147,10 +149,12 @@
     @Test
     void aHostThatNobodyKnowsYetAsksTheListedOnesForHelp() {
         updateListedHosts(0, "self", "a", "b");
-        assertThat(roster.gatewaysReachingStore(at(1))).extracting(Host::id).containsExactly(A, B);
+        assertThat(roster.gatewaysReachingKeyValueStore(at(1)))
+                .extracting(Host::id)
+                .containsExactly(A, B);
 
         roster.recordReport(A, new HostReport("a1", false, false), at(2));
-        assertThat(roster.gatewaysReachingStore(at(3))).isEmpty();
+        assertThat(roster.gatewaysReachingKeyValueStore(at(3))).isEmpty();
     }
 
     @Test
