--- a/src/main/java/org/gooseberryhill/decision/job/JobRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobRecord.java
@@ -26,7 +26,7 @@
         int chunkItems,
         List<String> chunks) {
     /** Returns the record of the same job in another state. */
-    public JobRecord in(JobState newState) {
+    public JobRecord withState(JobState newState) {
         return new JobRecord(newState, bodyHash, service, model, dueMillis, acceptedMillis, items, chunkItems, chunks);
     }
 
--- a/src/main/java/org/gooseberryhill/dialect/TrafficDialect.java
+++ b/src/main/java/org/gooseberryhill/dialect/TrafficDialect.java
@@ -19,7 +19,7 @@
      * Returns whether an endpoint itself produced an answer. This check guards against an endpoint that crashes while
      * it writes the head of its answer: the part that arrived looks like a success without a body.
      */
-    boolean isGenuine(int status, HttpHeaders answer);
+    boolean isFromEndpoint(int status, HttpHeaders answer);
 
     /** Returns the id of the request to which an answer belongs, if the answer states it. */
     Optional<String> requestId(HttpHeaders answer);
--- a/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
+++ b/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
@@ -141,7 +141,7 @@
                     if (isOwn) {
                         writeWithRetries(
                                 Transaction.builder()
-                                        .ifWrittenAt(key, entry.orElseThrow().modRevision())
+                                        .ifRevisionIs(key, entry.orElseThrow().modRevision())
                                         .delete(key)
                                         .build(),
                                 MAX_CLEANUP_TRIES);
--- a/src/main/java/org/gooseberryhill/entry/JobOperations.java
+++ b/src/main/java/org/gooseberryhill/entry/JobOperations.java
@@ -94,13 +94,13 @@
                 return;
             }
             Transaction write = Transaction.builder()
-                    .ifWrittenAt(entry.key(), entry.modRevision())
-                    .put(entry.key(), Json.bytes(record.in(JobState.CANCELLED)))
+                    .ifRevisionIs(entry.key(), entry.modRevision())
+                    .put(entry.key(), Json.bytes(record.withState(JobState.CANCELLED)))
                     .delete(Keys.openJob(key))
                     .build();
             context.process().keyValue().write(write).whenComplete((result, failure) -> {
                 if (failure == null && result.succeeded()) {
-                    replyCancelled(call, key, record.in(JobState.CANCELLED));
+                    replyCancelled(call, key, record.withState(JobState.CANCELLED));
                 } else if (triesLeft > 0) {
                     // The record was changed concurrently or the answer was lost; reading it again shows which.
                     cancel(call, requestId, key, triesLeft - 1);
--- a/src/main/java/org/gooseberryhill/external/Transaction.java
+++ b/src/main/java/org/gooseberryhill/external/Transaction.java
@@ -63,7 +63,7 @@
         }
 
         /** Requires that the key was last written by the revision; 0 if it must not exist. */
-        public Builder ifWrittenAt(String key, long revision) {
+        public Builder ifRevisionIs(String key, long revision) {
             conditions.add(new Condition(key, Target.MOD, revision));
             return this;
         }
--- a/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
+++ b/src/main/java/org/gooseberryhill/gateway/AnswerRelay.java
@@ -69,7 +69,7 @@
         private HttpHeaders headers;
         private boolean streamed;
         private boolean passedThrough;
-        private boolean genuine;
+        private boolean fromEndpoint;
 
         AttemptListener(RoutedCall routedCall, long attemptNumber) {
             this.routedCall = routedCall;
@@ -80,8 +80,8 @@
         public void onHead(int newStatus, HttpHeaders newHeaders) {
             status = newStatus;
             headers = newHeaders;
-            genuine = routedCall.isGenuine(status, headers);
-            streamed = genuine && route.kind() == RouteKind.STREAM && status == OK;
+            fromEndpoint = routedCall.isFromEndpoint(status, headers);
+            streamed = fromEndpoint && route.kind() == RouteKind.STREAM && status == OK;
         }
 
         @Override
@@ -133,7 +133,7 @@
             if (routedCall.isNotRun(status, headers)) {
                 AttemptEnd end = status == MISDIRECTED ? AttemptEnd.OTHER_ENDPOINT : AttemptEnd.BUSY;
                 routedCall.attemptFailed(attemptNumber, end, "status " + status, Optional.empty());
-            } else if (!genuine) {
+            } else if (!fromEndpoint) {
                 routedCall.attemptFailed(
                         attemptNumber, AttemptEnd.MALFORMED, "not signed, status " + status, Optional.empty());
             } else if (started) {
@@ -187,7 +187,7 @@
         }
 
         private boolean isFinal() {
-            return genuine && status < FIRST_SERVER_ERROR && !routedCall.isNotRun(status, headers);
+            return fromEndpoint && status < FIRST_SERVER_ERROR && !routedCall.isNotRun(status, headers);
         }
 
         private AttemptEnd attemptEnd(ExchangeFailure failure) {
--- a/src/main/java/org/gooseberryhill/gateway/ItemRun.java
+++ b/src/main/java/org/gooseberryhill/gateway/ItemRun.java
@@ -48,7 +48,7 @@
     private boolean ended;
     private int status;
     private HttpHeaders headers;
-    private boolean genuine;
+    private boolean fromEndpoint;
 
     ItemRun(GatewayContext context, BatchRunner runner, PlacedItem placed) {
         this.context = context;
@@ -115,12 +115,12 @@
     public void onHead(int newStatus, HttpHeaders newHeaders) {
         status = newStatus;
         headers = newHeaders;
-        genuine = context.dialects().traffic().isGenuine(status, headers);
+        fromEndpoint = context.dialects().traffic().isFromEndpoint(status, headers);
     }
 
     @Override
     public void onBytes(byte[] bytes) {
-        if (genuine && status == OK) {
+        if (fromEndpoint && status == OK) {
             queuedEvents.addAll(eventSplitter.read(bytes));
         }
     }
@@ -134,7 +134,7 @@
                 end(RunEnd.NOT_RUN, AttemptEnd.OTHER_ENDPOINT, "status " + status);
             } else if (notRun) {
                 end(RunEnd.NOT_RUN, AttemptEnd.BUSY, "status " + status);
-            } else if (genuine && status == OK && complete) {
+            } else if (fromEndpoint && status == OK && complete) {
                 end(RunEnd.COMPLETED, AttemptEnd.ANSWERED, "");
             } else if (status == UNPROCESSABLE) {
                 end(RunEnd.REJECTED, AttemptEnd.ANSWERED, "status " + status);
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -88,8 +88,8 @@
     }
 
     /** Returns whether the endpoint itself produced an answer. May be called from any thread. */
-    boolean isGenuine(int status, HttpHeaders headers) {
-        return context.dialects().traffic().isGenuine(status, headers);
+    boolean isFromEndpoint(int status, HttpHeaders headers) {
+        return context.dialects().traffic().isFromEndpoint(status, headers);
     }
 
     private void startOnControlThread() {
--- a/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
@@ -58,7 +58,7 @@
         byte[] value = ConfigurationCodec.encode(record);
         String historyKey = Keys.HISTORY + "%015d-%s".formatted(record.appliedMillis(), record.editId());
         Transaction transaction = Transaction.builder()
-                .ifWrittenAt(Keys.CONFIGURATION, baseRevision)
+                .ifRevisionIs(Keys.CONFIGURATION, baseRevision)
                 .put(Keys.CONFIGURATION, value)
                 .put(historyKey, value)
                 .build();
--- a/src/main/java/org/gooseberryhill/steward/JobSegments.java
+++ b/src/main/java/org/gooseberryhill/steward/JobSegments.java
@@ -60,8 +60,8 @@
     void finish(OwnedJob job) {
         Transaction write = Transaction.builder()
                 .ifCreatedAt(Keys.jobClaim(job.key()), job.fence())
-                .ifWrittenAt(Keys.job(job.key()), job.recordRevision())
-                .put(Keys.job(job.key()), Json.bytes(job.record().in(JobState.DONE)))
+                .ifRevisionIs(Keys.job(job.key()), job.recordRevision())
+                .put(Keys.job(job.key()), Json.bytes(job.record().withState(JobState.DONE)))
                 .delete(Keys.openJob(job.key()))
                 .delete(Keys.jobClaim(job.key()))
                 .build();
@@ -164,7 +164,7 @@
         String key = Keys.chunk(job.key(), commit.chunk);
         return Transaction.builder()
                 .ifCreatedAt(Keys.jobClaim(job.key()), job.fence())
-                .ifWrittenAt(Keys.job(job.key()), job.recordRevision())
+                .ifRevisionIs(Keys.job(job.key()), job.recordRevision())
                 .ifAbsent(key)
                 .put(key, Json.bytes(commit.record))
                 .build();
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -52,7 +52,7 @@
      */
     public CompletableFuture<KeyValueStore.WriteResult> create(String id, BatchRecord record, byte[] body) {
         Transaction.Builder transaction = Transaction.builder()
-                .ifWrittenAt(StoredKeys.batch(id), 0)
+                .ifRevisionIs(StoredKeys.batch(id), 0)
                 .put(StoredKeys.batch(id), StoredValueCodec.write(record));
         for (int part = 0; part < record.bodyParts(); part++) {
             int from = part * MAX_VALUE_BYTES;
@@ -99,7 +99,7 @@
      */
     public CompletableFuture<KeyValueStore.WriteResult> replaceRecord(String id, long revision, BatchRecord record) {
         Transaction.Builder transaction = Transaction.builder()
-                .ifWrittenAt(StoredKeys.batch(id), revision)
+                .ifRevisionIs(StoredKeys.batch(id), revision)
                 .put(StoredKeys.batch(id), StoredValueCodec.write(record));
         if (record.isFinished()) {
             transaction.delete(StoredKeys.checkpoints(id));
@@ -115,7 +115,7 @@
         Transaction.Builder transaction = Transaction.builder();
         for (Commit commit : commits) {
             transaction
-                    .ifWrittenAt(StoredKeys.batch(commit.id), commit.revision)
+                    .ifRevisionIs(StoredKeys.batch(commit.id), commit.revision)
                     .put(StoredKeys.batch(commit.id), StoredValueCodec.write(commit.record))
                     .put(
                             StoredKeys.results(commit.id, commit.firstPosition),
@@ -126,7 +126,7 @@
         }
         for (Checkpoints checkpoints : allCheckpoints) {
             if (commits.stream().noneMatch(commit -> commit.id.equals(checkpoints.id))) {
-                transaction.ifWrittenAt(StoredKeys.batch(checkpoints.id), checkpoints.revision);
+                transaction.ifRevisionIs(StoredKeys.batch(checkpoints.id), checkpoints.revision);
             }
             transaction.put(
                     StoredKeys.checkpoints(checkpoints.id), StoredValueCodec.writeCheckpoints(checkpoints.items));
@@ -155,7 +155,7 @@
         }
         int to = Math.min(keys.size(), from + MAX_DELETIONS_PER_TRANSACTION);
         Transaction.Builder transaction =
-                Transaction.builder().ifWrittenAt(StoredKeys.batch(stored.id()), stored.revision());
+                Transaction.builder().ifRevisionIs(StoredKeys.batch(stored.id()), stored.revision());
         keys.subList(from, to).forEach(transaction::delete);
         return store.write(transaction.build())
                 .thenCompose(result ->
--- a/src/test/java/org/gooseberryhill/decision/job/JobModel.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobModel.java
@@ -65,7 +65,7 @@
             while (((JobRecord) store.peek(RECORD).orElseThrow().value()).state() == JobState.RUNNING) {
                 store.write(
                         List.of(Condition.modifiedAt(RECORD, stored.modRevision())),
-                        Map.of(RECORD, found.in(JobState.CANCELLED)));
+                        Map.of(RECORD, found.withState(JobState.CANCELLED)));
             }
             cancelled = true;
         }
--- a/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
@@ -59,10 +59,10 @@
     void aWriteTakesEffectOnlyAtTheExpectedRevision() {
         create("k", "one");
         Entry first = entry("k").orElseThrow();
-        write(Transaction.builder().ifWrittenAt("k", first.modRevision()).put("k", bytes("two")));
+        write(Transaction.builder().ifRevisionIs("k", first.modRevision()).put("k", bytes("two")));
 
         assertThat(write(Transaction.builder()
-                        .ifWrittenAt("k", first.modRevision())
+                        .ifRevisionIs("k", first.modRevision())
                         .put("k", bytes("three"))))
                 .isFalse();
         assertThat(value("k")).contains("two");
--- a/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
+++ b/src/test/java/org/gooseberryhill/peer/PeerCodecTest.java
@@ -150,7 +150,7 @@
         byte[] value = {0, 1, -1, 127};
         Transaction transaction = Transaction.builder()
                 .ifAbsent("a")
-                .ifWrittenAt("b", 7)
+                .ifRevisionIs("b", 7)
                 .put("c", value)
                 .putUnderLease("d", value, 9)
                 .delete("e")
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -233,7 +233,7 @@
                             JobRecord.class)
                     .get();
             Transaction cancel = Transaction.builder()
-                    .put(key, Json.bytes(record.in(JobState.CANCELLED)))
+                    .put(key, Json.bytes(record.withState(JobState.CANCELLED)))
                     .build();
             connection.keyValue().write(cancel).join();
         }
