--- a/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
@@ -44,7 +44,7 @@
                     "  e%d: {service: s, address: \"10.0.0.1:%d\", zone: z%d, slots: 8}%n".formatted(i, 1 + i, i % 4));
         }
         core = new OnlineCore(
-                new AvailabilityZone("z1"), OnlinePolicies.product(new Random(1)), new CrashSuspects(600_000, 1000));
+                new AvailabilityZone("z1"), OnlinePolicies.defaults(new Random(1)), new CrashSuspects(600_000, 1000));
         core.configure(ConfigurationReader.read("benchmark", text.toString()).get());
         intakes = new OnlineIntake[1024];
         for (int i = 0; i < intakes.length; i++) {
--- a/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationEdit.java
+++ b/src/main/java/org/gooseberryhill/decision/configuration/ConfigurationEdit.java
@@ -60,7 +60,7 @@
     }
 
     /** Returns the step after a write or read was not answered; a write may have taken effect. */
-    public Step unanswered() {
+    public Step onNoAnswer() {
         missingAnswers++;
         return missingAnswers > MAX_MISSING_ANSWERS ? Step.UNKNOWN : Step.READ;
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -170,8 +170,8 @@
         find(key).ifPresent(endpoint -> recordAttemptEnd(endpoint, end, nowNanos));
     }
 
-    /** Returns the endpoints that are due for a connection probe; {@link #probeEnded} must follow for each of them. */
-    public List<FleetEndpoint> takeDueProbes(long nowNanos) {
+    /** Starts the connection probes that are due and returns their endpoints; {@link #probeEnded} must follow for each. */
+    public List<FleetEndpoint> startDueProbes(long nowNanos) {
         List<FleetEndpoint> due = new ArrayList<>();
         for (FleetEndpoint endpoint : byKey.values()) {
             if (endpoint.health().startProbeIfDue(nowNanos)) {
--- a/src/main/java/org/gooseberryhill/decision/drain/PlannedStop.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/PlannedStop.java
@@ -52,10 +52,10 @@
         this.boundNanos = TimeUnit.MILLISECONDS.toNanos(boundMillis);
     }
 
-    /** Changes the bound after a reload of the settings. A stop that has been requested keeps its bound. */
-    public void updateBoundMillis(long boundMillis) {
+    /** Changes the time limit after a reload of the settings. A stop that has been requested keeps its time limit. */
+    public void updateTimeLimitMillis(long timeLimitMillis) {
         if (phase == Phase.SERVING) {
-            boundNanos = TimeUnit.MILLISECONDS.toNanos(boundMillis);
+            boundNanos = TimeUnit.MILLISECONDS.toNanos(timeLimitMillis);
         }
     }
 
--- a/src/main/java/org/gooseberryhill/decision/job/ChunkCommit.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ChunkCommit.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns the step after a write or read was not answered; a write may have taken effect. */
-    public Step unanswered() {
+    public Step onNoAnswer() {
         uncertain = true;
         return Step.READ;
     }
--- a/src/main/java/org/gooseberryhill/decision/job/JobSubmission.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobSubmission.java
@@ -64,7 +64,7 @@
     }
 
     /** Returns the step after a creation or read was not answered; a creation may have taken effect. */
-    public Step unanswered() {
+    public Step onNoAnswer() {
         uncertain = true;
         missingAnswers++;
         return missingAnswers > MAX_MISSING_ANSWERS ? Step.UNAVAILABLE : Step.READ;
--- a/src/main/java/org/gooseberryhill/decision/online/OnlinePolicies.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlinePolicies.java
@@ -29,7 +29,7 @@
     private static final double AFFINITY_MAX_LOAD = 0.6;
 
     /** Returns the policies for production use. */
-    public static OnlinePolicies product(Random random) {
+    public static OnlinePolicies defaults(Random random) {
         RetryBudget budget = new RetryBudget(RETRIES_PER_REQUEST, MAX_RETRY_BURST);
         return new OnlinePolicies(
                 new PrefixAffinityPolicy(new TwoChoicesPolicy(random), AFFINITY_MAX_LOAD),
--- a/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
@@ -140,13 +140,13 @@
                 keyValue.write(creationTransaction(record))
                         .whenComplete((result, failure) -> perform(
                                 submission,
-                                failure == null ? submission.created(result.succeeded()) : submission.unanswered(),
+                                failure == null ? submission.created(result.succeeded()) : submission.onNoAnswer(),
                                 record));
             case READ ->
                 keyValue.read(Keys.job(request.key()))
                         .whenComplete((result, failure) -> perform(
                                 submission,
-                                failure == null ? submission.read(parseRecord(result)) : submission.unanswered(),
+                                failure == null ? submission.read(parseRecord(result)) : submission.onNoAnswer(),
                                 record));
             case ACCEPTED, SAME_JOB -> replyAccepted(step == JobSubmission.Step.ACCEPTED, record);
             default -> refuse(JobSubmission.refusal(step).orElseThrow());
--- a/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
+++ b/src/main/java/org/gooseberryhill/gateway/EndpointProbes.java
@@ -17,13 +17,13 @@
 
     /** Probes the endpoints that are due and logs changes of health; called periodically. */
     void tick() {
-        context.fleet().takeDueProbes(context.nowNanos()).forEach(this::probe);
+        context.fleet().startDueProbes(context.nowNanos()).forEach(this::probe);
         context.fleet().takeHealthChanges().forEach(this::logHealthChange);
     }
 
     private void probe(FleetEndpoint endpoint) {
         context.onLoop(
-                context.http().probe(endpoint.entry().address(), CONNECT_TIMEOUT_MILLIS),
+                context.http().openIdleConnection(endpoint.entry().address(), CONNECT_TIMEOUT_MILLIS),
                 (done, failure) -> context.fleet().probeEnded(endpoint.key(), failure == null, context.nowNanos()));
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayProcess.java
@@ -214,7 +214,7 @@
         context.loop().execute(() -> {
             GatewaySettings before = settings;
             settings = before.reloaded(newSettings);
-            context.stop().updateBoundMillis(settings.stopBoundMillis());
+            context.stop().updateTimeLimitMillis(settings.stopBoundMillis());
             context.timeline()
                     .event(EventKind.SETTINGS_RELOADED)
                     .with("changed", !settings.equals(before))
--- a/src/main/java/org/gooseberryhill/http/ExchangeOptions.java
+++ b/src/main/java/org/gooseberryhill/http/ExchangeOptions.java
@@ -19,12 +19,12 @@
         boolean acceptsUnframed,
         ResponseMatcher responseMatcher) {
     /** Default connect timeout. Connecting within a region takes milliseconds; one lost packet adds a second. */
-    public static final int DEFAULT_CONNECT_MILLIS = 1000;
+    public static final int DEFAULT_CONNECT_TIMEOUT_MILLIS = 1000;
 
     /** Returns options that reuse connections of any idle time and accept framed responses only. */
     public static ExchangeOptions withSilenceTimeout(int silenceMillis) {
         return new ExchangeOptions(
-                silenceMillis, DEFAULT_CONNECT_MILLIS, Integer.MAX_VALUE, false, ResponseMatcher.NONE);
+                silenceMillis, DEFAULT_CONNECT_TIMEOUT_MILLIS, Integer.MAX_VALUE, false, ResponseMatcher.NONE);
     }
 
     /** Returns the same options with a new connection. */
--- a/src/main/java/org/gooseberryhill/http/HttpClient.java
+++ b/src/main/java/org/gooseberryhill/http/HttpClient.java
@@ -64,7 +64,7 @@
      * @param connectTimeoutMillis connect timeout
      * @return completes when the connection is established, and exceptionally if it can't be
      */
-    public CompletableFuture<Void> probe(Address address, int connectTimeoutMillis) {
+    public CompletableFuture<Void> openIdleConnection(Address address, int connectTimeoutMillis) {
         connectionAttempts.increment();
         CompletableFuture<Void> reached = new CompletableFuture<>();
         ChannelFuture connectFuture = openConnection(address, connectTimeoutMillis);
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -158,7 +158,7 @@
      *     milliseconds
      * @param workListener receives the same from the heartbeats of other hosts
      */
-    public void setHeartbeatWork(
+    public void setWaitingWorkExchange(
             Supplier<Map<String, Long>> ownWork, BiConsumer<HostId, Map<String, Long>> workListener) {
         membershipDriver.setOwnWork(ownWork);
         membershipDriver.addWorkListener(workListener);
--- a/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
@@ -65,7 +65,7 @@
         try {
             return edit.written(keyValue.write(transaction).join().succeeded());
         } catch (CompletionException e) {
-            return edit.unanswered();
+            return edit.onNoAnswer();
         }
     }
 
@@ -76,7 +76,7 @@
                     stored.map(StoredRecord::record),
                     stored.map(StoredRecord::revision).orElse(0L));
         } catch (CompletionException e) {
-            return edit.unanswered();
+            return edit.onNoAnswer();
         }
     }
 
--- a/src/main/java/org/gooseberryhill/program/EntryMain.java
+++ b/src/main/java/org/gooseberryhill/program/EntryMain.java
@@ -99,6 +99,6 @@
     private OnlinePolicies readPolicies(SettingsReader reader, long seed) {
         boolean baseline =
                 reader.choice("--policies", policies, "product", "baseline").equals("baseline");
-        return baseline ? OnlinePolicies.baseline() : OnlinePolicies.product(new Random(seed));
+        return baseline ? OnlinePolicies.baseline() : OnlinePolicies.defaults(new Random(seed));
     }
 }
--- a/src/main/java/org/gooseberryhill/program/SampleSystem.java
+++ b/src/main/java/org/gooseberryhill/program/SampleSystem.java
@@ -78,7 +78,7 @@
                 64 * 1024,
                 120_000,
                 15_000,
-                baseline ? OnlinePolicies.baseline() : OnlinePolicies.product(new Random(number)));
+                baseline ? OnlinePolicies.baseline() : OnlinePolicies.defaults(new Random(number)));
         EntryProcess entry = new EntryProcess(hostSettings(fleet.entry(number)), settings, number);
         entry.start();
         return entry;
--- a/src/main/java/org/gooseberryhill/steward/JobSegments.java
+++ b/src/main/java/org/gooseberryhill/steward/JobSegments.java
@@ -155,7 +155,7 @@
                 perform(job, commit, decision, onResult.get());
                 return;
             }
-            ChunkCommit.Step next = decision.unanswered();
+            ChunkCommit.Step next = decision.onNoAnswer();
             process.loop().after(RETRY_MILLIS, () -> perform(job, commit, decision, next));
         });
     }
--- a/src/main/java/org/gooseberryhill/steward/StewardProcess.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardProcess.java
@@ -43,7 +43,7 @@
         orders = new OrderDriver(process, leaseManager, settings, batch);
         jobScanner = new OpenJobScanner(process, settings, jobs);
         process.setRoleHandler(this::handleMessage);
-        process.setHeartbeatWork(jobs::waitingWork, batch::onHeartbeatWork);
+        process.setWaitingWorkExchange(jobs::waitingWork, batch::onHeartbeatWork);
     }
 
     /** Starts the process and its parts. */
--- a/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/configuration/ConfigurationEditProperties.java
@@ -58,13 +58,13 @@
         void advance(FakeKeyValue<ConfigurationRecord> store) {
             if (step == Step.WRITE) {
                 Optional<Boolean> answer = store.write(List.of(Condition.modifiedAt(KEY, 0)), Map.of(KEY, record));
-                step = answer.map(edit::written).orElseGet(edit::unanswered);
+                step = answer.map(edit::written).orElseGet(edit::onNoAnswer);
             } else if (step == Step.READ) {
                 step = store.read(KEY)
                         .map(found -> edit.read(
                                 found.map(FakeKeyValue.Stored::value),
                                 found.map(FakeKeyValue.Stored::modRevision).orElse(0L)))
-                        .orElseGet(edit::unanswered);
+                        .orElseGet(edit::onNoAnswer);
             }
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
@@ -29,7 +29,7 @@
                 decision = fixture.failed(request, AttemptEnd.UNREACHABLE);
             }
             fixture.core.attemptSucceeded(request, fixture.nowNanos);
-            for (FleetEndpoint due : fixture.fleet.takeDueProbes(fixture.nowNanos)) {
+            for (FleetEndpoint due : fixture.fleet.startDueProbes(fixture.nowNanos)) {
                 probes++;
                 fixture.fleet.probeEnded(due.key(), false, fixture.nowNanos);
             }
@@ -43,9 +43,9 @@
     void anEndpointGetsRequestsAgainAfterASuccessfulProbe() {
         makeUnreachable();
         fixture.advanceMillis(500);
-        List<FleetEndpoint> due = fixture.fleet.takeDueProbes(fixture.nowNanos);
+        List<FleetEndpoint> due = fixture.fleet.startDueProbes(fixture.nowNanos);
         assertThat(due).extracting(endpoint -> endpoint.key().id()).containsExactly("e0");
-        assertThat(fixture.fleet.takeDueProbes(fixture.nowNanos)).isEmpty();
+        assertThat(fixture.fleet.startDueProbes(fixture.nowNanos)).isEmpty();
 
         fixture.fleet.probeEnded(due.get(0).key(), true, fixture.nowNanos);
 
@@ -60,7 +60,7 @@
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isFalse();
 
         fixture.advanceMillis(500);
-        assertThat(fixture.fleet.takeDueProbes(fixture.nowNanos)).isEmpty();
+        assertThat(fixture.fleet.startDueProbes(fixture.nowNanos)).isEmpty();
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isTrue();
     }
 
--- a/src/test/java/org/gooseberryhill/decision/job/JobModel.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobModel.java
@@ -188,7 +188,7 @@
             if (step == ChunkCommit.Step.READ) {
                 return store.read(key)
                         .map(found -> commit.read(found.map(stored -> (ChunkRecord) stored.value())))
-                        .orElseGet(commit::unanswered);
+                        .orElseGet(commit::onNoAnswer);
             }
             ChunkRecord chunk = new ChunkRecord("segment-" + id, result.lines().size(), result.failed(), job.fence());
             List<Condition> conditions = List.of(
@@ -197,7 +197,7 @@
                     Condition.absent(key));
             return store.write(conditions, Map.of(key, chunk))
                     .map(commit::written)
-                    .orElseGet(commit::unanswered);
+                    .orElseGet(commit::onNoAnswer);
         }
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/job/JobSubmissionTest.java
+++ b/src/test/java/org/gooseberryhill/decision/job/JobSubmissionTest.java
@@ -65,11 +65,11 @@
                 JobRecord record = new JobRecord(JobState.RUNNING, hash, "s", "m", 0, 0, 1, 1, List.of("c"));
                 step = store.write(List.of(Condition.absent(KEY)), Map.of(KEY, record))
                         .map(submission::created)
-                        .orElseGet(submission::unanswered);
+                        .orElseGet(submission::onNoAnswer);
             } else if (step == Step.READ) {
                 step = store.read(KEY)
                         .map(found -> submission.read(found.map(FakeKeyValue.Stored::value)))
-                        .orElseGet(submission::unanswered);
+                        .orElseGet(submission::onNoAnswer);
             }
         }
     }
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreFixture.java
@@ -28,7 +28,7 @@
     static OnlineCore core(int endpoints, long seed) {
         OnlineCore core = new OnlineCore(
                 new AvailabilityZone("a"),
-                OnlinePolicies.product(new Random(seed)),
+                OnlinePolicies.defaults(new Random(seed)),
                 new CrashSuspects(TimeUnit.MINUTES.toMillis(10), 1000));
         core.configure(configuration(endpoints));
         return core;
