--- a/src/main/java/org/gooseberryhill/load/Arrivals.java
+++ b/src/main/java/org/gooseberryhill/load/Arrivals.java
@@ -13,25 +13,24 @@
     private Arrivals() {}
 
     /** Returns the arrivals of a window in order of time; equal seeds give equal arrivals. */
-    public static List<Arrival> generate(Deployment deployment, double seconds, long seed) {
+    public static List<Arrival> generate(Workload workload, double seconds, long seed) {
         Random random = new Random(seed);
         List<Arrival> arrivals = new ArrayList<>();
         double offsetSeconds = 0;
         while (offsetSeconds < seconds) {
             boolean inBurst = offsetSeconds >= BURST_BEGIN_SHARE * seconds && offsetSeconds < BURST_END_SHARE * seconds;
-            double rate = deployment.requestsPerSecond() * (inBurst ? deployment.burstFactor() : 1);
+            double rate = workload.requestsPerSecond() * (inBurst ? workload.burstFactor() : 1);
             offsetSeconds += -Math.log(1 - random.nextDouble()) / rate;
             arrivals.add(new Arrival(
-                    (long) (offsetSeconds * NANOS_PER_SECOND), pickKind(deployment, random), arrivals.size()));
+                    (long) (offsetSeconds * NANOS_PER_SECOND), pickKind(workload, random), arrivals.size()));
         }
         return arrivals;
     }
 
-    private static RequestKind pickKind(Deployment deployment, Random random) {
-        int totalShare =
-                deployment.kinds().stream().mapToInt(RequestKind::share).sum();
+    private static RequestKind pickKind(Workload workload, Random random) {
+        int totalShare = workload.kinds().stream().mapToInt(RequestKind::share).sum();
         int remainingShare = random.nextInt(totalShare);
-        for (RequestKind kind : deployment.kinds()) {
+        for (RequestKind kind : workload.kinds()) {
             remainingShare -= kind.share();
             if (remainingShare < 0) {
                 return kind;
--- a/src/main/java/org/gooseberryhill/load/EaselAndOchreDeployment.java
+++ b/src/main/java/org/gooseberryhill/load/EaselAndOchreWorkload.java
@@ -6,7 +6,7 @@
  * The workload of Easel &amp; Ochre, which holds art classes: tutors request critiques and exercises, in bursts when a
  * class begins, and students make bookings. Immutable.
  */
-public final class EaselAndOchreDeployment implements Deployment {
+public final class EaselAndOchreWorkload implements Workload {
     private static final List<RequestKind> KINDS = List.of(
             new RequestKind("critique", 5, false, 800, 40),
             new RequestKind("exercises", 3, false, 300, 60),
--- a/src/main/java/org/gooseberryhill/load/Experiment.java
+++ b/src/main/java/org/gooseberryhill/load/Experiment.java
@@ -34,13 +34,13 @@
     private static final double OUTAGE_BEGIN_SHARE = 0.65;
     private static final double OUTAGE_END_SHARE = 0.85;
 
-    private final Deployment deployment;
+    private final Workload workload;
     private final double seconds;
     private final int basePort;
 
     /** Creates an experiment whose runs last the given number of seconds and use 100 ports from the base port. */
-    public Experiment(Deployment deployment, double seconds, int basePort) {
-        this.deployment = deployment;
+    public Experiment(Workload workload, double seconds, int basePort) {
+        this.workload = workload;
         this.seconds = seconds;
         this.basePort = basePort;
     }
@@ -60,7 +60,7 @@
 
     private RunResult measure(SampleSystem system, Point point, long seed) {
         Measurement measurement = new Measurement();
-        List<Arrivals.Arrival> arrivals = Arrivals.generate(deployment, seconds, seed);
+        List<Arrivals.Arrival> arrivals = Arrivals.generate(workload, seconds, seed);
         try (EntryClient coordinator = system.client(0, SampleFleet.COORDINATORS_KEY);
                 OnlineSender sender = new OnlineSender(system, measurement)) {
             if (point.batchPercent() > 0) {
@@ -79,7 +79,7 @@
             return new RunResult(
                     point,
                     itemsPerSecond,
-                    itemsPerSecond * deployment.itemTokens(),
+                    itemsPerSecond * workload.itemTokens(),
                     measurement.firstTokenMillis(50),
                     measurement.firstTokenMillis(95),
                     measurement.firstTokenMillis(99),
@@ -92,8 +92,8 @@
     private void submitJob(EntryClient coordinator) {
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < JOB_ITEMS; i++) {
-            String prompt = OnlineSender.promptText("item " + i, deployment.itemPromptCharacters());
-            lines.append(Json.text(Map.of("prompt", prompt, "max_tokens", deployment.itemTokens())))
+            String prompt = OnlineSender.promptText("item " + i, workload.itemPromptCharacters());
+            lines.append(Json.text(Map.of("prompt", prompt, "max_tokens", workload.itemTokens())))
                     .append('\n');
         }
         HttpResult result = coordinator.call(
--- a/src/main/java/org/gooseberryhill/load/StadsdataDeployment.java
+++ b/src/main/java/org/gooseberryhill/load/StadsdataWorkload.java
@@ -6,7 +6,7 @@
  * The workload of Stadsdata, a data portal: citizens request summaries, clerks request explanations, and apps download
  * records. Immutable.
  */
-public final class StadsdataDeployment implements Deployment {
+public final class StadsdataWorkload implements Workload {
     private static final List<RequestKind> KINDS = List.of(
             new RequestKind("summaries", 5, false, 1000, 30),
             new RequestKind("explanations", 3, false, 200, 20),
--- a/src/main/java/org/gooseberryhill/load/Deployment.java
+++ b/src/main/java/org/gooseberryhill/load/Workload.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Describes the workload of a deployment. Implementations are immutable. */
-public interface Deployment {
+public interface Workload {
     /** Returns the name in reports. */
     String name();
 
--- a/src/main/java/org/gooseberryhill/load/slope/FunctionProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/FunctionProbe.java
@@ -8,11 +8,11 @@
  *
  * @param name the name of the cost
  * @param unit the unit of the cost
- * @param varied the quantity that the size counts
+ * @param variedQuantity the quantity that the size counts
  * @param sizes the sizes at which to measure
  * @param cost returns the cost at a size
  */
-record FunctionProbe(String name, String unit, String varied, List<Integer> sizes, IntToDoubleFunction cost)
+record FunctionProbe(String name, String unit, String variedQuantity, List<Integer> sizes, IntToDoubleFunction cost)
         implements SlopeProbe {
     @Override
     public double measure(int size) {
--- a/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public String varied() {
+    public String variedQuantity() {
         return "chunks of " + CHUNK_ITEMS + " items";
     }
 
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbe.java
@@ -11,7 +11,7 @@
     String unit();
 
     /** Returns the quantity that the size counts. */
-    String varied();
+    String variedQuantity();
 
     /** Returns the sizes at which to measure. */
     List<Integer> sizes();
--- a/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
+++ b/src/main/java/org/gooseberryhill/load/slope/SlopeProbes.java
@@ -71,9 +71,13 @@
     }
 
     /** Returns a probe of the size, including framing, of a peer message with the given number of entries. */
-    private static SlopeProbe messageProbe(String name, String varied, IntFunction<PeerMessage> builder) {
+    private static SlopeProbe messageProbe(String name, String variedQuantity, IntFunction<PeerMessage> builder) {
         return new FunctionProbe(
-                name, "bytes", varied, MESSAGE_ENTRY_COUNTS, size -> PeerMessageSize.encodedBytes(builder.apply(size)));
+                name,
+                "bytes",
+                variedQuantity,
+                MESSAGE_ENTRY_COUNTS,
+                size -> PeerMessageSize.encodedBytes(builder.apply(size)));
     }
 
     /** Returns a probe of a cost of the configuration text with endpoints and callers in the planned proportion. */
@@ -90,8 +94,9 @@
      * Returns a probe of the live heap of an object with the given number of entries. The object is built once before
      * the measurement, so that the memory of loaded classes is not counted.
      */
-    private static SlopeProbe heapProbe(String name, String varied, List<Integer> sizes, IntFunction<Object> builder) {
-        return new FunctionProbe(name, "bytes of live heap", varied, sizes, size -> {
+    private static SlopeProbe heapProbe(
+            String name, String variedQuantity, List<Integer> sizes, IntFunction<Object> builder) {
+        return new FunctionProbe(name, "bytes of live heap", variedQuantity, sizes, size -> {
             builder.apply(size);
             return LiveHeap.bytesOf(() -> builder.apply(size));
         });
--- a/src/main/java/org/gooseberryhill/program/CurveCommand.java
+++ b/src/main/java/org/gooseberryhill/program/CurveCommand.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import org.gooseberryhill.link.Json;
-import org.gooseberryhill.load.Deployment;
-import org.gooseberryhill.load.EaselAndOchreDeployment;
+import org.gooseberryhill.load.EaselAndOchreWorkload;
 import org.gooseberryhill.load.Experiment;
 import org.gooseberryhill.load.Experiment.Point;
 import org.gooseberryhill.load.ResultRenderer;
 import org.gooseberryhill.load.RunResult;
-import org.gooseberryhill.load.StadsdataDeployment;
+import org.gooseberryhill.load.StadsdataWorkload;
+import org.gooseberryhill.load.Workload;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -82,7 +82,7 @@
         long runs = reader.number("--repeats", repeats, 1, MAX_REPEATS);
         int port = (int) reader.number("--base-port", basePort, 1024, MAX_PORT);
         reader.requireNoFindings();
-        Deployment workload = easel ? new EaselAndOchreDeployment() : new StadsdataDeployment();
+        Workload workload = easel ? new EaselAndOchreWorkload() : new StadsdataWorkload();
         Experiment experiment = new Experiment(workload, runSeconds, port);
         PrintWriter console = spec.commandLine().getOut();
         List<RunResult> results = new ArrayList<>();
@@ -98,7 +98,7 @@
         return Commands.OK;
     }
 
-    private void write(Deployment workload, List<RunResult> results, PrintWriter console) throws IOException {
+    private void write(Workload workload, List<RunResult> results, PrintWriter console) throws IOException {
         Files.createDirectories(out);
         Files.writeString(out.resolve(workload.name() + ".json"), Json.text(results));
         Files.writeString(out.resolve(workload.name() + ".svg"), ResultRenderer.svgPlot(workload.name(), results));
--- a/src/main/java/org/gooseberryhill/program/SlopesCommand.java
+++ b/src/main/java/org/gooseberryhill/program/SlopesCommand.java
@@ -55,7 +55,7 @@
                 "| %s, %s | %s | %s | %s | %.1f | %.3f | %.1f%% |%n",
                 probe.name(),
                 probe.unit(),
-                probe.varied(),
+                probe.variedQuantity(),
                 join(probe.sizes().stream().map(String::valueOf).toList()),
                 join(fit.points().stream()
                         .map(point -> String.format(Locale.ROOT, "%.1f", point))
