--- a/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
@@ -21,13 +21,13 @@
     /**
      * Applies a heartbeat of an owner, which replaces what was known of it.
      *
-     * @param dueByService the earliest due time, in epoch milliseconds, of each service with waiting items
+     * @param earliestDueMillisByService the earliest due time, in epoch milliseconds, of each service with waiting items
      */
-    public void onHeartbeat(HostId owner, Map<String, Long> dueByService) {
-        if (dueByService.isEmpty()) {
+    public void onHeartbeat(HostId owner, Map<String, Long> earliestDueMillisByService) {
+        if (earliestDueMillisByService.isEmpty()) {
             dueByOwner.remove(owner);
         } else {
-            dueByOwner.put(owner, new HashMap<>(dueByService));
+            dueByOwner.put(owner, new HashMap<>(earliestDueMillisByService));
         }
     }
 
--- a/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
+++ b/src/main/java/org/gooseberryhill/decision/job/OwnedJob.java
@@ -200,10 +200,10 @@
      *
      * @param heldHandouts the numbers of the hand-outs that the steward holds
      */
-    public void reclaimMissing(HostId steward, Set<Long> heldHandouts, long ageMillis, long nowNanos) {
-        long ageNanos = TimeUnit.MILLISECONDS.toNanos(ageMillis);
+    public void reclaimMissing(HostId steward, Set<Long> heldHandouts, long minAgeMillis, long nowNanos) {
+        long minAgeNanos = TimeUnit.MILLISECONDS.toNanos(minAgeMillis);
         reclaimWhere(item -> item.isHeldBy(steward)
-                && item.isHandedOutLongerThan(ageNanos, nowNanos)
+                && item.isHandedOutLongerThan(minAgeNanos, nowNanos)
                 && !heldHandouts.contains(item.handout()));
     }
 
--- a/src/main/java/org/gooseberryhill/decision/order/EndpointOrders.java
+++ b/src/main/java/org/gooseberryhill/decision/order/EndpointOrders.java
@@ -36,11 +36,11 @@
      * Returns the next step, which the caller has to carry out.
      *
      * @param held what the endpoint holds; empty if that is not known
-     * @param wanted what the endpoint is to hold
+     * @param desired what the endpoint is to hold
      * @param leaseUsable whether this host's lease is usable now
      */
-    public OrderStep next(Optional<ModelHolding> held, ModelHolding wanted, boolean leaseUsable, long nowNanos) {
-        boolean upToDate = held.isEmpty() || held.get().equals(wanted);
+    public OrderStep next(Optional<ModelHolding> held, ModelHolding desired, boolean leaseUsable, long nowNanos) {
+        boolean upToDate = held.isEmpty() || held.get().equals(desired);
         if (upToDate || !leaseUsable || claimPending || orderInFlight) {
             return new OrderStep.Idle();
         }
@@ -52,7 +52,7 @@
             return new OrderStep.Idle();
         }
         orderInFlight = true;
-        return new OrderStep.Send(fence.get(), wanted);
+        return new OrderStep.Send(fence.get(), desired);
     }
 
     /**
--- a/src/main/java/org/gooseberryhill/http/EventStreamReader.java
+++ b/src/main/java/org/gooseberryhill/http/EventStreamReader.java
@@ -65,8 +65,8 @@
          *
          * @param event its bytes as received, without carriage returns
          * @param token the generated text in it; empty if there is none
-         * @param done whether it is the {@code [DONE]} event that ends the stream
+         * @param isEndMark whether it is the {@code [DONE]} event that ends the stream
          */
-        void onEvent(byte[] event, String token, boolean done);
+        void onEvent(byte[] event, String token, boolean isEndMark);
     }
 }
--- a/src/main/java/org/gooseberryhill/standin/EngineStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/EngineStandin.java
@@ -43,9 +43,9 @@
     private final Map<String, Boolean> prefixCache;
     private final AtomicInteger crashes = new AtomicInteger();
     private final AtomicInteger servedAnswers = new AtomicInteger();
-    private final List<Long> orderFences = new ArrayList<>();
+    private final List<Long> orderFencingTokens = new ArrayList<>();
     private volatile EngineFaults faults = EngineFaults.NONE;
-    private volatile ModelHolding heldModel = new ModelHolding("", "", List.of());
+    private volatile ModelHolding loadedModel = new ModelHolding("", "", List.of());
     private volatile HttpServer server;
     private volatile boolean closed;
     private volatile boolean busy;
@@ -77,8 +77,8 @@
     }
 
     /** Sets the loaded model directly, without a model order. */
-    public void setHeldModel(ModelHolding holding) {
-        heldModel = holding;
+    public void setLoadedModel(ModelHolding holding) {
+        loadedModel = holding;
     }
 
     /** Returns the address at which the engine listens. */
@@ -87,8 +87,8 @@
     }
 
     /** Returns the loaded model. */
-    public ModelHolding heldModel() {
-        return heldModel;
+    public ModelHolding loadedModel() {
+        return loadedModel;
     }
 
     /** Returns whether no request is active or queued. */
@@ -107,8 +107,8 @@
     }
 
     /** Returns the fencing tokens of the executed orders, in the order of execution. */
-    public synchronized List<Long> orderFences() {
-        return List.copyOf(orderFences);
+    public synchronized List<Long> orderFencingTokens() {
+        return List.copyOf(orderFencingTokens);
     }
 
     /** Closes all connections immediately, as a killed process does; restarts after the configured time, if any. */
@@ -172,7 +172,7 @@
                         .put("active", activeGenerations.size())
                         .put("queued", queue.size())
                         .put("draining", faults.draining())
-                        .set("held", Json.mapper().valueToTree(heldModel)));
+                        .set("held", Json.mapper().valueToTree(loadedModel)));
     }
 
     private void applyOrder(HttpCall call, JsonNode json) {
@@ -183,10 +183,10 @@
                 return;
             }
             highestFence = Math.max(highestFence, fence);
-            orderFences.add(fence);
+            orderFencingTokens.add(fence);
         }
-        heldModel =
-                Json.read(Json.bytes(json.path("holding")), ModelHolding.class).getOrElse(heldModel);
+        loadedModel =
+                Json.read(Json.bytes(json.path("holding")), ModelHolding.class).getOrElse(loadedModel);
         StandinHttp.replyJson(call, 200, Map.of());
     }
 
--- a/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/PlainServiceStandin.java
@@ -24,8 +24,8 @@
     private final HttpServer server;
     private final List<String> bookings = new CopyOnWriteArrayList<>();
     private final AtomicInteger answersToLose = new AtomicInteger();
-    private final AtomicInteger answersToHold = new AtomicInteger();
-    private final List<HttpCall> heldCalls = new CopyOnWriteArrayList<>();
+    private final AtomicInteger answersToWithhold = new AtomicInteger();
+    private final List<HttpCall> withheldCalls = new CopyOnWriteArrayList<>();
 
     /** Starts listening. */
     public PlainServiceStandin(EventLoopGroup group, Address address) {
@@ -39,16 +39,16 @@
 
     /**
      * Makes the given number of upcoming bookings take effect but withholds their answers until
-     * {@link #answerHeldBookings} is called.
+     * {@link #answerWithheldBookings} is called.
      */
-    public void holdNextAnswers(int number) {
-        answersToHold.set(number);
+    public void withholdNextAnswers(int number) {
+        answersToWithhold.set(number);
     }
 
     /** Answers the bookings whose answers are withheld. */
-    public void answerHeldBookings() {
-        heldCalls.forEach(this::answerBooking);
-        heldCalls.clear();
+    public void answerWithheldBookings() {
+        withheldCalls.forEach(this::answerBooking);
+        withheldCalls.clear();
     }
 
     /** Returns the bodies of all bookings that took effect. */
@@ -86,8 +86,8 @@
         bookings.add(new String(body, StandardCharsets.UTF_8));
         if (answersToLose.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
             call.abortStream();
-        } else if (answersToHold.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
-            heldCalls.add(call);
+        } else if (answersToWithhold.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
+            withheldCalls.add(call);
         } else {
             answerBooking(call);
         }
--- a/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
+++ b/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
@@ -30,7 +30,7 @@
         weightStore = new WeightStoreStandin(group, fleet.weightStore(), WEIGHT_READS_PER_MINUTE);
         for (int i = 0; i < fleet.engineCount(); i++) {
             EngineStandin engine = new EngineStandin(group, fleet.engine(i), speed);
-            engine.setHeldModel(SampleFleet.MODEL);
+            engine.setLoadedModel(SampleFleet.MODEL);
             engines.add(engine);
         }
         for (int i = 0; i < PLAIN_ENDPOINTS; i++) {
--- a/src/main/java/org/gooseberryhill/steward/BatchDriver.java
+++ b/src/main/java/org/gooseberryhill/steward/BatchDriver.java
@@ -93,8 +93,8 @@
                 .toList();
     }
 
-    void onHeartbeatWork(HostId owner, Map<String, Long> dueByService) {
-        sources.onHeartbeat(owner, dueByService);
+    void onHeartbeatWork(HostId owner, Map<String, Long> earliestDueMillisByService) {
+        sources.onHeartbeat(owner, earliestDueMillisByService);
     }
 
     void onWorkNotice(HostId owner, PeerMessage.WorkNotice notice) {
--- a/src/test/java/org/gooseberryhill/http/EventStreamReaderTest.java
+++ b/src/test/java/org/gooseberryhill/http/EventStreamReaderTest.java
@@ -25,9 +25,9 @@
             List<Boolean> ends = new ArrayList<>();
             for (int from = 0; from < STREAM.length; from += size) {
                 byte[] piece = Arrays.copyOfRange(STREAM, from, Math.min(STREAM.length, from + size));
-                reader.read(piece, (event, token, done) -> {
+                reader.read(piece, (event, token, isEndMark) -> {
                     tokens.add(token);
-                    ends.add(done);
+                    ends.add(isEndMark);
                 });
             }
             assertThat(tokens).containsExactly("é ", "", "b", "");
--- a/src/test/java/org/gooseberryhill/program/ConfigurationPropagationTest.java
+++ b/src/test/java/org/gooseberryhill/program/ConfigurationPropagationTest.java
@@ -109,9 +109,9 @@
         ModelHolding expected = new ModelHolding("tutor-7b", "10", List.of("critique"));
         Loopback.await(
                 "the new version",
-                () -> engines.stream().allMatch(engine -> engine.heldModel().equals(expected)));
+                () -> engines.stream().allMatch(engine -> engine.loadedModel().equals(expected)));
         for (EngineStandin engine : engines) {
-            assertThat(engine.orderFences()).isSorted().isNotEmpty();
+            assertThat(engine.orderFencingTokens()).isSorted().isNotEmpty();
         }
     }
 
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -135,12 +135,12 @@
      */
     @Test
     void aBookingSentTwiceAtOnceRunsOnce() {
-        fixture.system.platform().plainServices().forEach(service -> service.holdNextAnswers(1));
+        fixture.system.platform().plainServices().forEach(service -> service.withholdNextAnswers(1));
         CompletableFuture<HttpResult> first =
                 CompletableFuture.supplyAsync(() -> fixture.book(fixture.student, "seat-4", "key-4"));
         Loopback.await("the booking", () -> fixture.countBookings("seat-4") == 1);
         HttpResult second = resend("seat-4", "key-4");
-        fixture.system.platform().plainServices().forEach(PlainServiceStandin::answerHeldBookings);
+        fixture.system.platform().plainServices().forEach(PlainServiceStandin::answerWithheldBookings);
 
         assertThat(second.status()).isEqualTo(409);
         assertThat(SystemFixture.error(second).path("code").asText()).isEqualTo("in-progress");
@@ -154,7 +154,7 @@
      */
     @Test
     void aBookingWhoseEntryIsLostIsNotRepeated() {
-        fixture.system.platform().plainServices().forEach(service -> service.holdNextAnswers(1));
+        fixture.system.platform().plainServices().forEach(service -> service.withholdNextAnswers(1));
         CompletableFuture<HttpResult> first =
                 CompletableFuture.supplyAsync(() -> fixture.book(fixture.student, "seat-7", "key-7"));
         Loopback.await("the booking", () -> fixture.countBookings("seat-7") == 1);
