--- a/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
+++ b/src/jmh/java/org/gooseberryhill/benchmark/RouteBenchmark.java
@@ -8,9 +8,9 @@
 import org.gooseberryhill.contract.Refusal;
 import org.gooseberryhill.decision.online.OnlineCore;
 import org.gooseberryhill.decision.online.OnlineDecision;
-import org.gooseberryhill.decision.online.OnlineIntake;
 import org.gooseberryhill.decision.online.OnlinePolicies;
 import org.gooseberryhill.decision.online.OnlineRequest;
+import org.gooseberryhill.decision.online.OnlineRequestInfo;
 import org.gooseberryhill.decision.quarantine.CrashSuspects;
 import org.gooseberryhill.zone.AvailabilityZone;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -31,8 +31,8 @@
     private int endpoints;
 
     private OnlineCore core;
-    private OnlineIntake[] intakes;
-    private int nextIntake;
+    private OnlineRequestInfo[] requestInfos;
+    private int nextRequestInfo;
 
     /** Creates the decision core and the requests. */
     @Setup
@@ -46,9 +46,9 @@
         core = new OnlineCore(
                 new AvailabilityZone("z1"), OnlinePolicies.defaults(new Random(1)), new CrashSuspects(600_000, 1000));
         core.configure(ConfigurationReader.read("benchmark", text.toString()).get());
-        intakes = new OnlineIntake[1024];
-        for (int i = 0; i < intakes.length; i++) {
-            intakes[i] = new OnlineIntake(
+        requestInfos = new OnlineRequestInfo[1024];
+        for (int i = 0; i < requestInfos.length; i++) {
+            requestInfos[i] = new OnlineRequestInfo(
                     "r" + i, "c", "s", new Fingerprint("f" + i), i % 2 == 0 ? 0 : i * 31L, true, Long.MAX_VALUE / 2);
         }
     }
@@ -56,7 +56,7 @@
     /** Processes one request from its arrival to its end. */
     @Benchmark
     public OnlineDecision admitRouteAndEnd() {
-        Either<Refusal, OnlineRequest> admitted = core.admit(intakes[nextIntake++ & 1023], 0);
+        Either<Refusal, OnlineRequest> admitted = core.admit(requestInfos[nextRequestInfo++ & 1023], 0);
         OnlineRequest request = admitted.get();
         OnlineDecision decision = core.next(request, 0);
         core.attemptSucceeded(request, 1_000_000);
--- a/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/DispatchCore.java
@@ -73,8 +73,8 @@
      * Creates a request that has arrived. It must end with a {@link DispatchDecision.Refuse}, {@link #attemptSucceeded}
      * or {@link #abandoned}.
      */
-    public RoutedRequest newRequest(RoutedIntake intake) {
-        return new RoutedRequest(intake);
+    public RoutedRequest newRequest(RoutedRequestInfo requestInfo) {
+        return new RoutedRequest(requestInfo);
     }
 
     /** Decides the first action for a request that has arrived. */
@@ -151,7 +151,7 @@
         runTime(request).add(request.attemptNanos(nowNanos));
         attemptEnded(request, AttemptEnd.ANSWERED, nowNanos);
         if (suspects.size() > 0) {
-            suspects.clear(request.intake().fingerprint());
+            suspects.clear(request.info().fingerprint());
         }
     }
 
@@ -175,7 +175,7 @@
      */
     private Optional<Refusal> refuseFurtherAttempt(
             RoutedRequest request, RequestProgress progress, AttemptEnd end, long nowNanos) {
-        Route route = request.intake().route();
+        Route route = request.info().route();
         if (progress.outcome() == Outcome.MAY_HAVE_RUN && !route.isRepeatable()) {
             return Optional.of(Refusal.mayHaveRun(
                     ErrorCode.ENDPOINT_FAILED, "the endpoint failed after the request was sent; it is not repeated"));
@@ -198,13 +198,13 @@
     private OverloadCase overloadCase(RoutedRequest request, FleetEndpoint best, long nowNanos) {
         double meanRunMillis = runTime(request).meanRunMillis();
         int slots = 0;
-        for (FleetEndpoint endpoint : fleet.usableEndpoints(request.intake().service(), nowNanos)) {
+        for (FleetEndpoint endpoint : fleet.usableEndpoints(request.info().service(), nowNanos)) {
             slots += endpoint.entry().slots();
         }
         return new OverloadCase(
-                request.intake().service(),
+                request.info().service(),
                 WaitForecast.waitMillis(best, meanRunMillis),
-                request.intake().route().targetLatencyMillis(),
+                request.info().route().targetLatencyMillis(),
                 request.remainingMillis(nowNanos),
                 slots,
                 meanRunMillis,
@@ -217,12 +217,12 @@
         PlacementFacts facts = placementFacts(request, endpoint, nowNanos);
         fleet.onlineStarted(entry.key());
         request.attemptStarted(entry.key(), nowNanos);
-        request.intake().prompt().ifPresent(prompt -> prefixes.requestSent(entry.key(), prompt));
+        request.info().prompt().ifPresent(prompt -> prefixes.requestSent(entry.key(), prompt));
         return new DispatchDecision.Send(entry, facts);
     }
 
     private PlacementFacts placementFacts(RoutedRequest request, FleetEndpoint endpoint, long nowNanos) {
-        int usable = fleet.usableEndpoints(request.intake().service(), nowNanos).size();
+        int usable = fleet.usableEndpoints(request.info().service(), nowNanos).size();
         double waitMillis = WaitForecast.waitMillis(endpoint, runTime(request).meanRunMillis());
         return new PlacementFacts(
                 usable, endpoint.online(), endpoint.batch(), endpoint.entry().slots(), Math.round(waitMillis));
@@ -240,10 +240,10 @@
     }
 
     private Optional<FleetEndpoint> choose(RoutedRequest request, Set<EndpointKey> excluded, long nowNanos) {
-        List<FleetEndpoint> endpoints = fleet.endpointsOf(request.intake().service());
+        List<FleetEndpoint> endpoints = fleet.endpointsOf(request.info().service());
         PlacementCase placement = new PlacementCase(
                 zone,
-                request.intake().prompt(),
+                request.info().prompt(),
                 prefixes,
                 excluded,
                 runTime(request).meanRunMillis(),
@@ -252,14 +252,14 @@
     }
 
     private ServiceRunTime runTime(RoutedRequest request) {
-        return runTimes.computeIfAbsent(request.intake().service(), service -> new ServiceRunTime());
+        return runTimes.computeIfAbsent(request.info().service(), service -> new ServiceRunTime());
     }
 
     private Optional<Refusal> refuseQuarantined(RoutedRequest request, long nowNanos) {
-        if (suspects.size() == 0 || suspects.verdict(request.intake().fingerprint(), nowNanos) != Verdict.QUARANTINED) {
+        if (suspects.size() == 0 || suspects.verdict(request.info().fingerprint(), nowNanos) != Verdict.QUARANTINED) {
             return Optional.empty();
         }
-        long millis = suspects.remainingMillis(request.intake().fingerprint(), nowNanos);
+        long millis = suspects.remainingMillis(request.info().fingerprint(), nowNanos);
         return Optional.of(new Refusal(
                 ErrorCode.QUARANTINED,
                 request.outcome(),
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequest.java
@@ -16,7 +16,7 @@
  * <p>Invariant: once an attempt may have run, the request may have run, whatever the results of later attempts.
  */
 public final class RoutedRequest {
-    private final RoutedIntake intake;
+    private final RoutedRequestInfo info;
     private final Set<EndpointKey> tried = new HashSet<>();
     private final Set<EndpointKey> refusedBy = new HashSet<>();
     private final List<PastAttempt> pastAttempts = new ArrayList<>();
@@ -25,13 +25,13 @@
     private boolean leftSilentEndpoint;
     private long attemptStartedNanos;
 
-    RoutedRequest(RoutedIntake intake) {
-        this.intake = intake;
+    RoutedRequest(RoutedRequestInfo info) {
+        this.info = info;
     }
 
     /** Returns the data that was known when the request arrived. */
-    public RoutedIntake intake() {
-        return intake;
+    public RoutedRequestInfo info() {
+        return info;
     }
 
     /** Returns the endpoint that has the request now; empty between attempts. */
@@ -79,7 +79,7 @@
     }
 
     long remainingMillis(long nowNanos) {
-        return TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos);
+        return TimeUnit.NANOSECONDS.toMillis(info.deadlineNanos() - nowNanos);
     }
 
     /** Returns the duration of the current attempt so far, in nanoseconds. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoutedIntake.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoutedRequestInfo.java
@@ -19,7 +19,7 @@
  * @param deadlineNanos the time at which the caller stops waiting or the timeout of the route ends, whichever is
  *     earlier, in nanoseconds
  */
-public record RoutedIntake(
+public record RoutedRequestInfo(
         String id,
         Route route,
         String service,
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineCore.java
@@ -65,38 +65,38 @@
     }
 
     /** Admits or refuses a request. An admitted request must end with {@link #finished}. */
-    public Either<Refusal, OnlineRequest> admit(OnlineIntake intake, long nowNanos) {
-        Optional<Refusal> quarantined = refuseQuarantined(intake, Outcome.NOT_RUN, nowNanos);
+    public Either<Refusal, OnlineRequest> admit(OnlineRequestInfo requestInfo, long nowNanos) {
+        Optional<Refusal> quarantined = refuseQuarantined(requestInfo, Outcome.NOT_RUN, nowNanos);
         if (quarantined.isPresent()) {
             return Either.left(quarantined.get());
         }
-        OnlineRequest request = new OnlineRequest(intake);
+        OnlineRequest request = new OnlineRequest(requestInfo);
         Optional<EndpointState> best = chooseEndpoint(request, nowNanos);
         if (best.isEmpty()) {
             return Either.left(noEndpointRefusal(Outcome.NOT_RUN));
         }
-        int inFlight = inFlightByCaller.getOrDefault(intake.caller(), 0);
+        int inFlight = inFlightByCaller.getOrDefault(requestInfo.caller(), 0);
         AdmissionCase admission = new AdmissionCase(
                 best.get().predictedWaitMillis(),
                 request.remainingMillis(nowNanos),
                 inFlight,
-                callerLimit(intake.caller()));
+                callerLimit(requestInfo.caller()));
         Optional<Refusal> refusal = policies.admission().refuse(admission);
         if (refusal.isPresent()) {
             return Either.left(refusal.get());
         }
-        inFlightByCaller.put(intake.caller(), inFlight + 1);
+        inFlightByCaller.put(requestInfo.caller(), inFlight + 1);
         policies.retry().recordFirstAttempt();
         return Either.right(request);
     }
 
     /** Returns the next step for a request that has no attempt in progress. */
     public OnlineDecision next(OnlineRequest request, long nowNanos) {
-        Optional<Refusal> quarantined = refuseQuarantined(request.intake(), request.outcome(), nowNanos);
+        Optional<Refusal> quarantined = refuseQuarantined(request.info(), request.outcome(), nowNanos);
         if (quarantined.isPresent()) {
             return new OnlineDecision.Refuse(quarantined.get());
         }
-        if (suspects.verdict(request.intake().fingerprint(), nowNanos) == Verdict.SUSPECT) {
+        if (suspects.verdict(request.info().fingerprint(), nowNanos) == Verdict.SUSPECT) {
             return askPermit(request, nowNanos);
         }
         Optional<EndpointState> chosen = chooseEndpoint(request, nowNanos);
@@ -134,7 +134,7 @@
         request.attemptFailed(failure.outcome());
         request.setHoldsPermit(false);
         RetryCase retryCase = new RetryCase(
-                request.intake().idempotent(),
+                request.info().idempotent(),
                 request.isAnswerStarted(),
                 request.attempts(),
                 request.remainingMillis(nowNanos));
@@ -150,7 +150,7 @@
     public void attemptSucceeded(OnlineRequest request, long nowNanos) {
         request.endpoint().ifPresent(name -> endpoints.recordSuccess(name, request.attemptRunNanos(nowNanos)));
         request.attemptEnded();
-        suspects.clear(request.intake().fingerprint());
+        suspects.clear(request.info().fingerprint());
     }
 
     /** Records that the caller disconnected, or that its deadline passed, while an attempt was in progress. */
@@ -162,7 +162,7 @@
     /** Records that the caller got its final answer or disconnected. */
     public void finished(OnlineRequest request) {
         inFlightByCaller.computeIfPresent(
-                request.intake().caller(), (caller, inFlight) -> inFlight <= 1 ? null : inFlight - 1);
+                request.info().caller(), (caller, inFlight) -> inFlight <= 1 ? null : inFlight - 1);
     }
 
     private OnlineDecision send(OnlineRequest request, EndpointState endpoint, long nowNanos) {
@@ -172,7 +172,7 @@
     }
 
     private OnlineDecision askPermit(OnlineRequest request, long nowNanos) {
-        Optional<ServicePool> pool = endpoints.pool(request.intake().service());
+        Optional<ServicePool> pool = endpoints.pool(request.info().service());
         List<String> candidates = pool.map(ServicePool::endpoints).orElse(List.of()).stream()
                 .filter(endpoint ->
                         endpoint.isEligible(nowNanos) && !request.tried().contains(endpoint.name()))
@@ -186,17 +186,17 @@
     }
 
     private Optional<EndpointState> chooseEndpoint(OnlineRequest request, long nowNanos) {
-        RouteRequest route = new RouteRequest(zone, request.intake().prefixHash(), request.tried());
+        RouteRequest route = new RouteRequest(zone, request.info().prefixHash(), request.tried());
         return endpoints
-                .pool(request.intake().service())
+                .pool(request.info().service())
                 .flatMap(pool -> policies.route().choose(pool, route, nowNanos));
     }
 
-    private Optional<Refusal> refuseQuarantined(OnlineIntake intake, Outcome outcome, long nowNanos) {
-        if (suspects.verdict(intake.fingerprint(), nowNanos) != Verdict.QUARANTINED) {
+    private Optional<Refusal> refuseQuarantined(OnlineRequestInfo requestInfo, Outcome outcome, long nowNanos) {
+        if (suspects.verdict(requestInfo.fingerprint(), nowNanos) != Verdict.QUARANTINED) {
             return Optional.empty();
         }
-        long millis = suspects.remainingMillis(intake.fingerprint(), nowNanos);
+        long millis = suspects.remainingMillis(requestInfo.fingerprint(), nowNanos);
         return Optional.of(new Refusal(
                 ErrorCode.QUARANTINED,
                 outcome,
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineRequest.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineRequest.java
@@ -15,7 +15,7 @@
 public final class OnlineRequest {
     private static final long MAX_PERMIT_WAIT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    private final OnlineIntake intake;
+    private final OnlineRequestInfo info;
     private final Set<String> tried = new HashSet<>();
     private Optional<String> endpoint = Optional.empty();
     private Outcome outcome = Outcome.NOT_RUN;
@@ -25,13 +25,13 @@
     private long attemptStartNanos;
     private Optional<Long> permitWaitStartNanos = Optional.empty();
 
-    OnlineRequest(OnlineIntake intake) {
-        this.intake = intake;
+    OnlineRequest(OnlineRequestInfo info) {
+        this.info = info;
     }
 
     /** Returns the properties of the request that were known on arrival. */
-    public OnlineIntake intake() {
-        return intake;
+    public OnlineRequestInfo info() {
+        return info;
     }
 
     /** Returns the endpoint of the attempt in progress, or empty if there is none. */
@@ -86,7 +86,7 @@
     }
 
     long remainingMillis(long nowNanos) {
-        return TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos);
+        return TimeUnit.NANOSECONDS.toMillis(info.deadlineNanos() - nowNanos);
     }
 
     void attemptStarted(String name, long nowNanos) {
--- a/src/main/java/org/gooseberryhill/decision/online/OnlineIntake.java
+++ b/src/main/java/org/gooseberryhill/decision/online/OnlineRequestInfo.java
@@ -13,7 +13,7 @@
  * @param idempotent whether the request may run more than once
  * @param deadlineNanos the time at which the caller stops waiting, in nanoseconds
  */
-public record OnlineIntake(
+public record OnlineRequestInfo(
         String id,
         String caller,
         String service,
--- a/src/main/java/org/gooseberryhill/entry/CallRouter.java
+++ b/src/main/java/org/gooseberryhill/entry/CallRouter.java
@@ -18,7 +18,7 @@
 import org.gooseberryhill.contract.Fingerprint;
 import org.gooseberryhill.contract.Refusal;
 import org.gooseberryhill.decision.drain.PlannedStop;
-import org.gooseberryhill.decision.online.OnlineIntake;
+import org.gooseberryhill.decision.online.OnlineRequestInfo;
 import org.gooseberryhill.host.Role;
 import org.gooseberryhill.http.BodyCollector;
 import org.gooseberryhill.http.HttpCall;
@@ -99,7 +99,7 @@
             refuse(call, requestId, ErrorCode.INVALID_REQUEST, "neither \"messages\" nor \"prompt\" is there");
             return;
         }
-        OnlineIntake intake = new OnlineIntake(
+        OnlineRequestInfo requestInfo = new OnlineRequestInfo(
                 requestId,
                 caller.name(),
                 service.get().name(),
@@ -107,7 +107,7 @@
                 promptPrefixHash(json.get()),
                 true,
                 deadlineNanos(call));
-        new ModelCall(context, call, intake, service.get(), body).begin();
+        new ModelCall(context, call, requestInfo, service.get(), body).begin();
     }
 
     private void startPlainCall(HttpCall call, String requestId, CallerSettings caller, byte[] body) {
@@ -136,9 +136,9 @@
                 .filter(found -> !idempotent)
                 .map(found ->
                         new ClaimDriver(context.process(), caller.name(), name + "\n" + found, fingerprint.value()));
-        OnlineIntake intake =
-                new OnlineIntake(requestId, caller.name(), name, fingerprint, 0, idempotent, deadlineNanos(call));
-        new PlainCall(context, call, intake, target, body, claim).begin();
+        OnlineRequestInfo requestInfo =
+                new OnlineRequestInfo(requestId, caller.name(), name, fingerprint, 0, idempotent, deadlineNanos(call));
+        new PlainCall(context, call, requestInfo, target, body, claim).begin();
     }
 
     private Optional<ServiceSettings> serviceOf(CallerSettings caller, String model) {
--- a/src/main/java/org/gooseberryhill/entry/ModelCall.java
+++ b/src/main/java/org/gooseberryhill/entry/ModelCall.java
@@ -10,7 +10,7 @@
 import org.gooseberryhill.configuration.ServiceSettings;
 import org.gooseberryhill.contract.Outcome;
 import org.gooseberryhill.contract.Refusal;
-import org.gooseberryhill.decision.online.OnlineIntake;
+import org.gooseberryhill.decision.online.OnlineRequestInfo;
 import org.gooseberryhill.http.EventStreamReader;
 import org.gooseberryhill.http.Exchange;
 import org.gooseberryhill.http.ExchangeFailure;
@@ -39,8 +39,9 @@
     /** Time of the latest token, or of the start of the request while there is none. */
     private volatile long lastTokenNanos;
 
-    ModelCall(EntryContext context, HttpCall call, OnlineIntake intake, ServiceSettings service, byte[] body) {
-        super(context, call, intake);
+    ModelCall(
+            EntryContext context, HttpCall call, OnlineRequestInfo requestInfo, ServiceSettings service, byte[] body) {
+        super(context, call, requestInfo);
         this.service = service;
         this.body = body;
         this.lastTokenNanos = startNanos;
@@ -50,7 +51,7 @@
     Exchange startExchange(EndpointSettings endpoint, long attempt) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("content-type", "application/json");
-        headers.put("x-request-id", intake.id());
+        headers.put("x-request-id", requestInfo.id());
         if (tokensForwarded > 0) {
             headers.put("x-resume-from", Integer.toString(tokensForwarded));
         }
@@ -68,17 +69,17 @@
     @Override
     void refuse(Refusal refusal) {
         if (!streamStarted) {
-            ErrorResponse.reply(call, intake.id(), refusal);
+            ErrorResponse.reply(call, requestInfo.id(), refusal);
             return;
         }
-        String event = "data: " + Json.text(ErrorResponse.body(intake.id(), refusal)) + "\n\n";
+        String event = "data: " + Json.text(ErrorResponse.body(requestInfo.id(), refusal)) + "\n\n";
         call.write(event.getBytes(StandardCharsets.UTF_8)).whenComplete((done, failure) -> call.abortStream());
     }
 
     private Map<String, String> answerHeaders(String contentType, String endpoint) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("content-type", contentType);
-        headers.put("x-request-id", intake.id());
+        headers.put("x-request-id", requestInfo.id());
         headers.put("x-endpoint", endpoint);
         return headers;
     }
@@ -154,7 +155,8 @@
                 call.beginStream(OK, answerHeaders(contentType, endpoint.name()));
                 context.metrics()
                         .firstByteReceived(
-                                intake.service(), (nowNanos() - startNanos) / (double) TimeUnit.SECONDS.toNanos(1));
+                                requestInfo.service(),
+                                (nowNanos() - startNanos) / (double) TimeUnit.SECONDS.toNanos(1));
             }
             if (isEndMark) {
                 endMarkReceived = true;
--- a/src/main/java/org/gooseberryhill/entry/OnlineCall.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineCall.java
@@ -11,8 +11,8 @@
 import org.gooseberryhill.contract.Outcome;
 import org.gooseberryhill.contract.Refusal;
 import org.gooseberryhill.decision.online.OnlineDecision;
-import org.gooseberryhill.decision.online.OnlineIntake;
 import org.gooseberryhill.decision.online.OnlineRequest;
+import org.gooseberryhill.decision.online.OnlineRequestInfo;
 import org.gooseberryhill.decision.retry.AttemptFailure;
 import org.gooseberryhill.host.Host;
 import org.gooseberryhill.http.Exchange;
@@ -34,17 +34,17 @@
 
     final EntryContext context;
     final HttpCall call;
-    final OnlineIntake intake;
+    final OnlineRequestInfo requestInfo;
     final long startNanos;
     private OnlineRequest request;
     private Exchange exchange;
     private boolean finished;
     private long attemptNumber;
 
-    OnlineCall(EntryContext context, HttpCall call, OnlineIntake intake) {
+    OnlineCall(EntryContext context, HttpCall call, OnlineRequestInfo requestInfo) {
         this.context = context;
         this.call = call;
-        this.intake = intake;
+        this.requestInfo = requestInfo;
         this.startNanos = process().loop().nowNanos();
     }
 
@@ -114,18 +114,18 @@
             process()
                     .timeline()
                     .event(EventKind.ATTEMPT_FAILED)
-                    .request(intake.id())
+                    .request(requestInfo.id())
                     .endpoint(endpoint)
                     .with("attempt", attempt)
                     .with("outcome", failure.outcome().wireName())
                     .with("detail", failure.detail())
                     .write();
             try (CloseableThreadContext.Instance ignored =
-                    CloseableThreadContext.put("request", intake.id()).put("endpoint", endpoint)) {
+                    CloseableThreadContext.put("request", requestInfo.id()).put("endpoint", endpoint)) {
                 LOG.warn("attempt {} failed, {}: {}", attempt, failure.outcome().wireName(), failure.detail());
             }
             if (connectionCut) {
-                context.traffic().onEndpointCrashed(endpoint, intake.fingerprint());
+                context.traffic().onEndpointCrashed(endpoint, requestInfo.fingerprint());
             }
             releasePermit(false);
             AttemptFailure attemptFailure = new AttemptFailure(failure.outcome(), connectionCut, failure.detail());
@@ -159,7 +159,7 @@
             refuseAdmission(Refusal.notRun(ErrorCode.STOPPING, "this host is stopping", 1));
             return;
         }
-        Either<Refusal, OnlineRequest> admitted = context.traffic().core().admit(intake, nowNanos());
+        Either<Refusal, OnlineRequest> admitted = context.traffic().core().admit(requestInfo, nowNanos());
         if (admitted.isLeft()) {
             refuseAdmission(admitted.getLeft());
             return;
@@ -168,18 +168,18 @@
         context.traffic().requestStarted();
         context.metrics().requestStarted();
         call.onDisconnect(() -> process().loop().execute(this::onCallerDisconnected));
-        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(intake.deadlineNanos() - nowNanos());
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(requestInfo.deadlineNanos() - nowNanos());
         process().loop().after(remainingMillis, this::onDeadlinePassed);
         prepare();
     }
 
     private void refuseAdmission(Refusal refusal) {
         finished = true;
-        context.metrics().requestRefused(intake.service(), refusal.code().wireName());
+        context.metrics().requestRefused(requestInfo.service(), refusal.code().wireName());
         process()
                 .timeline()
                 .event(EventKind.REQUEST_REFUSED)
-                .request(intake.id())
+                .request(requestInfo.id())
                 .with("code", refusal.code().wireName())
                 .with("reason", refusal.message())
                 .write();
@@ -205,7 +205,7 @@
         process()
                 .timeline()
                 .event(EventKind.ATTEMPT_SENT)
-                .request(intake.id())
+                .request(requestInfo.id())
                 .endpoint(endpoint.name())
                 .with("attempt", attemptNumber)
                 .write();
@@ -214,13 +214,13 @@
 
     /** Requests an endpoint where the request, a crash suspect, may run isolated from other suspects. */
     private void requestPermit(OnlineDecision.AskPermit ask) {
-        Optional<Host> arbiter = context.traffic().suspectArbiter(intake.service());
+        Optional<Host> arbiter = context.traffic().suspectArbiter(requestInfo.service());
         if (arbiter.isEmpty()) {
             onPermitAnswer(Optional.empty());
             return;
         }
         PeerMessage message = new PeerMessage.SuspectPermitRequest(
-                intake.service(), intake.fingerprint().value(), ask.endpoints());
+                requestInfo.service(), requestInfo.fingerprint().value(), ask.endpoints());
         process()
                 .ask(arbiter.get(), message)
                 .whenComplete((reply, failure) -> process()
@@ -247,9 +247,9 @@
 
     private void sendPermitRelease(boolean completed) {
         PeerMessage release = new PeerMessage.SuspectRelease(
-                intake.service(), intake.fingerprint().value(), completed);
+                requestInfo.service(), requestInfo.fingerprint().value(), completed);
         context.traffic()
-                .suspectArbiter(intake.service())
+                .suspectArbiter(requestInfo.service())
                 .ifPresent(host -> process().send(host, release));
     }
 
@@ -281,11 +281,11 @@
         finished = true;
         context.traffic().core().finished(request);
         context.traffic().requestEnded();
-        context.metrics().requestEnded(intake.service(), end);
+        context.metrics().requestEnded(requestInfo.service(), end);
         process()
                 .timeline()
                 .event(EventKind.REQUEST_ENDED)
-                .request(intake.id())
+                .request(requestInfo.id())
                 .with("end", end)
                 .write();
     }
--- a/src/main/java/org/gooseberryhill/entry/PlainCall.java
+++ b/src/main/java/org/gooseberryhill/entry/PlainCall.java
@@ -12,7 +12,7 @@
 import org.gooseberryhill.contract.Outcome;
 import org.gooseberryhill.contract.Refusal;
 import org.gooseberryhill.decision.idempotency.ClaimRecord;
-import org.gooseberryhill.decision.online.OnlineIntake;
+import org.gooseberryhill.decision.online.OnlineRequestInfo;
 import org.gooseberryhill.http.Exchange;
 import org.gooseberryhill.http.ExchangeFailure;
 import org.gooseberryhill.http.ExchangeListener;
@@ -54,11 +54,11 @@
     PlainCall(
             EntryContext context,
             HttpCall call,
-            OnlineIntake intake,
+            OnlineRequestInfo requestInfo,
             String target,
             byte[] body,
             Optional<ClaimDriver> claim) {
-        super(context, call, intake);
+        super(context, call, requestInfo);
         this.target = target;
         this.body = body;
         this.claim = claim;
@@ -76,7 +76,7 @@
     @Override
     Exchange startExchange(EndpointSettings endpoint, long attempt) {
         Map<String, String> headers = forwardedHeaders(call.headers());
-        headers.put("x-request-id", intake.id());
+        headers.put("x-request-id", requestInfo.id());
         ExchangeRequest request = new ExchangeRequest(
                 endpoint.address(),
                 call.method(),
@@ -84,7 +84,7 @@
                 headers,
                 body,
                 context.settings().endpointSilenceMillis(),
-                !intake.idempotent());
+                !requestInfo.idempotent());
         ExchangeListener listener =
                 claim.isPresent() ? new BufferedAttempt(attempt) : new StreamedAttempt(endpoint, attempt);
         Exchange exchange = process().http().start(request, listener);
@@ -100,7 +100,7 @@
         if (streamStarted) {
             call.abortStream();
         } else {
-            ErrorResponse.reply(call, intake.id(), refusal);
+            ErrorResponse.reply(call, requestInfo.id(), refusal);
         }
     }
 
@@ -139,7 +139,7 @@
             markAnswerStarted();
             streamStarted = true;
             Map<String, String> forwarded = forwardedHeaders(headers);
-            forwarded.put("x-request-id", intake.id());
+            forwarded.put("x-request-id", requestInfo.id());
             forwarded.put("x-endpoint", endpoint.name());
             call.beginStream(status, forwarded);
         }
@@ -184,7 +184,7 @@
             status = newStatus;
             headers = forwardedHeaders(newHeaders);
             headers.remove("content-length");
-            headers.put("x-request-id", intake.id());
+            headers.put("x-request-id", requestInfo.id());
         }
 
         @Override
--- a/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
+++ b/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.gooseberryhill.contract.Fingerprint;
 import org.gooseberryhill.decision.dispatch.AttemptEnd;
-import org.gooseberryhill.decision.dispatch.RoutedIntake;
+import org.gooseberryhill.decision.dispatch.RoutedRequestInfo;
 import org.gooseberryhill.decision.quarantine.CrashSuspects;
 import org.gooseberryhill.decision.quarantine.CrashSuspects.Verdict;
 import org.gooseberryhill.peer.PeerMessage;
@@ -46,14 +46,14 @@
     }
 
     /** Clears a request that got its complete answer, since it crashes no endpoint, and notifies the other gateways. */
-    void requestCompleted(RoutedIntake intake) {
+    void requestCompleted(RoutedRequestInfo requestInfo) {
         if (suspects.size() == 0) {
             return;
         }
-        Fingerprint request = intake.fingerprint();
+        Fingerprint request = requestInfo.fingerprint();
         if (suspects.verdict(request, context.nowNanos()) != Verdict.CLEAR) {
             suspects.clear(request);
-            links.broadcast(new PeerMessage.SuspectRelease(intake.service(), request.value(), true));
+            links.broadcast(new PeerMessage.SuspectRelease(requestInfo.service(), request.value(), true));
         }
     }
 
--- a/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RequestRouter.java
@@ -9,7 +9,7 @@
 import org.gooseberryhill.contract.ErrorCode;
 import org.gooseberryhill.contract.Fingerprint;
 import org.gooseberryhill.contract.Refusal;
-import org.gooseberryhill.decision.dispatch.RoutedIntake;
+import org.gooseberryhill.decision.dispatch.RoutedRequestInfo;
 import org.gooseberryhill.dialect.BatchApiCall;
 import org.gooseberryhill.dialect.RequestMetadata;
 import org.gooseberryhill.http.BodyCollector;
@@ -109,7 +109,7 @@
             submissionHandler.submit(call, id, route.get(), body, arrivedNanos);
             return;
         }
-        RoutedIntake intake = new RoutedIntake(
+        RoutedRequestInfo requestInfo = new RoutedRequestInfo(
                 id,
                 route.get(),
                 chooseService(route.get()),
@@ -118,7 +118,7 @@
                         call.method() + " " + call.headers().get(HttpHeaderNames.HOST, "") + call.target(), body)),
                 arrivedNanos,
                 arrivedNanos + TimeUnit.MILLISECONDS.toNanos(deadlineMillis(metadata, route.get())));
-        new RoutedCall(context, traffic, call, metadata, intake, body).start();
+        new RoutedCall(context, traffic, call, metadata, requestInfo, body).start();
     }
 
     private String chooseService(Route route) {
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -11,8 +11,8 @@
 import org.gooseberryhill.decision.dispatch.DispatchDecision;
 import org.gooseberryhill.decision.dispatch.OverloadFacts;
 import org.gooseberryhill.decision.dispatch.PlacementFacts;
-import org.gooseberryhill.decision.dispatch.RoutedIntake;
 import org.gooseberryhill.decision.dispatch.RoutedRequest;
+import org.gooseberryhill.decision.dispatch.RoutedRequestInfo;
 import org.gooseberryhill.decision.dispatch.ServiceState;
 import org.gooseberryhill.dialect.AttemptMetadata;
 import org.gooseberryhill.dialect.RequestMetadata;
@@ -66,15 +66,15 @@
             GatewayTraffic traffic,
             HttpCall call,
             RequestMetadata metadata,
-            RoutedIntake intake,
+            RoutedRequestInfo requestInfo,
             byte[] body) {
         this.context = context;
         this.traffic = traffic;
         this.call = call;
         this.metadata = metadata;
         this.body = body;
-        this.request = context.core().newRequest(intake);
-        this.relay = new AnswerRelay(call, intake.route(), metadata.lastEventId());
+        this.request = context.core().newRequest(requestInfo);
+        this.relay = new AnswerRelay(call, requestInfo.route(), metadata.lastEventId());
     }
 
     /** Starts the request; may be called from any thread. */
@@ -95,7 +95,7 @@
     private void startOnControlThread() {
         traffic.requestStarted();
         call.onDisconnect(() -> context.loop().execute(this::callerDisconnected));
-        long leftNanos = request.intake().deadlineNanos() - context.nowNanos();
+        long leftNanos = request.info().deadlineNanos() - context.nowNanos();
         long leftMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos));
         context.loop().after(leftMillis, this::deadlineExceeded);
         if (!context.stop().acceptsRequest(leftMillis, context.nowNanos())) {
@@ -126,7 +126,7 @@
         traffic.loadChanged();
         context.timeline()
                 .event(EventKind.ATTEMPT_SENT)
-                .request(request.intake().id())
+                .request(request.info().id())
                 .endpoint(endpoint.id())
                 .with("attempt", attemptNumber)
                 .with("usable", facts.usable())
@@ -137,11 +137,11 @@
                 .with(
                         "sinceArrivalMillis",
                         TimeUnit.NANOSECONDS.toMillis(
-                                context.nowNanos() - request.intake().arrivedNanos()))
+                                context.nowNanos() - request.info().arrivedNanos()))
                 .with("directoryAgeMillis", traffic.directoryAgeMillis())
                 .write();
         HttpHeaders headers = ForwardedHeaders.ofRequest(call.headers());
-        long leftMillis = TimeUnit.NANOSECONDS.toMillis(request.intake().deadlineNanos() - context.nowNanos());
+        long leftMillis = TimeUnit.NANOSECONDS.toMillis(request.info().deadlineNanos() - context.nowNanos());
         context.dialects()
                 .traffic()
                 .addAttemptMetadata(
@@ -155,7 +155,7 @@
                 endpoint.address(), call.method(), call.target(), headers, body, options(leftMillis));
         Exchange started = context.http().start(exchangeRequest, relay.newAttemptListener(this, attemptNumber));
         exchange = Optional.of(started);
-        if (request.intake().route().kind() == RouteKind.STREAM) {
+        if (request.info().route().kind() == RouteKind.STREAM) {
             scheduleSilenceCheck(started, SILENCE_TIMEOUT_MILLIS);
         }
     }
@@ -196,8 +196,8 @@
     }
 
     private ExchangeOptions options(long leftMillis) {
-        boolean repeatable = request.intake().route().isRepeatable();
-        String id = request.intake().id();
+        boolean repeatable = request.info().route().isRepeatable();
+        String id = request.info().id();
         return new ExchangeOptions(
                 (int) Math.max(1, leftMillis),
                 (int) Math.max(1, Math.min(CONNECT_TIMEOUT_MILLIS, leftMillis)),
@@ -218,7 +218,7 @@
             }
             exchange = Optional.empty();
             recordAttemptEnd(AttemptEnd.ANSWERED);
-            traffic.crashTracking().requestCompleted(request.intake());
+            traffic.crashTracking().requestCompleted(request.info());
             context.core().attemptSucceeded(request, context.nowNanos());
             finish(
                     ANSWERED,
@@ -233,8 +233,8 @@
     void answerStarted() {
         context.metrics()
                 .firstByteSent(
-                        request.intake().route().name(),
-                        seconds(context.nowNanos() - request.intake().arrivedNanos()));
+                        request.info().route().name(),
+                        seconds(context.nowNanos() - request.info().arrivedNanos()));
     }
 
     /**
@@ -250,7 +250,7 @@
             String endpoint = request.endpoint().map(key -> key.id()).orElse("");
             context.timeline()
                     .event(EventKind.ATTEMPT_FAILED)
-                    .request(request.intake().id())
+                    .request(request.info().id())
                     .endpoint(endpoint)
                     .with("attempt", attempt)
                     .with("end", end)
@@ -259,7 +259,7 @@
             recordAttemptEnd(end);
             recordAnswerStart();
             if (!relay.isStarted()) {
-                traffic.crashTracking().attemptEnded(request.intake().fingerprint(), endpoint, end);
+                traffic.crashTracking().attemptEnded(request.info().fingerprint(), endpoint, end);
             }
             DispatchDecision decision = context.core().attemptFailed(request, end, context.nowNanos());
             if (decision instanceof DispatchDecision.Refuse && answer.isPresent() && end == AttemptEnd.ERROR_ANSWER) {
@@ -293,7 +293,7 @@
         if (relay.isStarted()) {
             call.abortStream();
         } else {
-            traffic.refuse(call, request.intake().id(), refusal);
+            traffic.refuse(call, request.info().id(), refusal);
         }
         EventBuilder event = context.timeline()
                 .event(EventKind.REQUEST_FAILED)
@@ -326,7 +326,7 @@
     }
 
     private String deadlineExceededReason() {
-        long timeoutMillis = request.intake().route().timeoutMillis();
+        long timeoutMillis = request.info().route().timeoutMillis();
         String bound = allowedMillis() >= timeoutMillis ? "the route's timeout" : "the caller's deadline";
         return bound + " of " + allowedMillis() + " ms was over before the " + (relay.isStarted() ? "end of the " : "")
                 + "answer";
@@ -335,7 +335,7 @@
     /** Returns the time that the request may take from its arrival at this host. */
     private long allowedMillis() {
         return TimeUnit.NANOSECONDS.toMillis(
-                request.intake().deadlineNanos() - request.intake().arrivedNanos());
+                request.info().deadlineNanos() - request.info().arrivedNanos());
     }
 
     private void abandonAttempt() {
@@ -348,7 +348,7 @@
         finished = true;
         traffic.requestEnded();
         traffic.loadChanged();
-        context.metrics().requestEnded(request.intake().route().name(), end);
+        context.metrics().requestEnded(request.info().route().name(), end);
         if (!end.equals(ANSWERED)) {
             // Log lines may be dropped under load, so the line of a failed request itself states what led to the
             // failure.
@@ -356,16 +356,16 @@
                     .with("answerBegun", relay.isStarted())
                     .with("allowedMillis", allowedMillis())
                     .with("configuration", traffic.configurationVersion());
-            addService(event, request.intake().service());
+            addService(event, request.info().service());
         }
-        event.request(request.intake().id())
-                .with("route", request.intake().route().name())
+        event.request(request.info().id())
+                .with("route", request.info().route().name())
                 .with("sends", request.sends())
                 .with("outcome", request.outcome().wireName())
                 .with(
                         "millis",
                         TimeUnit.NANOSECONDS.toMillis(
-                                context.nowNanos() - request.intake().arrivedNanos()))
+                                context.nowNanos() - request.info().arrivedNanos()))
                 .write();
     }
 
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
@@ -292,9 +292,9 @@
     @Test
     void aRequestThatCrashedEndpointsTwiceIsRefusedAsNotRun() {
         RoutedRequest request = fixture.arrive(SAFE);
-        fixture.suspects.recordCrash("e0", List.of(request.intake().fingerprint()), fixture.nowNanos);
+        fixture.suspects.recordCrash("e0", List.of(request.info().fingerprint()), fixture.nowNanos);
         fixture.advanceMillis(3000);
-        fixture.suspects.recordCrash("e1", List.of(request.intake().fingerprint()), fixture.nowNanos);
+        fixture.suspects.recordCrash("e1", List.of(request.info().fingerprint()), fixture.nowNanos);
 
         assertThat(refusal(fixture.dispatch(request)).code()).isEqualTo(ErrorCode.QUARANTINED);
     }
@@ -385,7 +385,7 @@
     }
 
     private void quarantine(RoutedRequest request) {
-        fixture.suspects.recordCrash("x0", List.of(request.intake().fingerprint()), fixture.nowNanos);
-        fixture.suspects.recordCrash("x1", List.of(request.intake().fingerprint()), fixture.nowNanos);
+        fixture.suspects.recordCrash("x0", List.of(request.info().fingerprint()), fixture.nowNanos);
+        fixture.suspects.recordCrash("x1", List.of(request.info().fingerprint()), fixture.nowNanos);
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchFixture.java
@@ -80,7 +80,7 @@
 
     RoutedRequest arrive(Route route, Optional<Prompt> prompt) {
         String id = "q" + requests++;
-        return core.newRequest(new RoutedIntake(
+        return core.newRequest(new RoutedRequestInfo(
                 id,
                 route,
                 SERVICE,
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
@@ -99,9 +99,8 @@
         String other = "e" + random.nextInt(MAX_ENDPOINTS);
         switch (random.nextInt(8)) {
             case 0 -> request.answerStarted();
-            case 1 ->
-                fixture.suspects.recordCrash(other, List.of(request.intake().fingerprint()), fixture.nowNanos);
-            case 2 -> fixture.suspects.clear(request.intake().fingerprint());
+            case 1 -> fixture.suspects.recordCrash(other, List.of(request.info().fingerprint()), fixture.nowNanos);
+            case 2 -> fixture.suspects.clear(request.info().fingerprint());
             case 3 ->
                 fixture.fleet.attemptEnded(
                         DispatchFixture.key(other), FAILURES.get(random.nextInt(FAILURES.size())), fixture.nowNanos);
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreFixture.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreFixture.java
@@ -34,8 +34,8 @@
         return core;
     }
 
-    static OnlineIntake intake(int number, boolean idempotent, long deadlineNanos) {
+    static OnlineRequestInfo requestInfo(int number, boolean idempotent, long deadlineNanos) {
         byte[] body = ("request " + number).getBytes(StandardCharsets.UTF_8);
-        return new OnlineIntake("r" + number, "c", "s", Fingerprint.of("s", body), 0, idempotent, deadlineNanos);
+        return new OnlineRequestInfo("r" + number, "c", "s", Fingerprint.of("s", body), 0, idempotent, deadlineNanos);
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreProperties.java
@@ -69,20 +69,20 @@
 
         private void arrive(int number) {
             boolean isIdempotent = random.nextBoolean();
-            OnlineIntake intake = OnlineCoreFixture.intake(number, isIdempotent, nowNanos + 20 * SECOND);
-            Either<Refusal, OnlineRequest> admitted = core.admit(intake, nowNanos);
+            OnlineRequestInfo requestInfo = OnlineCoreFixture.requestInfo(number, isIdempotent, nowNanos + 20 * SECOND);
+            Either<Refusal, OnlineRequest> admitted = core.admit(requestInfo, nowNanos);
             if (admitted.isLeft()) {
                 assertThat(admitted.getLeft().outcome()).isEqualTo(Outcome.NOT_RUN);
                 return;
             }
             if (isIdempotent) {
-                idempotentIds.add(intake.id());
+                idempotentIds.add(requestInfo.id());
             }
             follow(admitted.get(), core.next(admitted.get(), nowNanos));
         }
 
         private void follow(OnlineRequest request, OnlineDecision decision) {
-            String id = request.intake().id();
+            String id = request.info().id();
             if (decision instanceof OnlineDecision.AskPermit askPermit) {
                 Optional<String> granted =
                         random.nextBoolean() ? Optional.of(askPermit.endpoints().get(0)) : Optional.empty();
@@ -122,11 +122,11 @@
             }
             OnlineRequest request = inFlight.remove(random.nextInt(inFlight.size()));
             if (outcome == Outcome.MAY_HAVE_RUN) {
-                possibleRuns.merge(request.intake().id(), 1, Integer::sum);
+                possibleRuns.merge(request.info().id(), 1, Integer::sum);
             }
             if (crash) {
                 String endpoint = request.endpoint().orElseThrow();
-                core.suspects().recordCrash(endpoint, List.of(request.intake().fingerprint()), nowNanos);
+                core.suspects().recordCrash(endpoint, List.of(request.info().fingerprint()), nowNanos);
             }
             follow(request, core.attemptFailed(request, new AttemptFailure(outcome, crash, ""), nowNanos));
         }
@@ -137,8 +137,8 @@
         }
 
         private void finish(OnlineRequest request) {
-            assertThat(finishedIds.add(request.intake().id()))
-                    .as("%s finished once", request.intake().id())
+            assertThat(finishedIds.add(request.info().id()))
+                    .as("%s finished once", request.info().id())
                     .isTrue();
             core.finished(request);
         }
--- a/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/online/OnlineCoreTest.java
@@ -59,8 +59,8 @@
     void withoutAnyEndpointARequestIsRefusedAsNotRun() {
         core.endpoints().setLeaving(Set.of("e0", "e1", "e2", "e3"));
 
-        Refusal refusal =
-                core.admit(OnlineCoreFixture.intake(1, true, 10 * SECOND), 0).getLeft();
+        Refusal refusal = core.admit(OnlineCoreFixture.requestInfo(1, true, 10 * SECOND), 0)
+                .getLeft();
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.NO_ENDPOINT);
         assertThat(refusal.outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -77,8 +77,8 @@
             core.next(admit(i, true), 0);
         }
 
-        Refusal refusal =
-                core.admit(OnlineCoreFixture.intake(99, true, SECOND / 100), 0).getLeft();
+        Refusal refusal = core.admit(OnlineCoreFixture.requestInfo(99, true, SECOND / 100), 0)
+                .getLeft();
 
         assertThat(refusal.code()).isEqualTo(ErrorCode.OVERLOADED);
         assertThat(refusal.retryAfterMillis().orElseThrow()).isPositive();
@@ -106,14 +106,14 @@
         OnlineRequest request = admit(1, true);
         OnlineDecision.Send first = (OnlineDecision.Send) core.next(request, 0);
         core.suspects()
-                .recordCrash(first.endpoint().name(), List.of(request.intake().fingerprint()), 0);
+                .recordCrash(first.endpoint().name(), List.of(request.info().fingerprint()), 0);
         OnlineDecision.AskPermit askPermit = (OnlineDecision.AskPermit) core.attemptFailed(request, CUT, 0);
         String granted = askPermit.endpoints().get(0);
         core.onPermitAnswer(request, Optional.of(granted), 0);
-        core.suspects().recordCrash(granted, List.of(request.intake().fingerprint()), 3 * SECOND);
+        core.suspects().recordCrash(granted, List.of(request.info().fingerprint()), 3 * SECOND);
 
         OnlineDecision decision = core.attemptFailed(request, CUT, 3 * SECOND);
-        Refusal resendRefusal = core.admit(OnlineCoreFixture.intake(1, true, 10 * SECOND), 3 * SECOND)
+        Refusal resendRefusal = core.admit(OnlineCoreFixture.requestInfo(1, true, 10 * SECOND), 3 * SECOND)
                 .getLeft();
 
         assertThat(((OnlineDecision.Refuse) decision).refusal().code()).isEqualTo(ErrorCode.QUARANTINED);
@@ -128,7 +128,7 @@
     @Test
     void aPermitAnsweredAfterTheQuarantineIsNotUsed() {
         OnlineRequest request = admit(1, true);
-        List<Fingerprint> fingerprints = List.of(request.intake().fingerprint());
+        List<Fingerprint> fingerprints = List.of(request.info().fingerprint());
         core.suspects().recordCrash("e0", fingerprints, 0);
         core.next(request, 0);
         core.suspects().recordCrash("e1", fingerprints, 0);
@@ -141,7 +141,7 @@
     @Test
     void aSuspectThatCompletesIsCleared() {
         OnlineRequest request = admit(1, true);
-        core.suspects().recordCrash("e0", List.of(request.intake().fingerprint()), 0);
+        core.suspects().recordCrash("e0", List.of(request.info().fingerprint()), 0);
         core.next(request, 0);
         core.onPermitAnswer(request, Optional.of("e1"), 0);
         core.attemptSucceeded(request, SECOND);
@@ -150,7 +150,7 @@
     }
 
     private OnlineRequest admit(int number, boolean idempotent) {
-        return core.admit(OnlineCoreFixture.intake(number, idempotent, 100 * SECOND), 0)
+        return core.admit(OnlineCoreFixture.requestInfo(number, idempotent, 100 * SECOND), 0)
                 .get();
     }
 }
--- a/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
+++ b/src/test/java/org/gooseberryhill/decision/replay/ReplayHost.java
@@ -17,8 +17,8 @@
 import org.gooseberryhill.decision.dispatch.DispatchPolicies;
 import org.gooseberryhill.decision.dispatch.Fleet;
 import org.gooseberryhill.decision.dispatch.InFlight;
-import org.gooseberryhill.decision.dispatch.RoutedIntake;
 import org.gooseberryhill.decision.dispatch.RoutedRequest;
+import org.gooseberryhill.decision.dispatch.RoutedRequestInfo;
 import org.gooseberryhill.decision.quarantine.CrashSuspects;
 import org.gooseberryhill.decision.requestbatch.BatchRoutes;
 import org.gooseberryhill.decision.requestbatch.FeasibleFirstOrder;
@@ -89,7 +89,7 @@
     /** Handles an attempt of a caller that arrives at this host. */
     void receive(ReplayCall call, Route route, long deadlineNanos) {
         String name = id.value() + "-" + requestCount++;
-        RoutedRequest request = core.newRequest(new RoutedIntake(
+        RoutedRequest request = core.newRequest(new RoutedRequestInfo(
                 name,
                 route,
                 ServingReplay.SERVICE,
