--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -70,7 +70,7 @@
     public ServiceState serviceState(String service, long nowNanos) {
         List<FleetEndpoint> usable = usableEndpoints(service, nowNanos);
         long oldestNanos = reports.values().stream()
-                .mapToLong(report -> nowNanos - report.atNanos)
+                .mapToLong(report -> nowNanos - report.receivedNanos)
                 .max()
                 .orElse(0);
         return new ServiceState(
@@ -282,7 +282,7 @@
     }
 
     /** The requests that a host had in flight, and when its report arrived. */
-    private record Report(Map<EndpointKey, InFlight> inFlight, long atNanos) {
+    private record Report(Map<EndpointKey, InFlight> inFlight, long receivedNanos) {
         InFlight at(EndpointKey endpoint) {
             return inFlight.getOrDefault(endpoint, InFlight.NONE);
         }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
@@ -38,7 +38,8 @@
         FleetEndpoint best = null;
         double bestCost = Double.MAX_VALUE;
         for (FleetEndpoint candidate : endpoints) {
-            if (!candidate.isUsable(placement.nowNanos()) || placement.tried().contains(candidate.key())) {
+            if (!candidate.isUsable(placement.nowNanos())
+                    || placement.excluded().contains(candidate.key())) {
                 continue;
             }
             double cost = cost(candidate, placement) + random.nextDouble();
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PlacementCase.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PlacementCase.java
@@ -12,7 +12,7 @@
  * @param zone the availability zone where the host runs
  * @param prompt the prompt; present for a token generation request
  * @param prefixes the prompt prefixes that the endpoints have processed
- * @param tried the endpoints to leave out, since they have or had the request
+ * @param excluded the endpoints to leave out, since they have or had the request
  * @param meanRunMillis the mean time that a request of the service holds its slot
  * @param nowNanos the current time
  */
@@ -20,7 +20,7 @@
         AvailabilityZone zone,
         Optional<Prompt> prompt,
         PromptPrefixTracker prefixes,
-        Set<EndpointKey> tried,
+        Set<EndpointKey> excluded,
         double meanRunMillis,
         long nowNanos) {
     /** Returns how many tokens of the prompt an endpoint would have to process; 0 without a prompt. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/RoundRobinPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/RoundRobinPlacement.java
@@ -12,7 +12,8 @@
         for (int i = 0; i < endpoints.size(); i++) {
             lastIndex = (lastIndex + 1) % endpoints.size();
             FleetEndpoint candidate = endpoints.get(lastIndex);
-            if (candidate.isUsable(placement.nowNanos()) && !placement.tried().contains(candidate.key())) {
+            if (candidate.isUsable(placement.nowNanos())
+                    && !placement.excluded().contains(candidate.key())) {
                 return Optional.of(candidate);
             }
         }
--- a/src/main/java/org/gooseberryhill/dialect/AttemptMetadata.java
+++ b/src/main/java/org/gooseberryhill/dialect/AttemptMetadata.java
@@ -7,9 +7,9 @@
  * Metadata that an endpoint must receive with one attempt. Immutable.
  *
  * @param endpointId id of the intended endpoint; another endpoint at the same address must refuse the request
- * @param leftMillis how long the caller still waits; empty for a batch item, which has no deadline of its own
+ * @param remainingMillis how long the caller still waits; empty for a batch item, which has no deadline of its own
  * @param lastEventId id of the event after which the stream continues
  * @param requestId id of the request, if its own headers do not contain one
  */
 public record AttemptMetadata(
-        String endpointId, OptionalLong leftMillis, Optional<Long> lastEventId, Optional<String> requestId) {}
+        String endpointId, OptionalLong remainingMillis, Optional<Long> lastEventId, Optional<String> requestId) {}
--- a/src/main/java/org/gooseberryhill/dialect/BatchApiCall.java
+++ b/src/main/java/org/gooseberryhill/dialect/BatchApiCall.java
@@ -6,10 +6,10 @@
      * Reads the results of a request batch.
      *
      * @param batch id of the batch
-     * @param after position of the first result requested, counted from 0
+     * @param firstPosition position of the first result requested, counted from 0
      * @param waitMillis maximum time that the call waits for a result
      */
-    record ReadResults(String batch, int after, long waitMillis) implements BatchApiCall {}
+    record ReadResults(String batch, int firstPosition, long waitMillis) implements BatchApiCall {}
 
     /**
      * Reads the body of an item that has no result yet.
--- a/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchApiHandler.java
@@ -91,7 +91,7 @@
         // A stopping host answers at once: a waiting call would be cut off when the process ends.
         long waitMillis = context.stop().phase() == PlannedStop.Phase.SERVING ? read.waitMillis() : 0;
         if (registry.find(read.batch()).isPresent()) {
-            readOwnedResults(read.batch(), read.after(), waitMillis, page -> replyPage(call, read, page));
+            readOwnedResults(read.batch(), read.firstPosition(), waitMillis, page -> replyPage(call, read, page));
             return;
         }
         Optional<Host> owner = registry.owner(read.batch()).flatMap(links::find);
@@ -99,7 +99,7 @@
             readStoredResults(call, read);
             return;
         }
-        PeerMessage request = new GatewayMessage.ResultsRequest(read.batch(), read.after(), waitMillis);
+        PeerMessage request = new GatewayMessage.ResultsRequest(read.batch(), read.firstPosition(), waitMillis);
         context.onLoop(links.ask(owner.get(), request, waitMillis + REPLY_MARGIN_MILLIS), (reply, failure) -> {
             boolean hasOwnerAnswer = reply instanceof GatewayMessage.Results;
             replyPage(call, read, hasOwnerAnswer ? ((GatewayMessage.Results) reply).page() : Optional.empty());
@@ -115,7 +115,7 @@
     }
 
     private void readStoredResults(HttpCall call, BatchApiCall.ReadResults read) {
-        context.onLoop(storedBatchReader.readPage(read.batch(), read.after()), (page, failure) -> {
+        context.onLoop(storedBatchReader.readPage(read.batch(), read.firstPosition()), (page, failure) -> {
             if (failure != null) {
                 refusals.unavailable(call, read.batch(), false);
             } else if (page.isEmpty()) {
--- a/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
+++ b/src/main/java/org/gooseberryhill/gateway/RoutedCall.java
@@ -95,10 +95,10 @@
     private void startOnControlThread() {
         traffic.requestStarted();
         call.onDisconnect(() -> context.loop().execute(this::callerDisconnected));
-        long leftNanos = request.info().deadlineNanos() - context.nowNanos();
-        long leftMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos));
-        context.loop().after(leftMillis, this::deadlineExceeded);
-        if (!context.stop().acceptsRequest(leftMillis, context.nowNanos())) {
+        long remainingNanos = request.info().deadlineNanos() - context.nowNanos();
+        long remainingMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos));
+        context.loop().after(remainingMillis, this::deadlineExceeded);
+        if (!context.stop().acceptsRequest(remainingMillis, context.nowNanos())) {
             refuse(GatewayTraffic.STOPPING_REFUSAL, Optional.empty());
             return;
         }
@@ -141,18 +141,18 @@
                 .with("directoryAgeMillis", traffic.directoryAgeMillis())
                 .write();
         HttpHeaders headers = ForwardedHeaders.ofRequest(call.headers());
-        long leftMillis = TimeUnit.NANOSECONDS.toMillis(request.info().deadlineNanos() - context.nowNanos());
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(request.info().deadlineNanos() - context.nowNanos());
         context.dialects()
                 .traffic()
                 .addAttemptMetadata(
                         headers,
                         new AttemptMetadata(
                                 endpoint.id(),
-                                OptionalLong.of(Math.max(1, leftMillis)),
+                                OptionalLong.of(Math.max(1, remainingMillis)),
                                 relay.lastEventId(),
                                 Optional.empty()));
         ExchangeRequest exchangeRequest = new ExchangeRequest(
-                endpoint.address(), call.method(), call.target(), headers, body, options(leftMillis));
+                endpoint.address(), call.method(), call.target(), headers, body, options(remainingMillis));
         Exchange started = context.http().start(exchangeRequest, relay.newAttemptListener(this, attemptNumber));
         exchange = Optional.of(started);
         if (request.info().route().kind() == RouteKind.STREAM) {
@@ -195,12 +195,12 @@
         }
     }
 
-    private ExchangeOptions options(long leftMillis) {
+    private ExchangeOptions options(long remainingMillis) {
         boolean repeatable = request.info().route().isRepeatable();
         String id = request.info().id();
         return new ExchangeOptions(
-                (int) Math.max(1, leftMillis),
-                (int) Math.max(1, Math.min(CONNECT_TIMEOUT_MILLIS, leftMillis)),
+                (int) Math.max(1, remainingMillis),
+                (int) Math.max(1, Math.min(CONNECT_TIMEOUT_MILLIS, remainingMillis)),
                 repeatable ? Integer.MAX_VALUE : MAX_IDLE_MILLIS_UNREPEATABLE,
                 true,
                 answer -> context.dialects()
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -237,7 +237,7 @@
      * flight before the first crash may cause one more.
      */
     @Test
-    void aRequestThatCrashesRunnersSentThroughAllHostsAtOnceTakesDownAFew() {
+    void aRequestThatCrashesEnginesSentThroughAllHostsAtOnceCrashesAFew() {
         fixture.system
                 .platform()
                 .engines()
