--- a/src/main/java/org/gooseberryhill/configuration/ConfigurationReader.java
+++ b/src/main/java/org/gooseberryhill/configuration/ConfigurationReader.java
@@ -13,7 +13,7 @@
  * <p>All errors in a text are reported together. Example: {@code ConfigurationReader.read("fleet.yaml", text)}.
  */
 public final class ConfigurationReader {
-    /** The maximum size of a text in bytes; the key-value service limits values to one megabyte. */
+    /** The maximum size of a text in bytes; the key-value store limits values to one megabyte. */
     public static final int MAX_BYTES = 900_000;
 
     private static final TextPosition START = new TextPosition(1, 1);
--- a/src/main/java/org/gooseberryhill/contract/ErrorCode.java
+++ b/src/main/java/org/gooseberryhill/contract/ErrorCode.java
@@ -24,7 +24,7 @@
     OVERLOADED("overloaded", 503),
     /** No live endpoint serves the model or service. */
     NO_ENDPOINT("no-endpoint", 503),
-    /** The request requires the platform's key-value service, which does not answer. */
+    /** The request requires the platform's key-value store, which does not answer. */
     PLATFORM_UNAVAILABLE("platform-unavailable", 503),
     /** The host is stopping; the load balancer has other hosts. */
     STOPPING("stopping", 503),
--- a/src/main/java/org/gooseberryhill/control/ControlLoop.java
+++ b/src/main/java/org/gooseberryhill/control/ControlLoop.java
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Runs the tasks of the ring, and due timers between batches of tasks and on time-outs. */
+    /** Runs the tasks of the ring, and due timers between batches of tasks and on timeouts. */
     private final class TaskHandler implements EventHandler<TaskEvent> {
         @Override
         public void onEvent(TaskEvent event, long sequence, boolean endOfBatch) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -170,7 +170,7 @@
         find(key).ifPresent(endpoint -> recordAttemptEnd(endpoint, end, nowNanos));
     }
 
-    /** Starts the connection probes that are due and returns their endpoints; {@link #probeEnded} must follow for each. */
+    /** Starts the due connection probes and returns their endpoints; {@link #probeEnded} must follow for each. */
     public List<FleetEndpoint> startDueProbes(long nowNanos) {
         List<FleetEndpoint> due = new ArrayList<>();
         for (FleetEndpoint endpoint : byKey.values()) {
--- a/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
@@ -6,7 +6,7 @@
 import org.gooseberryhill.contract.Refusal;
 
 /**
- * Decides the next step of a call with an idempotency key after each result from the key-value service. Not
+ * Decides the next step of a call with an idempotency key after each result from the key-value store. Not
  * thread-safe.
  *
  * <p>Invariant: {@link ClaimStep.Send} is returned at most once among all calls with the same key on all hosts, since
--- a/src/main/java/org/gooseberryhill/decision/idempotency/ClaimRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/ClaimRecord.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * The record stored in the key-value service under a caller's idempotency key. Immutable.
+ * The record stored in the key-value store under a caller's idempotency key. Immutable.
  *
  * @param claimId identifies the claim, so that its holder can find out whether its creation took effect
  * @param requestHash the hash of the request, to detect a different request under the same key
--- a/src/main/java/org/gooseberryhill/decision/idempotency/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/package-info.java
@@ -1,2 +1,2 @@
-/** At-most-once execution: a call with an idempotency key is claimed in the key-value service before it is sent. */
+/** At-most-once execution: a call with an idempotency key is claimed in the key-value store before it is sent. */
 package org.gooseberryhill.decision.idempotency;
--- a/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
@@ -127,7 +127,7 @@
         return gateways;
     }
 
-    /** Returns the listed store hosts. */
+    /** Returns the listed hosts with a disk. */
     public List<Host> diskHosts() {
         return diskHosts;
     }
--- a/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
+++ b/src/main/java/org/gooseberryhill/entry/ClaimDriver.java
@@ -18,10 +18,10 @@
 import org.gooseberryhill.process.HostProcess;
 
 /**
- * Performs the steps of a {@link Claim} at the key-value service. Confined to the control thread, except where noted.
+ * Performs the steps of a {@link Claim} at the key-value store. Confined to the control thread, except where noted.
  */
 final class ClaimDriver {
-    /** Maximum size of an answer body stored for resent calls; the key-value service takes only small values. */
+    /** Maximum size of an answer body stored for resent calls; the key-value store takes only small values. */
     private static final int MAX_STORED_BODY_BYTES = 64 * 1024;
 
     private static final int MAX_CLEANUP_TRIES = 20;
--- a/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
+++ b/src/main/java/org/gooseberryhill/entry/JobSubmissionHandler.java
@@ -30,7 +30,7 @@
  * Handles the submission of a job while its body is received. The body methods run on the connection's traffic thread.
  *
  * <p>Invariant: the caller receives a success only once all items are on the disks of two zones and the job's record is
- * in the key-value service. If any item is invalid, no record is written and none of the items is accepted.
+ * in the key-value store. If any item is invalid, no record is written and none of the items is accepted.
  */
 final class JobSubmissionHandler implements RequestBodyHandler {
     /** Items per chunk, the unit of storing and committing (docs/CAPACITY.md). */
--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -34,7 +34,7 @@
     private final LongAdder calls = new LongAdder();
 
     /**
-     * Creates a client of the service at an address; a call that gets no response fails after the time-out in
+     * Creates a client of the key-value store at an address; a call that gets no response fails after the timeout in
      * milliseconds.
      */
     public EtcdKeyValueStore(HttpClient client, Address address, int timeoutMillis) {
--- a/src/main/java/org/gooseberryhill/external/HttpHostList.java
+++ b/src/main/java/org/gooseberryhill/external/HttpHostList.java
@@ -16,7 +16,7 @@
     private final int timeoutMillis;
 
     /**
-     * Creates a client of the list at an address; a read that gets no response fails after the time-out in
+     * Creates a client of the list at an address; a read that gets no response fails after the timeout in
      * milliseconds.
      */
     public HttpHostList(HttpClient client, Address address, int timeoutMillis) {
--- a/src/main/java/org/gooseberryhill/external/KeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/KeyValueStore.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The operations of the platform's key-value service that the system uses. Thread-safe.
+ * The operations of the platform's key-value store that the system uses. Thread-safe.
  *
  * <p>Failed futures complete with {@link ExternalServiceException}. A failed write may have taken effect: only its
  * response may have been lost.
@@ -21,7 +21,7 @@
     /**
      * Lists all keys that begin with a prefix.
      *
-     * @param mayBeStale whether the result may be seconds old, which costs the service less
+     * @param mayBeStale whether the result may be seconds old, which costs the key-value store less
      */
     CompletableFuture<Listing> list(String prefix, boolean mayBeStale);
 
@@ -34,7 +34,7 @@
     /** Renews a lease and returns its remaining time in milliseconds, 0 if it no longer exists. */
     CompletableFuture<Long> renewLease(long leaseId);
 
-    /** Revokes a lease; the service deletes the keys bound to it. */
+    /** Revokes a lease; the key-value store deletes the keys bound to it. */
     CompletableFuture<Void> revokeLease(long leaseId);
 
     /**
@@ -58,7 +58,7 @@
     /**
      * The result of a read.
      *
-     * @param revision the service's revision at the time of the read
+     * @param revision the key-value store's revision at the time of the read
      * @param entries the entries found
      * @param more whether the limit truncated the result
      */
@@ -73,7 +73,7 @@
      * The result of a transaction.
      *
      * @param succeeded whether all conditions held and the writes took effect
-     * @param revision the service's revision after the transaction
+     * @param revision the key-value store's revision after the transaction
      */
     record WriteResult(boolean succeeded, long revision) {}
 }
--- a/src/main/java/org/gooseberryhill/external/Keys.java
+++ b/src/main/java/org/gooseberryhill/external/Keys.java
@@ -2,7 +2,7 @@
 
 import org.gooseberryhill.contract.JobKey;
 
-/** Defines the keys that the system uses in the key-value service. Stateless. */
+/** Defines the keys that the system uses in the key-value store. Stateless. */
 public final class Keys {
     /** Key of the configuration text with its author. */
     public static final String CONFIGURATION = "/gooseberry/configuration";
--- a/src/main/java/org/gooseberryhill/external/PollingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/PollingKeyValueStore.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** A key-value service whose changes are read by long polling; each poll counts as a call. Thread-safe. */
+/** A key-value store whose changes are read by long polling; each poll counts as a call. Thread-safe. */
 public interface PollingKeyValueStore extends KeyValueStore {
     /**
      * Reads the changes, after a revision, of keys that begin with a prefix. Completes as soon as there are changes, or
--- a/src/main/java/org/gooseberryhill/external/StreamingKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/StreamingKeyValueStore.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A key-value service that streams changes and can read revisions alone and ranges of keys, such as etcd. Thread-safe.
+ * A key-value store that streams changes and can read revisions alone and ranges of keys, such as etcd. Thread-safe.
  */
 public interface StreamingKeyValueStore extends KeyValueStore {
     /** Reads the revision that last wrote a key, without its value; 0 if the key is absent. */
--- a/src/main/java/org/gooseberryhill/external/Transaction.java
+++ b/src/main/java/org/gooseberryhill/external/Transaction.java
@@ -74,7 +74,7 @@
             return this;
         }
 
-        /** Writes a key that is bound to a lease: the service deletes it when the lease ends. */
+        /** Writes a key that is bound to a lease: the key-value store deletes it when the lease ends. */
         public Builder putUnderLease(String key, byte[] value, long leaseId) {
             writes.add(new Write(key, Optional.of(value), Optional.of(leaseId)));
             return this;
--- a/src/main/java/org/gooseberryhill/load/Experiment.java
+++ b/src/main/java/org/gooseberryhill/load/Experiment.java
@@ -151,7 +151,7 @@
      *
      * @param baseline whether the baseline policies are used instead of the product's
      * @param batchPercent the model's batch weight in percent; 0 means that no job is submitted
-     * @param faults whether an engine crashes and the key-value service has an outage during the run
+     * @param faults whether an engine crashes and the key-value store has an outage during the run
      */
     public record Point(boolean baseline, int batchPercent, boolean faults) {}
 
--- a/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
@@ -16,7 +16,7 @@
 import org.gooseberryhill.standin.SampleFleet;
 
 /**
- * Measures the writes that a job makes in the key-value service from its submission to its end, as counted by the
+ * Measures the writes that a job makes in the key-value store from its submission to its end, as counted by the
  * stand-in. Confined to one thread.
  */
 final class JobWritesProbe implements SlopeProbe {
--- a/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
+++ b/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
@@ -62,7 +62,7 @@
         return droppedLines.sum();
     }
 
-    /** Waits until all queued events are written, or until a time-out in milliseconds has passed. */
+    /** Waits until all queued events are written, or until a timeout in milliseconds has passed. */
     void awaitWritten(long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (!isAllWritten() && System.nanoTime() - deadlineNanos < 0) {
--- a/src/main/java/org/gooseberryhill/logging/LazyLoggers.java
+++ b/src/main/java/org/gooseberryhill/logging/LazyLoggers.java
@@ -28,7 +28,7 @@
     /**
      * Writes the messages that remain in the ring buffer and stops logging, at the end of a process.
      *
-     * @param timeoutMillis the time-out in milliseconds, since nobody may be reading standard output
+     * @param timeoutMillis the timeout in milliseconds, since nobody may be reading standard output
      */
     public static void stop(long timeoutMillis) {
         if (INITIALIZATION.isEvaluated() && LogManager.getContext(false) instanceof LoggerContext context) {
--- a/src/main/java/org/gooseberryhill/logging/StandardOutputSink.java
+++ b/src/main/java/org/gooseberryhill/logging/StandardOutputSink.java
@@ -80,7 +80,7 @@
         return writer.droppedLines();
     }
 
-    /** Writes all accepted events; gives up after a time-out in milliseconds, since nobody may be reading. */
+    /** Writes all accepted events; gives up after a timeout in milliseconds, since nobody may be reading. */
     public void flushAndAwait(long timeoutMillis) {
         flush();
         writer.awaitWritten(timeoutMillis);
--- a/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
+++ b/src/main/java/org/gooseberryhill/outbox/OutboxProcess.java
@@ -107,7 +107,7 @@
         return ended;
     }
 
-    /** Writes the buffered log lines, within a time-out in milliseconds. */
+    /** Writes the buffered log lines, within a timeout in milliseconds. */
     public void flushLog(long timeoutMillis) {
         log.flushAndAwait(timeoutMillis);
     }
--- a/src/main/java/org/gooseberryhill/peer/PeerClient.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerClient.java
@@ -24,7 +24,7 @@
 public final class PeerClient implements Closeable {
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** Time-out of the reply to a {@link PeerMessage.ConnectionProbe}. */
+    /** Timeout of the reply to a {@link PeerMessage.ConnectionProbe}. */
     private static final long PROBE_TIMEOUT_MILLIS = 300;
 
     private final HostId self;
@@ -43,7 +43,7 @@
     /**
      * Creates a client that runs on the given event loops.
      *
-     * @param probeTimeoutExecutor runs each task when the time-out of a connection probe has passed
+     * @param probeTimeoutExecutor runs each task when the timeout of a connection probe has passed
      */
     PeerClient(EventLoopGroup group, HostId self, HybridClock clock, Executor probeTimeoutExecutor) {
         this.self = self;
--- a/src/main/java/org/gooseberryhill/peer/PeerConnection.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerConnection.java
@@ -38,7 +38,7 @@
     /**
      * Creates a connection that is established on first use.
      *
-     * @param probeTimeoutExecutor runs each task when the time-out of a {@link PeerMessage.ConnectionProbe} has passed
+     * @param probeTimeoutExecutor runs each task when the timeout of a {@link PeerMessage.ConnectionProbe} has passed
      */
     PeerConnection(
             Bootstrap bootstrap,
--- a/src/main/java/org/gooseberryhill/peer/PeerMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/PeerMessage.java
@@ -117,7 +117,7 @@
     /**
      * Transfers a configuration, either pushed or on request.
      *
-     * @param revision the revision that the key-value service assigned to it
+     * @param revision the revision that the key-value store assigned to it
      * @param text the text as the operators wrote it
      */
     record ConfigurationPush(long revision, String text) implements PeerMessage {}
--- a/src/main/java/org/gooseberryhill/process/ConfigurationCodec.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationCodec.java
@@ -11,7 +11,7 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Encodes a configuration for the key-value service as gzip-compressed JSON. Stateless.
+ * Encodes a configuration for the key-value store as gzip-compressed JSON. Stateless.
  *
  * <p>Each watcher receives the whole value on each change; uncompressed, at the planned size, that would use up the
  * 13 KB/s that a node may spend (docs/CAPACITY.md).
--- a/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
+++ b/src/main/java/org/gooseberryhill/process/ConfigurationDriver.java
@@ -24,11 +24,11 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Distributes the accepted configuration and activates it on this host. Used by the control thread only.
+ * Distributes the accepted configuration and activates it on this host. Confined to the control thread.
  *
  * <p>Two stewards per availability zone watch the configuration's key and push each change to the hosts of their zone. A
  * host that misses a push sees a greater revision in a heartbeat and requests the text. A host that starts while the
- * key-value service is unavailable gets the text from its peers in the same way.
+ * key-value store is unavailable gets the text from its peers in the same way.
  */
 public final class ConfigurationDriver {
     private static final Logger LOG = LogManager.getLogger(ConfigurationDriver.class);
--- a/src/main/java/org/gooseberryhill/process/HostProcess.java
+++ b/src/main/java/org/gooseberryhill/process/HostProcess.java
@@ -52,7 +52,7 @@
  * I/O, submit tasks to {@link #loop()}.
  */
 public final class HostProcess implements Closeable {
-    /** Time-out of replies on the control lane. */
+    /** Timeout of replies on the control lane. */
     public static final long ASK_TIMEOUT_MILLIS = 1000;
 
     private static final Logger LOG = LogManager.getLogger(HostProcess.class);
@@ -266,7 +266,7 @@
         return peerClient;
     }
 
-    /** Returns the client of the key-value service; thread-safe. */
+    /** Returns the client of the key-value store; thread-safe. */
     public EtcdKeyValueStore keyValue() {
         return keyValue;
     }
--- a/src/main/java/org/gooseberryhill/process/HostSettings.java
+++ b/src/main/java/org/gooseberryhill/process/HostSettings.java
@@ -9,9 +9,9 @@
  * Settings that all processes have. Immutable.
  *
  * @param self the id, role, availability zone and peer address of this host
- * @param keyValueAddress the address of the key-value service
+ * @param keyValueAddress the address of the key-value store
  * @param hostListAddress the address of the platform's host list
- * @param platformTimeoutMillis time-out of calls to the platform
+ * @param platformTimeoutMillis timeout of calls to the platform
  * @param hostListPeriodMillis interval between reads of the host list
  * @param leaseMillis time to live of a lease after its last renewal
  * @param stopGraceMillis how long requests are still accepted after a planned stop was requested
--- a/src/main/java/org/gooseberryhill/process/LeaseManager.java
+++ b/src/main/java/org/gooseberryhill/process/LeaseManager.java
@@ -9,7 +9,7 @@
 import org.gooseberryhill.timeline.EventKind;
 
 /**
- * Obtains and renews this host's single lease in the key-value service. Used by the control thread only.
+ * Obtains and renews this host's single lease in the key-value store. Confined to the control thread.
  *
  * <p>Claims are written under the lease that {@link #usableLease} returns; when the loss listeners run, the service has
  * deleted all of these claims.
--- a/src/main/java/org/gooseberryhill/process/MembershipDriver.java
+++ b/src/main/java/org/gooseberryhill/process/MembershipDriver.java
@@ -18,7 +18,7 @@
 import org.gooseberryhill.peer.PeerMessage;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Exchanges the heartbeats of the membership over the peer protocol. Used by the control thread only. */
+/** Exchanges the heartbeats of the membership over the peer protocol. Confined to the control thread. */
 final class MembershipDriver implements MembershipCommands {
     private final HostProcess process;
     private final Map<HostId, HostState> lastStates = new HashMap<>();
--- a/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigurationEditor.java
@@ -13,7 +13,7 @@
 import org.gooseberryhill.external.Transaction;
 import org.gooseberryhill.process.ConfigurationCodec;
 
-/** Reads and edits the configuration and its history in the key-value service. Used by one thread; calls block. */
+/** Reads and edits the configuration and its history in the key-value store. Used by one thread; calls block. */
 public final class ConfigurationEditor {
     /** Number of latest edits that the history retains. */
     public static final int MAX_HISTORY_RECORDS = 50;
@@ -22,7 +22,7 @@
 
     private final StreamingKeyValueStore keyValue;
 
-    /** Creates an editor of the configuration in a key-value service. */
+    /** Creates an editor of the configuration in a key-value store. */
     public ConfigurationEditor(StreamingKeyValueStore keyValue) {
         this.keyValue = keyValue;
     }
@@ -101,7 +101,7 @@
     }
 
     /**
-     * A configuration record in the key-value service.
+     * A configuration record in the key-value store.
      *
      * @param record the record
      * @param revision the revision at which the record was written
--- a/src/main/java/org/gooseberryhill/program/PlatformOptions.java
+++ b/src/main/java/org/gooseberryhill/program/PlatformOptions.java
@@ -11,7 +11,7 @@
 import org.gooseberryhill.link.Address;
 import picocli.CommandLine.Option;
 
-/** The options for the address of the key-value service, for operators' commands. Used by one thread. */
+/** The options for the address of the key-value store, for operators' commands. Used by one thread. */
 final class PlatformOptions {
     private static final int TIMEOUT_MILLIS = 3000;
 
@@ -28,7 +28,7 @@
         return new Connection(address);
     }
 
-    /** Clients of the key-value service and of endpoints, which a command closes when it ends. */
+    /** Clients of the key-value store and of endpoints, which a command closes when it ends. */
     static final class Connection implements Closeable {
         private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         private final HttpClient http = new HttpClient(group);
--- a/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueStandin.java
@@ -23,7 +23,7 @@
 import org.gooseberryhill.link.Json;
 
 /**
- * Simulates the key-value service: the part of the JSON API of etcd v3 that the system uses. Thread-safe.
+ * Simulates the key-value store: the part of the JSON API of etcd v3 that the system uses. Thread-safe.
  *
  * <p>{@code POST /standin/faults} sets the faults, {@code POST /standin/expire-leases} expires all leases and
  * {@code GET /standin/meter} returns the number of calls by kind.
--- a/src/main/java/org/gooseberryhill/standin/KeyValueState.java
+++ b/src/main/java/org/gooseberryhill/standin/KeyValueState.java
@@ -11,7 +11,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * The state of a simulated key-value service: keys with their revisions, and leases. Not thread-safe; the stand-in guards
+ * The state of a simulated key-value store: keys with their revisions, and leases. Not thread-safe; the stand-in guards
  * it with a lock.
  *
  * <p>Invariant: each non-empty list of changes that is applied increments the revision by one.
--- a/src/main/java/org/gooseberryhill/standin/SampleFleet.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleFleet.java
@@ -41,7 +41,7 @@
     private static final int STEWARD_OFFSET = 70;
     private static final int STORE_OFFSET = 80;
 
-    /** Returns the address of the key-value service. */
+    /** Returns the address of the key-value store. */
     public Address keyValue() {
         return atOffset(0);
     }
--- a/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
+++ b/src/main/java/org/gooseberryhill/standin/SamplePlatform.java
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Returns the stand-in of the key-value service. */
+    /** Returns the stand-in of the key-value store. */
     public KeyValueStandin keyValue() {
         return keyValue;
     }
--- a/src/test/java/org/gooseberryhill/Loopback.java
+++ b/src/test/java/org/gooseberryhill/Loopback.java
@@ -29,7 +29,7 @@
         return FreePorts.claimBlock();
     }
 
-    /** Waits until the condition holds; the time-out of 120 s only stops a test that would never end. */
+    /** Waits until the condition holds; the timeout of 120 s only stops a test that would never end. */
     public static void await(String description, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + OUTCOME_TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
--- a/src/test/java/org/gooseberryhill/decision/FakeKeyValue.java
+++ b/src/test/java/org/gooseberryhill/decision/FakeKeyValue.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 
 /**
- * An in-memory key-value service with injected faults, for tests of the decision core. The answer to a read or write may
+ * An in-memory key-value store with injected faults, for tests of the decision core. The answer to a read or write may
  * be lost; a write whose answer is lost takes effect immediately, later or never.
  */
 public final class FakeKeyValue<V> {
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimProperties.java
@@ -16,7 +16,7 @@
 
 /**
  * Guards against a call being sent twice when a caller resends it through several hosts while writes to the key-value
- * service are lost, arrive late or take effect without an answer.
+ * store are lost, arrive late or take effect without an answer.
  */
 class ClaimProperties {
     private static final String KEY = "call";
--- a/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
+++ b/src/test/java/org/gooseberryhill/decision/idempotency/ClaimTest.java
@@ -58,7 +58,7 @@
                 .isEqualTo(ErrorCode.CONFLICT);
     }
 
-    /** Without the key-value service, a call cannot be claimed, is never sent and is refused as not run. */
+    /** Without the key-value store, a call cannot be claimed, is never sent and is refused as not run. */
     @Test
     void duringAnOutageTheCallIsRefusedAsNotRun() {
         ClaimStep step = claim.onNoAnswer();
--- a/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
+++ b/src/test/java/org/gooseberryhill/external/KeyValueStoreContractTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Contract of the key-value service that the system relies on, tested against the stand-in. */
+/** Contract of the key-value store that the system relies on, tested against the stand-in. */
 class KeyValueStoreContractTest {
     /** Far longer than a call takes, so that only a test that hangs reaches it. */
     private static final int TIMEOUT_MILLIS = 60_000;
 
     private static final int SHORT_TIMEOUT_MILLIS = 300;
 
-    /** Longer than the time-out of any call here. */
+    /** Longer than the timeout of any call here. */
     private static final long LONG_DELAY_MILLIS = 600_000;
 
     private final EventLoopGroup group = Loopback.newEventLoopGroup();
@@ -165,7 +165,7 @@
         assertThat(seen).containsExactly("/w/between=2", "/w/after=3", "/w/after deleted");
     }
 
-    /** During an outage of the service, calls fail as unanswered, and watches end and notify their listeners. */
+    /** During an outage of the key-value store, calls fail as unanswered; watches end and notify their listeners. */
     @Test
     void anOutageFailsCallsAndEndsWatches() throws IOException {
         AtomicBoolean ended = new AtomicBoolean();
--- a/src/test/java/org/gooseberryhill/logging/AsyncLineWriterTest.java
+++ b/src/test/java/org/gooseberryhill/logging/AsyncLineWriterTest.java
@@ -34,7 +34,7 @@
         stream.released.countDown();
     }
 
-    /** A process ends while nobody reads standard output: the wait ends after its time-out. */
+    /** A process ends while nobody reads standard output: the wait ends after its timeout. */
     @Test
     void awaitTimesOutOnABlockedStream() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
--- a/src/test/java/org/gooseberryhill/program/ConfigurationPropagationTest.java
+++ b/src/test/java/org/gooseberryhill/program/ConfigurationPropagationTest.java
@@ -70,7 +70,7 @@
         awaitVersion("7", fixture.processes());
     }
 
-    /** A host starts during an outage of the key-value service: it gets the configuration in force from its peers. */
+    /** A host starts during an outage of the key-value store: it gets the configuration in force from its peers. */
     @Test
     void aHostThatStartsDuringAnOutageGetsTheConfigurationFromItsPeers() {
         fixture.system.applyConfiguration(configurationWithVersion("8"));
@@ -84,7 +84,7 @@
     }
 
     /**
-     * The key-value service answers reads with a state before the latest edit: no host returns to the older
+     * The key-value store answers reads with a state before the latest edit: no host returns to the older
      * configuration.
      */
     @Test
--- a/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/JobFailuresTest.java
@@ -97,7 +97,7 @@
         assertThat(fixture.countCorrectResults("lot")).isEqualTo(ITEMS);
     }
 
-    /** The key-value service fails during a job and recovers: the job ends with one correct result for each item. */
+    /** The key-value store fails during a job and recovers: the job ends with one correct result for each item. */
     @Test
     void aJobGoesOnAfterAnOutageOfTheKeyValueService() {
         fixture.submit(fixture.coordinator, "lot", ITEMS);
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -167,7 +167,7 @@
         assertThat(fixture.countBookings("seat-7")).isEqualTo(1);
     }
 
-    /** During an outage of the key-value service a booking can't be claimed: it is correctly refused as not run. */
+    /** During an outage of the key-value store a booking can't be claimed: it is correctly refused as not run. */
     @Test
     void duringAnOutageABookingIsRefusedAsNotRun() {
         fixture.system.platform().keyValue().setFaults(new KeyValueFaults(true, 0, 0, 0, false));
