--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -131,8 +131,7 @@
             page.entries()
                     .forEach(entry -> changes.add(KeyChange.written(entry.key(), entry.value(), entry.modRevision())));
             // The pages together are not a snapshot. The listing gets the oldest of their revisions, so that changes
-            // made
-            // after the first page was read are read again as later changes.
+            // made after the first page was read are read again as later changes.
             long revision = Math.min(oldestRevision, page.revision());
             if (!page.more() || page.entries().isEmpty()) {
                 return CompletableFuture.completedFuture(new Listing(revision, changes));
--- a/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
@@ -85,8 +85,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         // The codec reports the end of an unframed response whenever its connection ends, even after a reset. This flag
-        // keeps
-        // a response that a reset truncated from counting as complete.
+        // keeps a response that a reset truncated from counting as complete.
         connectionFailed = true;
         failExchange(String.valueOf(cause));
         context.close();
