--- a/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
+++ b/src/main/java/org/gooseberryhill/external/EtcdKeyValueStore.java
@@ -145,7 +145,7 @@
         return client.call(request(path, Json.bytes(body), timeoutMillis), MAX_RESPONSE_BYTES)
                 .handle((result, failure) -> {
                     if (failure != null) {
-                        throw new ExternalServiceException("key-value service: " + failure.getMessage());
+                        throw new ExternalServiceException("key-value store: " + failure.getMessage());
                     }
                     return requireSuccess(result);
                 });
@@ -157,10 +157,10 @@
 
     private static JsonNode requireSuccess(HttpResult result) {
         if (!result.isSuccess()) {
-            throw new ExternalServiceException("key-value service: status " + result.status());
+            throw new ExternalServiceException("key-value store: status " + result.status());
         }
         return Json.tree(result.body())
-                .getOrElseThrow(failure -> new ExternalServiceException("key-value service: " + failure.getMessage()));
+                .getOrElseThrow(failure -> new ExternalServiceException("key-value store: " + failure.getMessage()));
     }
 
     /** Splits the response stream of a watch into lines and handles each of them. Used by one traffic thread only. */
--- a/src/main/java/org/gooseberryhill/program/SettingsReader.java
+++ b/src/main/java/org/gooseberryhill/program/SettingsReader.java
@@ -29,7 +29,7 @@
         String text = requiredText(flag, value);
         Optional<Address> address = Address.parse(text);
         if (address.isEmpty() && value != null && !value.isBlank()) {
-            findings.add(flag + ": \"" + text + "\" is not an IP number and a port, such as 10.0.0.7:8000");
+            findings.add(flag + ": \"" + text + "\" is not an IP address and a port, such as 10.0.0.7:8000");
         }
         return address.orElse(PLACEHOLDER_ADDRESS);
     }
@@ -55,7 +55,7 @@
     /** Returns a text that must be one of the given choices; the first one if it is invalid. */
     String choice(String flag, String value, String... choices) {
         if (!List.of(choices).contains(value)) {
-            findings.add(flag + ": \"" + value + "\" is none of " + String.join(", ", choices));
+            findings.add(flag + ": \"" + value + "\" is not one of " + String.join(", ", choices));
             return choices[0];
         }
         return value;
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -259,7 +259,7 @@
     }
 
     private void stopAll() {
-        ownedJobs.jobs().forEach(job -> stop(job.key(), "the lease is gone"));
+        ownedJobs.jobs().forEach(job -> stop(job.key(), "the lease was lost"));
     }
 
     private void releaseClaim(JobKey key, long fence) {
@@ -313,7 +313,7 @@
                     .filter(process::isSelf)
                     .isPresent();
             if (!isOwner && job.runningItems() == 0 && segments.commitsInProgress() == 0) {
-                stop(job.key(), "another host is its owner now");
+                stop(job.key(), "the job is assigned to another host");
             }
         }
     }
--- a/src/main/java/org/gooseberryhill/timeline/FileSink.java
+++ b/src/main/java/org/gooseberryhill/timeline/FileSink.java
@@ -49,7 +49,7 @@
             writer.flush();
         } catch (IOException e) {
             failed = true;
-            LOG.warn("cannot write the time line; later events are dropped: {}", e.toString());
+            LOG.warn("cannot write the timeline; later events are dropped: {}", e.toString());
         }
     }
 
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -356,7 +356,7 @@
     private EngineStandin awaitBusyEngine(
             Set<EngineStandin> excluded, List<CompletableFuture<StreamedAnswerChecker.Result>> answers) {
         List<EngineStandin> busyEngines = new ArrayList<>();
-        Loopback.await("a runner with streams", () -> {
+        Loopback.await("an engine with streams", () -> {
             boolean allEnded = answers.stream().allMatch(CompletableFuture::isDone);
             for (int i = 0; allEnded && i < CONCURRENT_STREAMS; i++) {
                 answers.add(fixture.startStream(fixture.tutor, "sketch " + excluded.size() + " " + answers.size(), 60));
