--- a/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
+++ b/src/main/java/org/gooseberryhill/load/slope/JobWritesProbe.java
@@ -34,7 +34,7 @@
 
     @Override
     public String name() {
-        return "writes of a job in the key-value service";
+        return "writes of a job in the key-value store";
     }
 
     @Override
--- a/src/main/java/org/gooseberryhill/program/ConfigCommand.java
+++ b/src/main/java/org/gooseberryhill/program/ConfigCommand.java
@@ -31,9 +31,9 @@
     @Spec
     private CommandSpec spec;
 
-    @Command(mixinStandardHelpOptions = true, description = "Reports everything that is wrong with a text")
+    @Command(mixinStandardHelpOptions = true, description = "Reports all errors in a configuration")
     int check(
-            @Parameters(paramLabel = "FILE", description = "The text") Path file,
+            @Parameters(paramLabel = "FILE", description = "The configuration") Path file,
             @Option(names = "--json", description = "Findings as JSON") boolean json)
             throws IOException {
         Either<List<Finding>, Configuration> parsed = ConfigurationReader.read(file.toString(), Files.readString(file));
@@ -52,12 +52,13 @@
 
     @Command(
             mixinStandardHelpOptions = true,
-            description = "Puts a text into force. Its first line, \"# revision N\" as show writes it, or --base tells "
-                    + "which text it replaces")
+            description =
+                    "Applies a configuration. Its first line, \"# revision N\" as show writes it, or --base tells "
+                            + "which revision it replaces")
     int apply(
             @Mixin PlatformOptions platform,
-            @Parameters(paramLabel = "FILE", description = "The text") Path file,
-            @Option(names = "--base", description = "Revision that the text replaces") Long base,
+            @Parameters(paramLabel = "FILE", description = "The configuration") Path file,
+            @Option(names = "--base", description = "Revision that the configuration replaces") Long base,
             @Option(names = "--author", defaultValue = "${env:USER:-operator}", description = "Who applies it")
                     String author)
             throws IOException {
@@ -72,7 +73,7 @@
             Optional<StoredRecord> current = editor.read();
             Optional<Long> baseRevision = Optional.ofNullable(base).or(() -> findBaseRevision(text));
             if (baseRevision.isEmpty() && current.isPresent()) {
-                err().println("the text does not say which revision it replaces: begin from \"config show\" or give "
+                err().println("the file does not say which revision it replaces: start from \"config show\" or give "
                         + "--base; the one in force is " + current.get().revision());
                 return Commands.FAILED;
             }
@@ -80,7 +81,9 @@
         }
     }
 
-    @Command(mixinStandardHelpOptions = true, description = "Prints the text in force, to edit and apply again")
+    @Command(
+            mixinStandardHelpOptions = true,
+            description = "Prints the configuration in force, to edit and apply again")
     int show(@Mixin PlatformOptions platform) {
         try (PlatformOptions.Connection connection = platform.connect()) {
             Optional<StoredRecord> current = new ConfigurationEditor(connection.keyValue()).read();
@@ -95,8 +98,10 @@
         }
     }
 
-    @Command(mixinStandardHelpOptions = true, description = "Shows what a text would change")
-    int diff(@Mixin PlatformOptions platform, @Parameters(paramLabel = "FILE", description = "The text") Path file)
+    @Command(mixinStandardHelpOptions = true, description = "Shows what a configuration would change")
+    int diff(
+            @Mixin PlatformOptions platform,
+            @Parameters(paramLabel = "FILE", description = "The configuration") Path file)
             throws IOException {
         try (PlatformOptions.Connection connection = platform.connect()) {
             Optional<StoredRecord> current = new ConfigurationEditor(connection.keyValue()).read();
@@ -136,7 +141,8 @@
             return Commands.OK;
         }
         if (step == ConfigurationEdit.Step.UNKNOWN) {
-            err().println("the key-value service does not answer; the edit may or may not be accepted: see history");
+            err().println(
+                            "the key-value store does not answer; the edit may or may not have been accepted: see history");
             return Commands.FAILED;
         }
         printConflict(editor, text, base);
@@ -146,7 +152,7 @@
     private void printConflict(ConfigurationEditor editor, String text, long base) {
         StoredRecord current = editor.read().orElseThrow();
         err().printf(
-                        "not applied: %s put revision %d in the place of revision %d%n",
+                        "not applied: %1$s replaced revision %3$d with revision %2$d%n",
                         current.record().author(), current.revision(), base);
         String baseText = editor.history().stream()
                 .filter(stored -> stored.revision() == base)
--- a/src/main/java/org/gooseberryhill/program/DemoCommand.java
+++ b/src/main/java/org/gooseberryhill/program/DemoCommand.java
@@ -35,7 +35,7 @@
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
-        description = "Runs online requests and a job on embedded stand-ins, kills a runner, and checks the outcome")
+        description = "Runs online requests and a job on embedded stand-ins, kills an engine, and checks the outcome")
 final class DemoCommand implements Callable<Integer> {
     private static final int ITEMS = 600;
     private static final int ITEM_TOKENS = 24;
@@ -55,7 +55,10 @@
     @Option(names = "--base-port", defaultValue = "18400", description = "First of 100 ports (default 18400)")
     private int basePort;
 
-    @Option(names = "--folder", defaultValue = "run/demo", description = "For data and time line (default run/demo)")
+    @Option(
+            names = "--folder",
+            defaultValue = "run/demo",
+            description = "Folder for data and timeline (default run/demo)")
     private Path folder;
 
     private final List<String> failures = new ArrayList<>();
@@ -86,19 +89,21 @@
                 firstTokenMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(result.firstTokenNanos()));
             }
         }
-        check(completeAnswers == REQUESTS, (REQUESTS - completeAnswers) + " online answers were not whole");
+        check(
+                completeAnswers == REQUESTS,
+                (REQUESTS - completeAnswers) + " online answers were incomplete or incorrect");
         awaitDone(coordinator);
         int correct = countCorrectResults(coordinator);
-        check(correct == ITEMS, correct + " of " + ITEMS + " items have their right result once");
+        check(correct == ITEMS, correct + " of " + ITEMS + " items have exactly one correct result");
         coordinator.close();
-        out.printf("online: %d of %d answers whole and right%n", completeAnswers, REQUESTS);
+        out.printf("online: %d of %d answers complete and correct%n", completeAnswers, REQUESTS);
         out.printf(
                 "online first token: p50 %.1f ms, p99 %.1f ms%n",
                 firstTokenMicros.getValueAtPercentile(50) / 1000.0, firstTokenMicros.getValueAtPercentile(99) / 1000.0);
-        out.printf("job: %d of %d items done once, each result right%n", correct, ITEMS);
-        out.printf("runner %s killed, runner %s left as planned, nothing cut%n", engineName(1), engineName(2));
-        out.printf("key-value service calls: %s%n", system.platform().keyValue().callCounts());
-        out.printf("time line: bin/gooseberry timeline %s%n", system.timelineFolder());
+        out.printf("job: %d of %d items done exactly once, each result correct%n", correct, ITEMS);
+        out.printf("engine %s killed, engine %s left as planned, no answers truncated%n", engineName(1), engineName(2));
+        out.printf("key-value store calls: %s%n", system.platform().keyValue().callCounts());
+        out.printf("timeline: bin/gooseberry timeline %s%n", system.timelineFolder());
         failures.forEach(failure -> out.println("FAILED: " + failure));
         out.flush();
         return failures.isEmpty() ? Commands.OK : Commands.FAILED;
@@ -172,7 +177,7 @@
                 seenIndexes.set(index);
                 correct++;
             } else {
-                check(false, "a result is wrong or stands twice: " + line);
+                check(false, "a result is wrong or duplicated: " + line);
             }
         }
         return correct;
--- a/src/main/java/org/gooseberryhill/program/EndpointsCommand.java
+++ b/src/main/java/org/gooseberryhill/program/EndpointsCommand.java
@@ -22,7 +22,7 @@
 @Command(
         name = "endpoints",
         mixinStandardHelpOptions = true,
-        description = "Shows the endpoints and what they say of themselves")
+        description = "Shows the endpoints and the status that they report")
 final class EndpointsCommand implements Callable<Integer> {
     private static final int TIMEOUT_MILLIS = 1000;
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
--- a/src/main/java/org/gooseberryhill/program/EntryMain.java
+++ b/src/main/java/org/gooseberryhill/program/EntryMain.java
@@ -43,25 +43,25 @@
     @Option(
             names = "--max-items",
             defaultValue = "${env:GOOSEBERRY_MAX_ITEMS:-300000}",
-            description = "Most items of a job (default 300000)")
+            description = "Largest number of items of a job (default 300000)")
     private String maxItems;
 
     @Option(
             names = "--max-item-bytes",
             defaultValue = "${env:GOOSEBERRY_MAX_ITEM_BYTES:-65536}",
-            description = "Largest item of a job (default and most 65536)")
+            description = "Largest item of a job (default and maximum 65536)")
     private String maxItemBytes;
 
     @Option(
             names = "--deadline-millis",
             defaultValue = "${env:GOOSEBERRY_DEADLINE_MILLIS:-120000}",
-            description = "How long an online request may take if its caller does not say (default 120000)")
+            description = "How long an online request may take if its caller sets no deadline (default 120000)")
     private String deadlineMillis;
 
     @Option(
             names = "--endpoint-silence-millis",
             defaultValue = "${env:GOOSEBERRY_ENDPOINT_SILENCE_MILLIS:-15000}",
-            description = "How long an endpoint may be silent inside an answer (default 15000)")
+            description = "How long an endpoint may be silent during an exchange (default 15000)")
     private String endpointSilenceMillis;
 
     @Option(
--- a/src/main/java/org/gooseberryhill/program/HostOptions.java
+++ b/src/main/java/org/gooseberryhill/program/HostOptions.java
@@ -30,7 +30,7 @@
     @Option(
             names = "--key-value-address",
             defaultValue = "${env:GOOSEBERRY_KEY_VALUE_ADDRESS:-}",
-            description = "ip:port of the platform's key-value service")
+            description = "ip:port of the platform's key-value store")
     private String keyValueAddress;
 
     @Option(
@@ -60,13 +60,13 @@
     @Option(
             names = "--stop-grace-millis",
             defaultValue = "${env:GOOSEBERRY_STOP_GRACE_MILLIS:-2000}",
-            description = "How long requests are taken in after a stop was asked for (default 2000)")
+            description = "How long requests are accepted after a stop is requested (default 2000)")
     private String stopGraceMillis;
 
     @Option(
             names = "--stop-bound-millis",
             defaultValue = "${env:GOOSEBERRY_STOP_BOUND_MILLIS:-120000}",
-            description = "After which a stop ends even with requests in progress (default 120000)")
+            description = "Time after which a stop ends even with requests in progress (default 120000)")
     private String stopBoundMillis;
 
     HostSettings readSettings(Role role, SettingsReader reader) {
--- a/src/main/java/org/gooseberryhill/program/JobCommand.java
+++ b/src/main/java/org/gooseberryhill/program/JobCommand.java
@@ -27,7 +27,9 @@
     @Spec
     private CommandSpec spec;
 
-    @Command(mixinStandardHelpOptions = true, description = "Submits a job; the same one again is the same job")
+    @Command(
+            mixinStandardHelpOptions = true,
+            description = "Submits a job; submitting the same job again creates no other job")
     int submit(
             @Mixin EntryOptions entry,
             @Parameters(paramLabel = "ID", description = "The job's id") String id,
@@ -152,13 +154,13 @@
         @Option(
                 names = "--entry",
                 defaultValue = "${env:GOOSEBERRY_ENTRY:-}",
-                description = "ip:port of an entry host or the balancer")
+                description = "ip:port of an entry host or the load balancer")
         private String entry;
 
         @Option(
                 names = "--key",
                 defaultValue = "${env:GOOSEBERRY_KEY:-}",
-                description = "The caller's bearer key; better set GOOSEBERRY_KEY")
+                description = "The caller's bearer key; preferably set GOOSEBERRY_KEY instead")
         private String key;
 
         EntryClient connect() {
--- a/src/main/java/org/gooseberryhill/program/KeyCommand.java
+++ b/src/main/java/org/gooseberryhill/program/KeyCommand.java
@@ -22,7 +22,7 @@
         BufferedReader reader = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         String key = reader.readLine();
         if (key == null || key.isBlank()) {
-            spec.commandLine().getErr().println("no key came on standard input");
+            spec.commandLine().getErr().println("no key on standard input");
             return Commands.USAGE;
         }
         spec.commandLine().getOut().println(Fingerprint.sha256Hex(key.strip().getBytes(StandardCharsets.UTF_8)));
--- a/src/main/java/org/gooseberryhill/program/PlatformOptions.java
+++ b/src/main/java/org/gooseberryhill/program/PlatformOptions.java
@@ -18,7 +18,7 @@
     @Option(
             names = "--key-value-address",
             defaultValue = "${env:GOOSEBERRY_KEY_VALUE_ADDRESS:-}",
-            description = "ip:port of the platform's key-value service")
+            description = "ip:port of the platform's key-value store")
     private String keyValueAddress;
 
     Connection connect() {
--- a/src/main/java/org/gooseberryhill/program/SlopesCommand.java
+++ b/src/main/java/org/gooseberryhill/program/SlopesCommand.java
@@ -20,7 +20,7 @@
 @Command(
         name = "slopes",
         mixinStandardHelpOptions = true,
-        description = "Measures how costs grow with sizes, and writes the table that docs/CAPACITY.md stands on")
+        description = "Measures how costs grow with sizes, and writes the table that docs/CAPACITY.md is based on")
 final class SlopesCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
--- a/src/main/java/org/gooseberryhill/program/StandinsMain.java
+++ b/src/main/java/org/gooseberryhill/program/StandinsMain.java
@@ -16,7 +16,7 @@
         name = "gooseberry-standins",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
-        description = "Runs the stand-ins of the platform and the endpoints on loopback, for tests and tours")
+        description = "Runs the stand-ins of the platform and the endpoints on loopback, for tests and demonstrations")
 public final class StandinsMain implements Callable<Integer> {
     private static final int MAX_PORT = 65_000;
     private static final int MAX_ENGINES = 30;
@@ -31,7 +31,7 @@
     @Option(
             names = "--engines",
             defaultValue = "${env:GOOSEBERRY_ENGINES:-12}",
-            description = "Number of runners (default 12)")
+            description = "Number of engines (default 12)")
     private String engines;
 
     @Option(names = "--write-configuration", description = "Write the sample configuration to this file")
--- a/src/main/java/org/gooseberryhill/program/StewardMain.java
+++ b/src/main/java/org/gooseberryhill/program/StewardMain.java
@@ -51,13 +51,13 @@
     @Option(
             names = "--endpoint-silence-millis",
             defaultValue = "${env:GOOSEBERRY_ENDPOINT_SILENCE_MILLIS:-15000}",
-            description = "How long an endpoint may be silent inside an answer (default 15000)")
+            description = "How long an endpoint may be silent during an exchange (default 15000)")
     private String endpointSilenceMillis;
 
     @Option(
             names = "--max-handout-millis",
             defaultValue = "${env:GOOSEBERRY_MAX_HANDOUT_MILLIS:-300000}",
-            description = "After which an item without a report waits again (default 300000)")
+            description = "Time after which an item without a report is queued again (default 300000)")
     private String maxHandoutMillis;
 
     @Option(
--- a/src/main/java/org/gooseberryhill/program/TimelineCommand.java
+++ b/src/main/java/org/gooseberryhill/program/TimelineCommand.java
@@ -44,7 +44,7 @@
 
     @Option(
             names = "--surroundings",
-            description = "Also what processes believed of themselves, the store and the endpoints concerned, from 5 s"
+            description = "Also state changes of processes, the store and the endpoints concerned, from 5 s"
                     + " before to 5 s after")
     private boolean surroundings;
 
