--- a/src/main/java/org/gooseberryhill/decision/batch/EndpointBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/EndpointBatch.java
@@ -15,13 +15,14 @@
  *
  * <p>Invariant: the number of batch items in flight is exact, and no item is started beyond the limit of the slot
  * policy. The number of online requests is rather over- than underestimated: the last report of an entry host is used
- * for some time after reports stop, and the engine's own count, which lags, is used when no entry host reports.
+ * for some time after reports stop, and the engine's own count of requests in flight, which lags, is used when no entry
+ * host reports.
  */
 public final class EndpointBatch {
     /** How long an entry host's last report is used without a newer one; reports are repeated every 5 s. */
     private static final long REPORT_RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(12_000);
 
-    /** How long the engine's own count is used; it lags, so it must not outlive newer reports. */
+    /** How long the engine's own count of requests in flight is used; it lags, so it must not outlive newer reports. */
     private static final long ENGINE_COUNT_RETENTION_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private final BatchSlotPolicy slotPolicy;
@@ -106,7 +107,7 @@
         running.put(item.runNumber(), item);
     }
 
-    /** Records the end of an item, whatever its result. */
+    /** Records the end of an item's run, successful or not. */
     public void recordEnd(long runNumber) {
         running.remove(runNumber);
     }
--- a/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
+++ b/src/main/java/org/gooseberryhill/decision/batch/WorkSources.java
@@ -19,9 +19,10 @@
     private final Map<HostId, Set<String>> openRequests = new HashMap<>();
 
     /**
-     * Applies a heartbeat of an owner, which replaces what was known of it.
+     * Applies a heartbeat of an owner, which replaces the due times recorded for that owner.
      *
-     * @param earliestDueMillisByService the earliest due time, in epoch milliseconds, of each service with waiting items
+     * @param earliestDueMillisByService the earliest due time, in epoch milliseconds, of each service with waiting
+     *     items
      */
     public void onHeartbeat(HostId owner, Map<String, Long> earliestDueMillisByService) {
         if (earliestDueMillisByService.isEmpty()) {
--- a/src/main/java/org/gooseberryhill/decision/dispatch/EndpointHealth.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/EndpointHealth.java
@@ -6,11 +6,11 @@
  * Tracks the health of an endpoint from its latest attempts and ejects it from placement after failures. Not
  * thread-safe.
  *
- * <p>Failure mode: an endpoint has crashed or is unreachable while its registration remains for some seconds; each
- * request placed there loses time. The endpoint is ejected after the first unreachable attempt or after several
- * consecutive failures, for a time that doubles with each ejection; one success readmits it. An unreachable endpoint
- * gets no request until a probe has connected to it: otherwise each host would use a caller's request to test the
- * endpoint each time that its ejection ends.
+ * <p>Guards against an endpoint that has crashed or is unreachable while its registration remains for some seconds:
+ * each request placed there would lose time. The endpoint is ejected after the first unreachable attempt or after
+ * several consecutive failures, for a time that doubles with each ejection; one success readmits it. An unreachable
+ * endpoint gets no request until a probe has connected to it: otherwise each host would use a caller's request to test
+ * the endpoint each time that its ejection ends.
  */
 final class EndpointHealth {
     /** Consecutive failures that eject an endpoint: one or two may be caused by the requests themselves. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/Fleet.java
@@ -15,7 +15,7 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * Holds all endpoints that a host knows, by identity and by service. Not thread-safe.
+ * Holds all endpoints in a host's directory, by identity and by service. Not thread-safe.
  *
  * <p>Invariants: an endpoint that left the directory or registered as leaving gets no new requests from the moment that
  * the host learns of it; failures never eject more than half of the endpoints of a service, since a network partition
@@ -66,7 +66,10 @@
         updateEndpointsNoLongerReported(reports.remove(host), Map.of());
     }
 
-    /** Returns a snapshot of what is known about a service now. */
+    /**
+     * Returns a snapshot of a service: the numbers of all and of the usable endpoints, the slots of the usable ones and
+     * the requests in flight there, and the age of the oldest report.
+     */
     public ServiceState serviceState(String service, long nowNanos) {
         List<FleetEndpoint> usable = usableEndpoints(service, nowNanos);
         long oldestNanos = reports.values().stream()
@@ -129,12 +132,15 @@
         addOwnInFlight(key, -1, 0);
     }
 
-    /** Counts an item of a request batch that starts at an endpoint. */
+    /** Adds an item of a request batch that starts at an endpoint to the number that this host has in flight there. */
     public void batchStarted(EndpointKey key) {
         addOwnInFlight(key, 0, 1);
     }
 
-    /** Removes an item of a request batch that ended at an endpoint, with whatever result. */
+    /**
+     * Subtracts an item of a request batch whose run at an endpoint has ended, successfully or not, from the number
+     * that this host has in flight there.
+     */
     public void batchEnded(EndpointKey key) {
         addOwnInFlight(key, 0, -1);
     }
--- a/src/main/java/org/gooseberryhill/decision/dispatch/ForecastOverloadPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/ForecastOverloadPolicy.java
@@ -3,8 +3,8 @@
 /**
  * Lets requests wait for a share of their target latency. Stateless.
  *
- * <p>Failure mode: under overload every request waits until it is late, even those that could have been on time. A
- * refusal costs the caller only the time until its retry, which the refusal states.
+ * <p>Guards against an overload in which every request waits until it is late, even those that could have been on time.
+ * A refusal costs the caller only the time until its retry, which the refusal states.
  */
 public final class ForecastOverloadPolicy implements OverloadPolicy {
     private final double waitShareOfTarget;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/LeastWaitPlacement.java
@@ -20,7 +20,7 @@
     /** Extra time until the first event at a full endpoint, which takes longer for each event than an idle one. */
     private static final double FULL_LOAD_MILLIS = 10;
 
-    /** Connection setup: a round trip and the endpoint's share of the work. */
+    /** Time to set up a connection: a round trip and the work that it takes at the endpoint. */
     private static final double CONNECT_MILLIS = 3;
 
     /** Prefill time of an engine per prompt token; the engines in use process some hundred tokens per millisecond. */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/PromptPrefixTracker.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/PromptPrefixTracker.java
@@ -10,9 +10,10 @@
  * Tracks which prompt prefixes the endpoints have processed for this host and so probably hold in their prefix caches.
  * Not thread-safe; bounded.
  *
- * <p>Failure mode: requests that share a prompt prefix go to a new endpoint each time, and each endpoint processes the
- * prefix again while other requests wait. Requests sent by other hosts are not tracked; with many hosts, each host uses
- * its own endpoints for a prefix, which costs some repeated prefills but no messages.
+ * <p>Guards against repeated processing of the same prompt prefix: requests that share a prefix would go to a new
+ * endpoint each time, and each endpoint would process the prefix again while other requests wait. Requests sent by
+ * other hosts are not tracked; with many hosts, each host uses its own endpoints for a prefix, which costs some
+ * repeated prefills but no messages.
  *
  * <p>Invariant: a part counts as cached only if all parts before it are, since an engine can reuse it only then.
  */
--- a/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/SpreadRetryAfterPolicy.java
@@ -17,11 +17,15 @@
     private static final double RETRY_SHARE_OF_SLOTS = 0.1;
 
     /**
-     * Longest retry time as a share of the remaining time: callers of the user interface wait at most a third of it.
+     * Longest retry time as a share of the time until the request's deadline: callers of the user interface wait at
+     * most a third of that time.
      */
     private static final double MAX_SHARE_OF_REMAINING = 1.0 / 3;
 
-    /** Retry times beyond that limit are drawn at random from this last share of it, so that they do not coincide. */
+    /**
+     * A retry time above the longest one is replaced by a random time from the last part of the range up to it, so that
+     * such retry times do not coincide. This is the length of that part as a share of the longest retry time.
+     */
     private static final double JITTER_SHARE = 0.25;
 
     private final Random random;
--- a/src/main/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicy.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/StandingQueuePolicy.java
@@ -16,13 +16,22 @@
  * with the short bound alone 0.962 and 0.841.
  */
 public final class StandingQueuePolicy implements OverloadPolicy {
-    /** The rest of the target covers the network, the prefill, the first event and errors of the forecast. */
+    /**
+     * The longest forecast wait that is accepted in a transient queue, as a share of the target latency. The rest of
+     * the target latency covers the network, the prefill, the first event and errors of the forecast.
+     */
     private static final double TRANSIENT_SHARE_OF_TARGET = 0.7;
 
-    /** Less than the wait behind one other request at an endpoint of the sites in use. */
+    /**
+     * The longest forecast wait that is accepted in a standing queue, as a share of the target latency: less than the
+     * wait behind one other request at an endpoint of the sites in use.
+     */
     private static final double STANDING_SHARE_OF_TARGET = 0.3;
 
-    /** A queue that has lasted for this share of the target has made some request wait for most of the target. */
+    /**
+     * The time without a free slot after which a queue counts as standing, as a share of the target latency: by then
+     * the queue has made some request wait for most of the target latency.
+     */
     private static final double STANDING_AFTER_SHARE_OF_TARGET = 2.0 / 3;
 
     private final Map<String, Long> lastFreeNanosByService = new HashMap<>();
--- a/src/main/java/org/gooseberryhill/decision/dispatch/YieldGracePeriod.java
+++ b/src/main/java/org/gooseberryhill/decision/dispatch/YieldGracePeriod.java
@@ -8,9 +8,9 @@
 /**
  * Delays the yielding of batch items at an overcommitted endpoint by a grace period. Not thread-safe.
  *
- * <p>Failure mode: reports of two hosts cross, an endpoint seems overcommitted for some milliseconds, and items are
- * stopped and restarted elsewhere needlessly. Most such states end within the grace period, and a request that waits
- * this long at an endpoint is still far from its target latency.
+ * <p>Guards against items that are stopped and restarted elsewhere needlessly, because the reports of two hosts cross
+ * and an endpoint seems overcommitted for some milliseconds. Most such states end within the grace period, and a
+ * request that waits this long at an endpoint is still far from its target latency.
  */
 public final class YieldGracePeriod {
     /** Several trips between zones, and a tenth of the shortest target latency to the first event in use. */
--- a/src/main/java/org/gooseberryhill/decision/drain/LeavingEndpoints.java
+++ b/src/main/java/org/gooseberryhill/decision/drain/LeavingEndpoints.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Returns the endpoints to announce to peers as leaving: those known from sources other than peers. If hosts passed
-     * on what peers told them, such reports would circulate forever.
+     * Returns the endpoints to announce to peers as leaving: those reported by sources other than peers. If hosts
+     * passed on what peers told them, such reports would circulate forever.
      */
     public Set<String> directlyObserved() {
         Set<String> union = new HashSet<>();
--- a/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
+++ b/src/main/java/org/gooseberryhill/decision/idempotency/Claim.java
@@ -74,7 +74,10 @@
         return afterUncertainResult(new ClaimStep.Read());
     }
 
-    /** Returns whether {@link ClaimStep.Send} was returned. */
+    /**
+     * Returns whether the call was released for sending ({@link ClaimStep.Send}). If not, it has certainly not run, so
+     * its own record may be deleted; otherwise it may have run.
+     */
     public boolean isSent() {
         return sent;
     }
--- a/src/main/java/org/gooseberryhill/decision/job/ChunkCommit.java
+++ b/src/main/java/org/gooseberryhill/decision/job/ChunkCommit.java
@@ -17,7 +17,7 @@
         WRITE,
         /** Read the chunk's record. */
         READ,
-        /** Done: the chunk has its record, whose completions count. */
+        /** Done: the chunk has its record, so its items are complete with the results that the record names. */
         COMMITTED,
         /** Done: the job was cancelled or has another owner; this host has to stop it. */
         REFUSED
@@ -38,8 +38,8 @@
     /** Returns the step after the chunk's record was read. */
     public Step read(Optional<ChunkRecord> found) {
         if (found.isPresent()) {
-            // The record is this owner's or an earlier owner's. In both cases its completions count, and those
-            // of this run are discarded.
+            // The record is this owner's or an earlier owner's. In both cases the items are complete with the results
+            // that the record names; any other results of this run are discarded.
             return Step.COMMITTED;
         }
         if (uncertain) {
--- a/src/main/java/org/gooseberryhill/decision/job/JobSubmission.java
+++ b/src/main/java/org/gooseberryhill/decision/job/JobSubmission.java
@@ -70,7 +70,10 @@
         return missingAnswers > MAX_MISSING_ANSWERS ? Step.UNAVAILABLE : Step.READ;
     }
 
-    /** Returns the refusal that a final step means for the caller; empty if the step is not a refusal. */
+    /**
+     * Returns the refusal with which the caller is answered after a final step; empty if the step does not lead to a
+     * refusal.
+     */
     public static Optional<Refusal> refusal(Step step) {
         return switch (step) {
             case CONFLICT -> Optional.of(Refusal.notRun(ErrorCode.CONFLICT, "another job was accepted under this id"));
--- a/src/main/java/org/gooseberryhill/decision/lease/LeaseGuard.java
+++ b/src/main/java/org/gooseberryhill/decision/lease/LeaseGuard.java
@@ -6,10 +6,11 @@
 /**
  * Tells whether this host may still act under its lease. Not thread-safe.
  *
- * <p>Failure: a host is paused, its lease expires and another host takes over; when the paused host resumes, it
- * continues as if it still held the lease. Two measures prevent this. The validity period is counted on the monotonic
- * clock from before each renewal was <em>sent</em>, less a margin, so this host stops before the key-value store
- * expires the lease. And each action carries the fencing token of its claim, so it is refused once the claim is gone.
+ * <p>Guards against a host that is paused until its lease has expired and another host has taken over: when it resumes,
+ * it would continue as if it still held the lease. Two measures prevent this. The validity period is counted on the
+ * monotonic clock from before each renewal was <em>sent</em>, less a margin, so this host stops before the key-value
+ * store expires the lease. And each action carries the fencing token of its claim, so it is refused once the claim is
+ * gone.
  */
 public final class LeaseGuard {
     private final long marginNanos;
--- a/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/HostRoster.java
@@ -139,7 +139,7 @@
 
     /**
      * Returns the other gateways that may call the key-value store on behalf of this host: those that reach it, or all
-     * known gateways while none has been heard. The fallback serves a host that starts while it cannot reach the
+     * listed gateways while none has been heard. The fallback serves a host that starts while it cannot reach the
      * key-value store: it is on no list yet and therefore receives no reports.
      */
     public List<Host> gatewaysReachingKeyValueStore(long nowNanos) {
--- a/src/main/java/org/gooseberryhill/decision/membership/Membership.java
+++ b/src/main/java/org/gooseberryhill/decision/membership/Membership.java
@@ -26,7 +26,7 @@
     /** How many times a rumor is sent for each doubling of the number of hosts. */
     private static final int RUMOR_REPEATS_PER_DOUBLING = 3;
 
-    /** The interval at which each suspect is probed. */
+    /** The interval at which each suspect, a host that may be dead since it did not answer, is probed. */
     private static final long SUSPECT_PROBE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final HostId self;
@@ -157,7 +157,7 @@
         return version;
     }
 
-    /** Returns the state of another host; empty if the host is not known. */
+    /** Returns the state of another host; empty if this view does not contain the host. */
     public Optional<HostState> stateOf(HostId host) {
         return Optional.ofNullable(peers.get(host)).map(peer -> peer.state);
     }
@@ -178,14 +178,14 @@
                 .toList();
     }
 
-    /** Returns the states of all other known hosts. */
+    /** Returns the states of all other hosts in this view. */
     public Map<HostId, HostState> states() {
         Map<HostId, HostState> states = new TreeMap<>();
         peers.forEach((id, peer) -> states.put(id, peer.state));
         return states;
     }
 
-    /** Returns another known host, dead or not. */
+    /** Returns another host, dead or not; empty if this view does not contain it. */
     public Optional<Host> find(HostId host) {
         return Optional.ofNullable(peers.get(host)).map(Peer::currentHost);
     }
--- a/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
+++ b/src/main/java/org/gooseberryhill/decision/ownership/Ownership.java
@@ -44,7 +44,10 @@
         return owner("job/" + job.path(), Optional.empty(), stewards);
     }
 
-    /** Returns the steward that arbitrates the suspect requests of a service. */
+    /**
+     * Returns the steward that assigns endpoints to the suspects of a service. A suspect is a request that was in
+     * flight when an endpoint crashed; it runs at an endpoint without other suspects.
+     */
     public static Optional<Host> ownerOfSuspects(String service, Collection<Host> stewards) {
         return owner("suspects/" + service, Optional.empty(), stewards);
     }
--- a/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/CrashSuspects.java
@@ -19,7 +19,7 @@
 public final class CrashSuspects {
     /** How a request must be treated. */
     public enum Verdict {
-        /** The request is not known to have been in flight at a crash. */
+        /** No crash is on record at which the request was in flight. */
         CLEAR,
         /** The request was in flight at one crash and runs apart from other suspects. */
         SUSPECT,
--- a/src/main/java/org/gooseberryhill/decision/quarantine/SuspectArbiter.java
+++ b/src/main/java/org/gooseberryhill/decision/quarantine/SuspectArbiter.java
@@ -8,7 +8,8 @@
 import org.gooseberryhill.contract.Fingerprint;
 
 /**
- * Assigns endpoints to the suspects of one service, on behalf of all hosts. Not thread-safe.
+ * Assigns endpoints to the suspects of one service, on behalf of all hosts. A suspect is a request that was in flight
+ * when an endpoint crashed. Not thread-safe.
  *
  * <p>Invariant: a suspect runs at one endpoint at a time, and no two suspects share an endpoint, so that a second crash
  * has a single cause. A grant ends when its holder releases it, or when it expires, since the holder may be lost. An
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchAcceptance.java
@@ -6,10 +6,12 @@
  * Decides when a submitted batch is accepted: once its record is in the key-value store, or once enough other hosts
  * hold copies on disk to survive the loss of some of them. Not thread-safe.
  *
- * <p>Failure: the key-value store is unavailable for seconds, and batches that are submitted meanwhile are confirmed
- * late or not at all, although slots for their items are free. Invariants: a caller gets exactly one answer; a
- * submission is confirmed only when its record or enough copies are durable; once a copy may exist on any host, or the
- * record may be written, the caller is never told that the batch has not run.
+ * <p>Guards against submissions that are confirmed late or not at all, although slots for their items are free, because
+ * the key-value store is unavailable for seconds.
+ *
+ * <p>Invariants: a caller gets exactly one answer; a submission is confirmed only when its record or enough copies are
+ * durable; once a copy may exist on any host, or the record may be written, the caller is never told that the batch has
+ * not run.
  */
 public final class BatchAcceptance {
     /**
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchExpiry.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchExpiry.java
@@ -9,9 +9,9 @@
 /**
  * Determines when the retention period of finished batches has passed. Not thread-safe.
  *
- * <p>Failure: the wall clock of a host is wrong by an hour, and results that were promised for minutes are deleted at
- * once. Timestamps in records are therefore ignored: a batch has to be observed as finished for the whole period on the
- * monotonic clock of the host that deletes it. The period starts again when the process restarts.
+ * <p>Guards against the wall clock of a host that is wrong by an hour: results that were promised for minutes would be
+ * deleted at once. Timestamps in records are therefore ignored: a batch has to be observed as finished for the whole
+ * period on the monotonic clock of the host that deletes it. The period starts again when the process restarts.
  */
 public final class BatchExpiry {
     private final long retentionNanos;
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/BatchRecord.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/BatchRecord.java
@@ -9,7 +9,7 @@
  * commit of results, and when its caller ends it. Immutable.
  *
  * <p>Invariant: a record changes only by compare-and-set on its revision. If two hosts both believe that they own a
- * batch, the commit of one of them is refused, so each position is assigned once.
+ * batch, the commit of one of them is refused, so each position in the list of results is assigned once.
  *
  * @param host the value of the batch's host header
  * @param target path and query of the submission, by which its route is found
@@ -20,8 +20,8 @@
  * @param bodyParts the number of values in which the items are stored
  * @param items the number of items
  * @param ended whether the caller ended the batch
- * @param chunks the first position of each committed chunk of results, in order
- * @param listed the number of committed positions
+ * @param chunks the position of the first result of each committed chunk, in order
+ * @param listed the number of committed results, which is also the position of the next one in the list of results
  */
 public record BatchRecord(
         String host,
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnedBatch.java
@@ -10,9 +10,9 @@
 /**
  * The state of a batch on the host that owns and runs it. Not thread-safe.
  *
- * <p>Invariants: positions are assigned only by commits, each of them once; an item has one position; a result is
- * visible only after its commit. An item is given up only when an endpoint answered that the item can never be run,
- * when all attempts failed, or when the batch is older than its retention period.
+ * <p>Invariants: positions in the list of results are assigned only by commits, each of them once; an item has one
+ * position; a result is visible only after its commit. An item is given up only when an endpoint answered that the item
+ * can never be run, when all attempts failed, or when the batch is older than its retention period.
  */
 public final class OwnedBatch {
     /** The delay after an error answer: the endpoint may be the cause, and other items can run in the meantime. */
@@ -27,12 +27,16 @@
     /** The delay after an endpoint refused to run an item: about the time until one of its slots is free. */
     private static final long BUSY_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** An item is suspected of crashing its endpoints once this many of its runs were cut before any output. */
+    /**
+     * An item becomes a suspect, one that may crash its endpoints, once this many of its runs were interrupted before
+     * any output.
+     */
     private static final int SUSPECT_RUN_THRESHOLD = 3;
 
     /**
-     * The first pause of a suspect item. The pause doubles with each further cut, so that an item that does not crash
-     * endpoints still gets to run, and one that does starts only rarely.
+     * The time for which an item is not started after the interruption that makes it a suspect. The pause doubles with
+     * each further run that is interrupted before any output, so that an item that does not crash endpoints still gets
+     * to run, and one that does starts only rarely.
      */
     private static final long FIRST_SUSPECT_PAUSE_MILLIS = 2_000;
 
@@ -53,7 +57,7 @@
      *
      * @param recordRevision the revision of its record; 0 if the record is not in the key-value store yet
      * @param batchItems all items of the batch
-     * @param results the committed results in order of position
+     * @param results the committed results in the order of the batch's list of results
      */
     public OwnedBatch(
             String id, BatchRecord record, long recordRevision, List<BatchItem> batchItems, List<ItemResult> results) {
@@ -198,10 +202,10 @@
     }
 
     /**
-     * Returns the results to commit now, at the positions from {@code record().listed()} on: as many as fit into the
-     * given number of characters, but at least one if there is any. Returns the same results until the commit is known
-     * to have taken effect: a write without an answer may still take effect seconds later, so a repetition must have
-     * the same content.
+     * Returns the results to commit now, at the positions of the batch's list of results from {@code record().listed()}
+     * on: as many as fit into the given number of characters, but at least one if there is any. Returns the same
+     * results until the commit is known to have taken effect: a write without an answer may still take effect seconds
+     * later, so a repetition must have the same content.
      */
     public List<ItemResult> beginCommit(int maxCharacters) {
         if (commitSize == 0) {
@@ -234,8 +238,8 @@
     }
 
     /**
-     * Returns the committed results from a position on: as many as fit into the given number of characters, but at
-     * least one if there is any.
+     * Returns the committed results from a position of the batch's list of results on: as many as fit into the given
+     * number of characters, but at least one if there is any.
      */
     public BatchPage page(int after, int maxCharacters) {
         List<ItemResult> results = new ArrayList<>();
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/OwnerFailureDetector.java
@@ -9,10 +9,10 @@
 /**
  * Detects the loss of the owners of batches. Not thread-safe.
  *
- * <p>Failure: an owner that has just started is missing from a list of live hosts that is some seconds old. Its batches
- * are taken over, it takes them back, and all their items run again each time. An owner therefore counts as lost only
- * when its process has been missing for a while: neither in the list of live hosts nor heard from directly. Batches of
- * an earlier process of this host may be taken over at once.
+ * <p>Guards against taking over the batches of an owner that has just started, which is missing from a list of live
+ * hosts that is some seconds old: its batches would be taken over, it would take them back, and all their items would
+ * run again each time. An owner therefore counts as lost only when its process has been missing for a while: neither in
+ * the list of live hosts nor heard from directly. Batches of an earlier process of this host may be taken over at once.
  */
 public final class OwnerFailureDetector {
     /**
--- a/src/main/java/org/gooseberryhill/decision/requestbatch/package-info.java
+++ b/src/main/java/org/gooseberryhill/decision/requestbatch/package-info.java
@@ -1,2 +1,5 @@
-/** Request batches: acceptance of submissions, scheduling and placement of items, item results and their positions. */
+/**
+ * Request batches: acceptance of submissions, scheduling and placement of items, results of items and their positions
+ * in the batch's list of results.
+ */
 package org.gooseberryhill.decision.requestbatch;
--- a/src/main/java/org/gooseberryhill/decision/routing/EndpointTable.java
+++ b/src/main/java/org/gooseberryhill/decision/routing/EndpointTable.java
@@ -11,7 +11,7 @@
 import org.gooseberryhill.configuration.EndpointSettings;
 
 /**
- * Indexes the endpoints known to an entry host by name and by service. Not thread-safe.
+ * Indexes the endpoints in an entry host's configuration by name and by service. Not thread-safe.
  *
  * <p>Invariants: an endpoint that any source reports as leaving gets no new request; failures never eject more than
  * half of a service's endpoints, since a network failure at this host looks like a failure of all of them.
@@ -51,7 +51,7 @@
         return Optional.ofNullable(pools.get(service));
     }
 
-    /** Returns the endpoint with a name, or empty if it is unknown. */
+    /** Returns the endpoint with a name, or empty if none is configured under that name. */
     public Optional<EndpointState> find(String name) {
         return Optional.ofNullable(byName.get(name));
     }
--- a/src/main/java/org/gooseberryhill/dialect/BatchApiCall.java
+++ b/src/main/java/org/gooseberryhill/dialect/BatchApiCall.java
@@ -6,7 +6,7 @@
      * Reads the results of a request batch.
      *
      * @param batch id of the batch
-     * @param firstPosition position of the first result requested, counted from 0
+     * @param firstPosition position of the first requested result in the batch's list of results, counted from 0
      * @param waitMillis maximum time that the call waits for a result
      */
     record ReadResults(String batch, int firstPosition, long waitMillis) implements BatchApiCall {}
--- a/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
+++ b/src/main/java/org/gooseberryhill/entry/OnlineTraffic.java
@@ -108,7 +108,10 @@
         core.endpoints().setLeaving(leaving.all());
     }
 
-    /** Returns the host that arbitrates the suspects of a service. */
+    /**
+     * Returns the steward that assigns endpoints to the suspects of a service: requests that were in flight when an
+     * endpoint crashed.
+     */
     Optional<Host> suspectArbiter(String service) {
         return Ownership.ownerOfSuspects(service, process.presentHosts(Role.STEWARD));
     }
--- a/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchCommitter.java
@@ -84,7 +84,11 @@
         writeEndedRecord(batch);
     }
 
-    /** Handles the creation of the record of a batch that was accepted before, on the strength of copies on disks. */
+    /**
+     * Handles the creation of the record of a batch that this host accepted without a record, since enough other hosts
+     * held copies of the submission on disk. If the caller has asked to end the batch meanwhile, marks the record as
+     * ended now.
+     */
     void onRecordCreated(OwnedBatch batch, BatchRecord record, long revision) {
         batch.recordChanged(record, revision);
         if (endReceivers.containsKey(batch.id())) {
@@ -93,8 +97,8 @@
     }
 
     /**
-     * Handles the loss of a batch that this host accepted on the strength of copies on disks: its record names another
-     * process, or there is no record.
+     * Handles the loss of a batch that this host accepted without a record, since enough other hosts held copies of the
+     * submission on disk: the record names another process as the owner, or there is no record.
      */
     void onRecordedElsewhere(String id, Optional<BatchStore.StoredRecord> found) {
         onOwnershipLost(id, found);
--- a/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchEnder.java
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Ends a batch whose owner is unknown to this host or did not end it.
+     * Ends a batch for which this host has no recorded owner, or whose owner did not end it.
      *
      * @param asked the host that was asked without success
      */
--- a/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchHandOver.java
@@ -16,9 +16,9 @@
  * Hands the open batches of a stopping host over to other hosts, with the output that their items have generated so
  * far. Confined to the control thread.
  *
- * <p>Failure: during the planned stop of a host its batches wait until another host finds them, and each item starts
- * from the beginning. Pending results are committed before the hand-over; a batch that no host takes stays here, and is
- * taken over like a batch of a lost host.
+ * <p>Guards against batches that are delayed by the planned stop of their host: without a hand-over they would wait
+ * until another host finds them, and each item would start from the beginning. Pending results are committed before the
+ * hand-over. A batch that no host accepts stays here, and is later taken over like a batch of a lost host.
  */
 final class BatchHandOver {
     /** Delay before a batch that the chosen host did not accept is offered again. */
--- a/src/main/java/org/gooseberryhill/gateway/BatchRegistry.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchRegistry.java
@@ -13,8 +13,8 @@
 import org.gooseberryhill.host.HostId;
 
 /**
- * Registry of the batches that this host owns, of the callers that wait for their results, and of the known owners of
- * other batches. Confined to the control thread.
+ * Registry of the batches that this host owns, of the callers that wait for their results, and of the owners of other
+ * batches as far as this host has recorded them. Confined to the control thread.
  *
  * <p>Invariant: an owned batch has exactly one entry from {@link #add} to {@link #remove}. A second copy would commit
  * again the results that the first copy has already committed.
@@ -40,7 +40,10 @@
         return true;
     }
 
-    /** Removes a batch that this host no longer owns or holds in memory, and notifies its waiters. */
+    /**
+     * Removes a batch because this host no longer owns it, or because it is finished and need not stay in memory, and
+     * notifies its waiters.
+     */
     void remove(String id) {
         owned.remove(id);
         notifyWaiters(id);
--- a/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
+++ b/src/main/java/org/gooseberryhill/gateway/BatchTakeover.java
@@ -19,9 +19,10 @@
 /**
  * Takes over batches whose owner is lost. Confined to the control thread.
  *
- * <p>Failure: an owner is killed or its host is lost, and its batches are never finished. Each gateway therefore scans
- * the records periodically; batches whose owner is not among the live hosts go to the gateway that rendezvous hashing
- * selects. If two gateways try to take the same batch, the record's revision lets only one of them succeed.
+ * <p>Guards against batches that are never finished because their owner is killed or its host is lost. Each gateway
+ * therefore scans the records periodically; batches whose owner is not among the live hosts go to the gateway that
+ * rendezvous hashing selects. If two gateways try to take the same batch, the record's revision lets only one of them
+ * succeed.
  */
 final class BatchTakeover {
     private static final long LOAD_RETRY_MILLIS = 300;
--- a/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
+++ b/src/main/java/org/gooseberryhill/gateway/CrashTracking.java
@@ -12,9 +12,9 @@
 /**
  * Tracks requests whose endpoints crashed, as observed by this and the other gateways. Confined to the control thread.
  *
- * <p>Failure: one request crashes each endpoint that runs it, and its caller sends it again through other hosts. Each host
- * notifies the others of requests that were cut off, so that the second crash is enough to quarantine the request,
- * whichever hosts observed the two.
+ * <p>Guards against a request that crashes each endpoint that runs it and that its caller sends again through other
+ * hosts. Each host notifies the others of requests whose connection to the endpoint was lost before any part of the
+ * answer arrived, so that the second crash is enough to quarantine the request, whichever hosts observed the two.
  */
 final class CrashTracking {
     private final GatewayContext context;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Records requests that another gateway reports as cut off. */
+    /** Records a crash of an endpoint that another gateway reports, with the requests that were in flight there. */
     void onCrashNotice(PeerMessage.CrashNotice notice) {
         List<Fingerprint> requests =
                 notice.fingerprints().stream().map(Fingerprint::new).toList();
--- a/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
+++ b/src/main/java/org/gooseberryhill/gateway/EvacuationReporter.java
@@ -15,13 +15,16 @@
  * <p>Such a host stores submissions only until the key-value store has recorded them. A request for the number of its
  * submissions makes the host create their records at once and accept no further ones; it can be removed when none are
  * left. A host that can't be reached for a while is reported as removable too: waiting would not save the submissions
- * that it stores, and other hosts have copies of them. The first two gateways by rank report, the second in case the
- * first is lost in the meantime; reporting twice changes nothing.
+ * that it stores, and other hosts have copies of them. The gateways of ranks 0 and 1 report, the latter in case the
+ * former is lost in the meantime; reporting twice changes nothing.
  */
 final class EvacuationReporter {
     private static final int REPORTING_GATEWAYS = 2;
 
-    /** Delay of the second gateway: by then the first one has reported or is lost. */
+    /**
+     * Delay after which the gateway of rank 1 checks the host and reports as well: by then the gateway of rank 0 has
+     * reported or is lost.
+     */
     private static final long REPORT_DELAY_MILLIS = 1000;
 
     private static final long RETRY_MILLIS = 500;
@@ -44,7 +47,7 @@
     /**
      * Handles a request of operators to evacuate a host.
      *
-     * @param rank the position of this gateway among the live ones
+     * @param rank the number of live gateways whose ids precede this gateway's id
      */
     void evacuationRequested(String host, long revision, int rank) {
         if (rank < REPORTING_GATEWAYS && handledRequests.add(host + "@" + revision)) {
--- a/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayTraffic.java
@@ -35,7 +35,8 @@
      * Creates the state of a host with no request in progress.
      *
      * @param onLoadChange runs when this host's requests in flight at endpoints have changed
-     * @param directoryAgeMillis supplies the maximum age of the list of endpoints
+     * @param directoryAgeMillis supplies the time since the last moment at which the list of endpoints was certainly up
+     *     to date, in milliseconds
      */
     GatewayTraffic(
             GatewayContext context,
--- a/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
+++ b/src/main/java/org/gooseberryhill/gateway/GatewayViews.java
@@ -23,7 +23,10 @@
 import org.gooseberryhill.stored.StoredValueCodec;
 import org.gooseberryhill.timeline.EventKind;
 
-/** Follows endpoints, operator entries and live hosts in the key-value store. Confined to the control thread. */
+/**
+ * Follows the registrations of endpoints, the entries that operators write (configurations and evacuation requests) and
+ * the list of live hosts in the key-value store. Confined to the control thread.
+ */
 final class GatewayViews {
     /** The store answers in milliseconds; a starting host without an answer after this time queries the seeds as well. */
     private static final long SEED_QUERY_DELAY_MILLIS = 400;
@@ -94,12 +97,17 @@
         hosts.tick(rank);
     }
 
-    /** Returns whether the endpoints and the operator entries have been loaded. */
+    /**
+     * Returns whether the registrations of endpoints and the entries that operators write (configurations and
+     * evacuation requests) have been loaded, from the key-value store or from another host.
+     */
     boolean areLoaded() {
         return operators.isLoaded() && registrations.isLoaded();
     }
 
-    /** Returns the maximum age of the list of endpoints. */
+    /**
+     * Returns the time since the last moment at which the list of endpoints was certainly up to date, in milliseconds.
+     */
     long directoryAgeMillis() {
         return registrations.ageMillis();
     }
@@ -113,12 +121,15 @@
         });
     }
 
-    /** Returns all entries that this host knows under a prefix. */
+    /** Returns all entries in this host's view of a key prefix; empty if it has no view of that prefix. */
     Optional<GatewayMessage.ViewListing> listing(String prefix) {
         return findUpdater(prefix).map(ViewUpdater::listing);
     }
 
-    /** Returns this host's position among the live ones, which determines whose turn it is to query the store. */
+    /**
+     * Returns this host's rank, the number of live gateways whose ids precede its own; it determines whose turn it is
+     * to query the store.
+     */
     private int computeRank() {
         TreeSet<HostId> live = new TreeSet<>();
         links.gateways().forEach(host -> live.add(host.id()));
--- a/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
+++ b/src/main/java/org/gooseberryhill/gateway/PeerLinks.java
@@ -51,7 +51,7 @@
         return roster.takeNewlySilent(context.nowNanos());
     }
 
-    /** Returns the process start ids of all hosts that are known to be alive, including this one, by host. */
+    /** Returns the process start ids of all hosts that count as alive, including this one, by host. */
     Map<String, String> liveProcessStarts() {
         return roster.liveProcessStarts(context.nowNanos());
     }
--- a/src/main/java/org/gooseberryhill/gateway/ProcessDelayDetector.java
+++ b/src/main/java/org/gooseberryhill/gateway/ProcessDelayDetector.java
@@ -12,7 +12,7 @@
  * reported as well, because it cannot be distinguished from a suspension.
  */
 final class ProcessDelayDetector {
-    /** Shorter delays are normal on a host with a share of one core. */
+    /** Shorter delays are normal on a host that may use only a part of one core. */
     static final long MIN_REPORTED_MILLIS = 200;
 
     private final long periodMillis;
--- a/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
+++ b/src/main/java/org/gooseberryhill/gateway/RecordWriter.java
@@ -13,9 +13,9 @@
 /**
  * Writes the record of a batch to the key-value store, as {@link RecordWrite} decides. Confined to the control thread.
  *
- * <p>Failure: the store performs a write but its answer is lost, and the caller of a batch waits for the full timeout
- * of a store call. A write that is not answered soon is therefore sent a second time while the first is still pending;
- * the record's revision lets only one of them take effect.
+ * <p>Guards against a lost answer to a write that the store has performed: the caller of the batch would wait for the
+ * full timeout of a store call. A write that is not answered soon is therefore sent a second time while the first is
+ * still pending; the record's revision lets only one of them take effect.
  */
 final class RecordWriter {
     /** Delay between attempts; outages are either longer or much shorter, and refused calls have a cost too. */
--- a/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
+++ b/src/main/java/org/gooseberryhill/gateway/RegisteredEndpoints.java
@@ -27,7 +27,7 @@
         this.timeline = timeline;
     }
 
-    /** Applies written and deleted registrations; returns whether they change anything known about an endpoint. */
+    /** Applies written and deleted registrations; returns whether they add, change or remove an endpoint. */
     boolean apply(List<KeyChange> changes) {
         boolean changed = false;
         for (KeyChange registration : changes) {
--- a/src/main/java/org/gooseberryhill/gateway/StartGate.java
+++ b/src/main/java/org/gooseberryhill/gateway/StartGate.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Holds requests that arrive while a starting host does not know its configuration yet. Confined to the control thread
+ * Holds requests that arrive while a starting host has not loaded its configuration yet. Confined to the control thread
  * unless stated otherwise.
  *
- * <p>Failure: all hosts restart at once after a power failure, and the first requests reach hosts that read their
- * configuration some hundred milliseconds later; requests that are refused until then are retried too early and lost.
- * If the configuration is still unknown after the hold time, the store is unavailable: requests are then refused at
- * once, since the duration of the outage is unknown.
+ * <p>Guards against the loss of the first requests when all hosts restart at once after a power failure: these requests
+ * reach hosts that read their configuration only some hundred milliseconds later; refused until then, they would be
+ * retried too early and lost. If the configuration has still not been loaded after the hold time, the store is
+ * unavailable: requests are then refused at once, since nobody can tell how long the outage will last.
  */
 final class StartGate {
     /** Several times the time that a starting host takes to read the store. */
--- a/src/main/java/org/gooseberryhill/gateway/StoreReachability.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoreReachability.java
@@ -5,9 +5,9 @@
 /**
  * Tracks whether direct calls of this host reach the key-value store. Thread-safe.
  *
- * <p>Failure: the store refuses calls of some hosts and serves the others; each refused call has a cost, and a host
- * that keeps calling makes no progress. After a failed call the host relays its calls through others, and retries
- * directly after an interval.
+ * <p>Guards against a store that refuses the calls of some hosts and serves the others: each refused call has a cost,
+ * and a host that kept calling would make no progress. After a failed call the host therefore relays its calls through
+ * others, and retries directly after an interval.
  *
  * <p>Invariant: calls are ordered by the time at which they were sent. A call that hung during an outage fails seconds
  * after later calls were answered; it says nothing about the current state of the store.
--- a/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
+++ b/src/main/java/org/gooseberryhill/gateway/StoredBatchReader.java
@@ -32,7 +32,9 @@
         this.store = store;
     }
 
-    /** Reads the committed results from a position on; empty if there is no such batch. */
+    /**
+     * Reads the committed results from a position of the batch's list of results on; empty if there is no such batch.
+     */
     CompletableFuture<Optional<BatchPage>> readPage(String id, int firstPosition) {
         CachedResults cached = cache.get(id);
         if (cached != null && (cached.record.isFinished() || cached.results.size() > firstPosition)) {
--- a/src/main/java/org/gooseberryhill/gateway/ViewRefreshPolicy.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewRefreshPolicy.java
@@ -10,8 +10,8 @@
  */
 record ViewRefreshPolicy(long firstMaxAgeMillis, long secondMaxAgeMillis, long maxAgeStepMillis, long waitMillis) {
     /**
-     * Registrations change constantly, since each heartbeat is a change: a query each half second collects the changes, and
-     * an endpoint that leaves is known within a second, even when the host of rank 0 is lost.
+     * Registrations change constantly, since each heartbeat is a change: a query each half second collects the changes,
+     * and all hosts learn within a second that an endpoint is leaving, even when the host of rank 0 is lost.
      */
     static final ViewRefreshPolicy REGISTRATIONS = new ViewRefreshPolicy(500, 900, 100, 1000);
 
@@ -21,7 +21,10 @@
     /** Hosts join and leave rarely, and nothing depends on knowing it quickly. */
     static final ViewRefreshPolicy HOSTS = new ViewRefreshPolicy(0, 4000, 300, 3000);
 
-    /** Returns the age of the view at which the host with a rank among the live ones queries the store. */
+    /**
+     * Returns the age of the view at which the host with the given rank queries the store. The rank of a host is the
+     * number of live gateways whose ids precede its own.
+     */
     long maxAgeMillis(int rank) {
         return rank == 0 ? firstMaxAgeMillis : secondMaxAgeMillis + (rank - 1) * maxAgeStepMillis;
     }
--- a/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
+++ b/src/main/java/org/gooseberryhill/gateway/ViewUpdater.java
@@ -57,7 +57,10 @@
         return view;
     }
 
-    /** Returns the maximum age of the view in milliseconds. */
+    /**
+     * Returns the time since the last moment at which the view was certainly up to date, in milliseconds. Later changes
+     * in the store may be missing from it. Before the first listing it is an hour or more.
+     */
     long ageMillis() {
         return TimeUnit.NANOSECONDS.toMillis(context.nowNanos() - currentAsOfNanos);
     }
@@ -66,7 +69,10 @@
         return view.revision() > 0;
     }
 
-    /** Queries the store if it is this host's turn; the rank is this host's position among the live ones. */
+    /**
+     * Queries the store if it is this host's turn; the rank is the number of live gateways whose ids precede this
+     * host's id.
+     */
     void tick(int rank) {
         if (queryPending || context.nowNanos() - nextQueryNanos < 0) {
             return;
@@ -79,8 +85,8 @@
     }
 
     /**
-     * Applies changes that another host forwarded. Returns false if this host lacks the changes before them; it then needs
-     * a listing of all entries that the other host knows.
+     * Applies changes that another host forwarded. Returns false if this host lacks the changes before them; it then
+     * needs a listing of all entries in the other host's view.
      */
     boolean applyForwardedChanges(GatewayMessage.ViewChanges changes) {
         Optional<List<KeyChange>> newChanges =
@@ -90,7 +96,7 @@
         return newChanges.isPresent();
     }
 
-    /** Applies a listing of all entries that another host knows. */
+    /** Applies a listing of all entries in another host's view. */
     void applyListing(GatewayMessage.ViewListing listing) {
         if (listing.revision() > 0) {
             long readNanos = context.nowNanos() - TimeUnit.MILLISECONDS.toNanos(listing.ageMillis());
@@ -98,7 +104,7 @@
         }
     }
 
-    /** Returns a listing of all entries that this host knows, for another host. */
+    /** Returns a listing of all entries in this host's view, for another host. */
     GatewayMessage.ViewListing listing() {
         return new GatewayMessage.ViewListing(prefix, view.revision(), view.entries(), ageMillis());
     }
--- a/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
+++ b/src/main/java/org/gooseberryhill/http/ClientConnectionHandler.java
@@ -60,7 +60,8 @@
             return;
         }
         if (skippingResponse) {
-            // The codec also ends an interim response, or one of another request, with LastHttpContent.
+            // The response to be skipped, an interim response or the response to another request, ends with
+            // LastHttpContent as well.
             skippingResponse = !(message instanceof LastHttpContent);
             return;
         }
--- a/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
+++ b/src/main/java/org/gooseberryhill/logging/AsyncLineWriter.java
@@ -15,9 +15,9 @@
 /**
  * Writes events as lines to a stream on a separate thread. Thread-safe.
  *
- * <p>Failure: if nobody reads standard output and callers wrote to it directly, they would block and the host would
- * stop serving. Only the writer thread blocks on the stream; batches that do not fit into the bounded queue are dropped
- * and their lines counted.
+ * <p>Guards against a host that stops serving because nobody reads its standard output: callers that wrote to it
+ * directly would block. Only the writer thread blocks on the stream; batches that do not fit into the bounded queue are
+ * dropped and their lines counted.
  *
  * <p>Invariant: lines are written whole and in the order in which they were queued.
  */
--- a/src/main/java/org/gooseberryhill/logging/DroppingQueueFullPolicy.java
+++ b/src/main/java/org/gooseberryhill/logging/DroppingQueueFullPolicy.java
@@ -8,9 +8,9 @@
 /**
  * Drops and counts log messages while the ring buffer of the asynchronous loggers is full. Thread-safe.
  *
- * <p>Failure: if nobody reads standard output, its writer blocks, the ring buffer fills, and the control thread blocks
- * on it: the host stops serving because its log is blocked. Messages are dropped instead, and their number can be
- * queried.
+ * <p>Guards against a host that stops serving because its log is blocked: if nobody reads standard output, its writer
+ * blocks, the ring buffer fills, and the control thread would block on it. Messages are dropped instead, and their
+ * number can be queried.
  */
 public final class DroppingQueueFullPolicy implements AsyncQueueFullPolicy {
     private static final LongAdder DROPPED = new LongAdder();
--- a/src/main/java/org/gooseberryhill/peer/GatewayMessage.java
+++ b/src/main/java/org/gooseberryhill/peer/GatewayMessage.java
@@ -69,7 +69,7 @@
      * Requests results from the owner of a request batch; the reply is {@link Results}.
      *
      * @param batch the batch's id
-     * @param after the first requested position
+     * @param after the position of the first requested result in the batch's list of results, counted from 0
      * @param waitMillis how long the owner may wait for a result before it replies
      */
     record ResultsRequest(String batch, int after, long waitMillis) implements GatewayMessage {}
--- a/src/main/java/org/gooseberryhill/route/RouteConfiguration.java
+++ b/src/main/java/org/gooseberryhill/route/RouteConfiguration.java
@@ -14,10 +14,10 @@
  */
 public record RouteConfiguration(
         long version, List<Route> routes, Map<String, ServiceProperties> services, ClientLimits limits) {
-    /** Configuration in force before the first one is known. */
+    /** Configuration in force before the first one is loaded. */
     public static final RouteConfiguration EMPTY = new RouteConfiguration(0, List.of(), Map.of(), ClientLimits.DEFAULT);
 
-    /** Returns whether no configuration is known yet. */
+    /** Returns whether no configuration has been loaded yet. */
     public boolean isEmpty() {
         return version == 0;
     }
--- a/src/main/java/org/gooseberryhill/standin/SampleFleet.java
+++ b/src/main/java/org/gooseberryhill/standin/SampleFleet.java
@@ -22,13 +22,16 @@
     /** The model that the engines have loaded. */
     public static final ModelHolding MODEL = new ModelHolding("tutor-7b", "3", List.of("critique"));
 
-    /** Bearer key of the caller of the model; the keys are samples, not for real deployments. */
+    /**
+     * Bearer key of the caller named tutors, which calls the model service; the keys are samples, not for real
+     * deployments.
+     */
     public static final String TUTORS_KEY = "sample-tutors-key";
 
-    /** Bearer key of the caller of the booking app. */
+    /** Bearer key of the caller named students, which calls the booking app. */
     public static final String STUDENTS_KEY = "sample-students-key";
 
-    /** Bearer key of the caller that submits jobs. */
+    /** Bearer key of the caller named coordinators, which submits jobs. */
     public static final String COORDINATORS_KEY = "sample-coordinators-key";
 
     private static final String LOOPBACK = "127.0.0.1";
--- a/src/main/java/org/gooseberryhill/steward/JobOwner.java
+++ b/src/main/java/org/gooseberryhill/steward/JobOwner.java
@@ -305,7 +305,10 @@
         releaseReassignedJobs();
     }
 
-    /** Releases jobs that the membership assigns to another host, so that a new host takes over its share over time. */
+    /**
+     * Releases jobs that the membership assigns to another host, so that a new host takes over the jobs assigned to it
+     * over time.
+     */
     private void releaseReassignedJobs() {
         List<Host> stewards = process.presentHosts(Role.STEWARD);
         for (OwnedJob job : ownedJobs.jobs()) {
--- a/src/main/java/org/gooseberryhill/steward/StewardProcess.java
+++ b/src/main/java/org/gooseberryhill/steward/StewardProcess.java
@@ -133,7 +133,7 @@
     private void onSuspectRelease(PeerMessage.SuspectRelease release) {
         arbiter(release.service()).release(new Fingerprint(release.fingerprint()));
         if (release.completed()) {
-            // A completed suspect did not cause the crash, so the other entries need not isolate it any more.
+            // A completed suspect did not cause the crash, so the other entry hosts need not isolate it any more.
             process.presentHosts(Role.ENTRY).forEach(host -> process.send(host, release));
         }
     }
--- a/src/main/java/org/gooseberryhill/steward/package-info.java
+++ b/src/main/java/org/gooseberryhill/steward/package-info.java
@@ -1,2 +1,5 @@
-/** The program that owns jobs and sends batch items and model orders to endpoints. */
+/**
+ * The program that owns jobs, sends batch items to endpoints, and sends model orders, which tell endpoints which model,
+ * version and adapters to hold.
+ */
 package org.gooseberryhill.steward;
--- a/src/main/java/org/gooseberryhill/stored/BatchStore.java
+++ b/src/main/java/org/gooseberryhill/stored/BatchStore.java
@@ -254,7 +254,7 @@
      * @param id the batch's id
      * @param revision the record's current revision
      * @param record the record with the new chunk
-     * @param firstPosition the position of the first result
+     * @param firstPosition the position of the first result in the batch's list of results
      * @param results the results
      */
     public record Commit(String id, long revision, BatchRecord record, int firstPosition, List<ItemResult> results) {}
--- a/src/main/java/org/gooseberryhill/stored/StoredKeys.java
+++ b/src/main/java/org/gooseberryhill/stored/StoredKeys.java
@@ -34,7 +34,10 @@
         return CHECKPOINTS + batch;
     }
 
-    /** Returns the key of the committed chunk of results that begins at a position. */
+    /**
+     * Returns the key of the committed chunk of results whose first result has the given position in the batch's list
+     * of results.
+     */
     public static String results(String batch, int firstPosition) {
         return RESULTS + batch + "/" + firstPosition;
     }
--- a/src/main/java/org/gooseberryhill/timeline/EventKind.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventKind.java
@@ -19,11 +19,17 @@
     /** Events were dropped by the rate limit. */
     LINES_DROPPED("lines.dropped", Importance.STATE),
 
-    /** A host stored a submission on its disk. */
+    /** A host stored a copy of a submission on its disk. */
     SUBMISSION_KEPT("submission.kept", Importance.ROUTINE),
-    /** A host found or created the record of a submission that it had stored. */
+    /**
+     * A host with a copy of a submission on its disk created the record of the batch in the key-value store, or found
+     * it there.
+     */
     SUBMISSION_RECORDED("submission.recorded", Importance.STATE),
-    /** A stored submission is too old to be distinguished from a deleted one. */
+    /**
+     * A copy of a submission on a host's disk is so old that the batch may have been finished and deleted: the host
+     * deletes the copy without creating the record of the batch.
+     */
     SUBMISSION_EXPIRED("submission.expired", Importance.FAILURE),
     /** A disk operation failed. */
     DISK_FAILED("disk.failed", Importance.FAILURE),
--- a/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
+++ b/src/main/java/org/gooseberryhill/timeline/EventLimiter.java
@@ -7,9 +7,9 @@
 /**
  * Limits the number of events written per second, separately for each kind. Not thread-safe.
  *
- * <p>Failure: at a high request rate, logging takes CPU time from the requests. Each kind has its own limit, so that a
- * frequent kind does not displace the others. The limit of failures is higher than that of successes, since a failed
- * request must be explainable even if most others succeed.
+ * <p>Guards against logging that takes CPU time from the requests at a high request rate. Each kind has its own limit,
+ * so that a frequent kind does not displace the others. The limit of failures is higher than that of successes, since a
+ * failed request must be explainable even if most others succeed.
  */
 final class EventLimiter {
     /** The limit per kind of routine events: enough to show the traffic pattern; a line costs about 10 microseconds. */
--- a/src/main/java/org/gooseberryhill/timeline/JsonLineWriter.java
+++ b/src/main/java/org/gooseberryhill/timeline/JsonLineWriter.java
@@ -9,9 +9,10 @@
 /**
  * Writes flat JSON objects in UTF-8, one per line. Not thread-safe.
  *
- * <p>Failure: with the generator of the JSON library, logging takes one fiftieth of a process's work under load, since the
- * generator makes several calls for each character and a process writes its first thousand lines in interpreted code.
- * This class copies each text as a whole and has the library escape only texts that need it.
+ * <p>Guards against logging that takes too much processor time: with the generator of the JSON library it takes one
+ * fiftieth of a process's work under load, since the generator makes several calls for each character and a process
+ * writes its first thousand lines in interpreted code. This class instead copies each text as a whole and has the
+ * library escape only texts that need it.
  */
 final class JsonLineWriter {
     /** The length of an ISO 8601 time up to the seconds, such as 2026-01-31T12:34:56. */
--- a/src/main/java/org/gooseberryhill/view/KeyView.java
+++ b/src/main/java/org/gooseberryhill/view/KeyView.java
@@ -22,7 +22,7 @@
 
     private long revision;
 
-    /** Returns the revision up to which all changes are known; 0 before the first listing. */
+    /** Returns the revision up to which this view contains all changes; 0 before the first listing. */
     public long revision() {
         return revision;
     }
--- a/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/batch/EndpointBatchTest.java
@@ -72,7 +72,10 @@
         assertThat(endpoint.freeSlots(0)).isEqualTo(5);
     }
 
-    /** When no entry host reaches the steward, the engine's lagging count keeps slots free for online requests. */
+    /**
+     * When no entry host reports its requests in flight to the steward, the engine's own count of requests in flight,
+     * although it lags, keeps slots free for online requests.
+     */
     @Test
     void theEnginesOwnCountIsUsedWhenNoEntryReports() {
         fill();
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchCoreTest.java
@@ -66,7 +66,7 @@
     }
 
     /**
-     * The connection is cut after a request that may not be repeated was sent, so it may have run. Its caller is told
+     * The connection is lost after a request that may not be repeated was sent, so it may have run. Its caller is told
      * so at once, and no other endpoint gets the request, however many attempts the route allows.
      */
     @Test
@@ -102,8 +102,9 @@
     }
 
     /**
-     * A stream is cut in the middle while the other endpoints are briefly full. Its caller has a part of the answer and
-     * cannot request the rest: the host tries the other endpoints again until one of them has a slot.
+     * The connection of a stream is lost in the middle of the answer while the other endpoints are briefly full. Its
+     * caller has a part of the answer and cannot request the rest: the host tries the other endpoints again until one
+     * of them has a slot.
      */
     @Test
     void theRestOfAStreamWaitsForASlotWhenAllEndpointsAreFull() {
@@ -204,7 +205,10 @@
         assertThat(refusal.retryAfterMillis().orElseThrow()).isPositive();
     }
 
-    /** To explain a refusal, operators need the load that was known at that moment and the age of the reports. */
+    /**
+     * To explain a refusal, operators need the load that this host had recorded at that moment and the age of the
+     * reports.
+     */
     @Test
     void aRefusalBecauseOfLoadCarriesTheFiguresBehindIt() {
         fixture.reported(
@@ -260,7 +264,7 @@
         assertThat(restarted.isUsable(fixture.nowNanos)).isTrue();
     }
 
-    /** This host is cut off from all endpoints: half stay in use, or none would be tried once the network recovers. */
+    /** This host cannot reach any endpoint: half stay in use, or none would be tried once the network recovers. */
     @Test
     void failuresNeverEjectMoreThanHalfOfAService() {
         for (String id : List.of("e0", "e1", "e2", "e3")) {
@@ -314,7 +318,7 @@
         return ((DispatchDecision.Refuse) decision).refusal();
     }
 
-    /** Guards against an answer that is cut because its endpoint is silent, though no other one can continue it. */
+    /** Guards against an answer that is aborted because its endpoint is silent, though no other one can continue it. */
     @Test
     void aSilentStreamFailsOverOnlyIfAnotherAttemptIsPossible() {
         Route resumable = DispatchFixture.route(RouteKind.STREAM, true, 2);
--- a/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/DispatchProperties.java
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Guards against an answer that is cut because its endpoint is silent: after a silent attempt a request is sent to
-     * another endpoint if and only if {@link DispatchCore#canFailOver} predicted it, whatever happened to it, its
-     * endpoints and equal requests before.
+     * Guards against an answer that is aborted because its endpoint is silent: after a silent attempt a request is sent
+     * to another endpoint if and only if {@link DispatchCore#canFailOver} predicted it, regardless of what happened
+     * before to this request, to its endpoints and to equal requests.
      */
     @Property
     void aSilentRequestIsSentElsewhereExactlyWhenThatWasPredicted(
--- a/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/EndpointProbeTest.java
@@ -64,7 +64,7 @@
         assertThat(fixture.endpoint("e0").isUsable(fixture.nowNanos)).isTrue();
     }
 
-    /** This host is cut off from all endpoints: it keeps sending requests to half, as it cannot tell the cause. */
+    /** This host cannot reach any endpoint: it keeps sending requests to half, as it cannot tell the cause. */
     @Test
     void noMoreThanHalfOfTheEndpointsAreEjected() {
         for (int i = 0; i < 8; i++) {
--- a/src/test/java/org/gooseberryhill/decision/dispatch/SilentEndpointFailoverTest.java
+++ b/src/test/java/org/gooseberryhill/decision/dispatch/SilentEndpointFailoverTest.java
@@ -12,7 +12,9 @@
 class SilentEndpointFailoverTest {
     private static final Route RESUMABLE = DispatchFixture.route(RouteKind.STREAM, true, 2);
 
-    /** Guards against an answer that is cut because no other endpoint is free once its silent endpoint was given up. */
+    /**
+     * Guards against an answer that is aborted because no other endpoint is free once its silent endpoint was given up.
+     */
     @Test
     void aStreamMovedFromItsSilentEndpointWaitsWhileNoOtherEndpointIsFree() {
         for (boolean hasPartialAnswer : List.of(true, false)) {
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipModel.java
@@ -14,8 +14,8 @@
 
 /**
  * Models a batch and two hosts that may both believe they own it, on a key-value store that loses answers and that
- * applies writes late or never. Records the result that was first shown at each position and compares it with all
- * results that are shown there later.
+ * applies writes late or never. Records the result that a host first returned at each position of the batch's list of
+ * results, and compares it with all results that hosts return at that position later.
  */
 final class BatchOwnershipModel {
     private static final String RECORD = "record";
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipProperties.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/BatchOwnershipProperties.java
@@ -11,8 +11,8 @@
 class BatchOwnershipProperties {
     /**
      * Two hosts take a batch over from each other while answers of the store are lost and writes arrive late. A result
-     * that was shown at a position stays there, no item has two positions, and without faults every item has a position
-     * in the end.
+     * that a host has returned at some position of the batch's list of results stays at that position, no item is
+     * listed at two positions, and without faults every item is listed in the end.
      */
     @Property
     void positionsAreAssignedOnceHoweverOftenTheOwnerChanges(
--- a/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
+++ b/src/test/java/org/gooseberryhill/decision/requestbatch/OwnedBatchTest.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * A run is cut after its second event: the next run resumes after that event, and the text contains each event
-     * once.
+     * A run is interrupted after its second event: the next run resumes after that event, and the text contains each
+     * event once.
      */
     @Test
     void cutRunIsResumedAfterItsLastEvent() {
@@ -50,7 +50,8 @@
     }
 
     /**
-     * Output without event ids can't be resumed: that of a cut run is discarded, or it would be in the result twice.
+     * Output without event ids can't be resumed: that of an interrupted run is discarded, or it would be in the result
+     * twice.
      */
     @Test
     void cutRunWithoutEventIdsStartsFromTheBeginning() {
@@ -88,8 +89,8 @@
     }
 
     /**
-     * Full endpoints, cuts and yields do not count as attempts: an item that could not run must not be given up for
-     * them.
+     * Refusals by full endpoints, interrupted runs and yields do not count as attempts: an item that could not run must
+     * not be given up for them.
      */
     @Test
     void itemIsNeverGivenUpForCutsRefusalsOrYields() {
@@ -103,9 +104,9 @@
     }
 
     /**
-     * An item crashes each endpoint that starts to run it, so three endpoints are soon down. From the third cut on, the
-     * item gets pauses that double, so that it does not bring all endpoints down within seconds, while an item that
-     * does not crash endpoints still gets to run.
+     * An item crashes each endpoint that starts to run it, so three endpoints are soon down. From its third run that is
+     * interrupted before any output on, the item is not started for a time that doubles with each such run, so that it
+     * does not bring all endpoints down within seconds, while an item that does not crash endpoints still gets to run.
      */
     @Test
     void itemWhoseRunsProduceNoOutputGetsIncreasingPauses() {
--- a/src/test/java/org/gooseberryhill/http/HttpClientTest.java
+++ b/src/test/java/org/gooseberryhill/http/HttpClientTest.java
@@ -36,8 +36,9 @@
     }
 
     /**
-     * Cuts the endpoint's response after each byte in turn, alternately by a reset and by a close. A truncated response must
-     * never count as complete, and the failure must always report that the request may have run.
+     * Ends the connection after each byte of the endpoint's response in turn, alternately by a reset and by a close. A
+     * truncated response must never count as complete, and the failure must always report that the request may have
+     * run.
      */
     @ParameterizedTest
     @ValueSource(strings = {LENGTH_ANSWER, CHUNKED_ANSWER})
@@ -73,7 +74,10 @@
         assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
     }
 
-    /** Such a response ends with its connection, so a truncated one looks like a complete one. */
+    /**
+     * A response with neither a length nor an end mark ends when its connection closes, so a truncated one looks like a
+     * complete one.
+     */
     @Test
     void anAnswerWithoutLengthOrEndMarkIsAFailure() throws IOException {
         try (RawEndpoint endpoint = new RawEndpoint(ascii("HTTP/1.1 200 OK\r\n\r\nhello"), false)) {
--- a/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
+++ b/src/test/java/org/gooseberryhill/program/OnlineFailuresTest.java
@@ -71,7 +71,8 @@
 
     /**
      * Engines end their streams early as if they were complete, but without the end mark. While other engines work
-     * correctly, the streams continue there and complete; otherwise the caller sees a cut stream, never a normal end.
+     * correctly, the streams continue there and complete; otherwise the caller sees a truncated stream, never a normal
+     * end.
      */
     @Test
     void aStreamWithoutItsEndMarkIsNeverReportedAsComplete() {
